--- /dev/null
+++ b/tests/compatibility/producers.py
@@ -0,0 +1,349 @@
+"""What the program makes or reads, as bytes or plain JSON values, for `record.py` to write and the tests to compare.
+
+The values hold names of the wire, of settings and of stored data alone; a renamed class or field of the code changes
+nothing here but the imports and the attributes read.
+"""
+
+import dataclasses
+import json
+import random
+from pathlib import Path
+
+import msgspec
+from envoy.service.discovery.v3 import discovery_pb2
+from fleet import MemoryPilot, order, pilot_record
+
+from quillstep.capture import lives, read_life
+from quillstep.facts import start_facts
+from quillstep.files.pack import Packer, manifest
+from quillstep.frames import check
+from quillstep.frames.codec import FrameCodec, framed
+from quillstep.frames.front import FrameFront, FrameLimits
+from quillstep.frames.orders import FrameOrders
+from quillstep.platform import endpoints, record
+from quillstep.settings import DayRecord, Fault, GateRecord, PilotRecord, load
+from quillstep.store import Store
+from quillstep.tables.content import content
+from quillstep.wirehost import decode
+from quillstep.wirehost.host import Host
+from quillstep.xds.resources import CDS, EDS, LDS, RDS
+from quillstep.xds.sotw import SotwStream
+
+GOLDEN = Path(__file__).parent / "golden"
+CLASS_NAMES = ["lookup", "quote", "issue"]
+
+
+def plain(value):
+    """A value as JSON has it, so that a typed one equals the bare one of before."""
+    return json.loads(json.dumps(value, default=str))
+
+
+# the simulator's wire
+
+
+class Adapter:
+    """The adapter without its process."""
+
+    def __init__(self):
+        self.host = Host()
+
+    def answer(self, lines):
+        for line in lines:
+            self.host.take(*decode.fields(line))
+        return self.host.reply()
+
+
+# the platform's protocol
+
+
+def outgoing_messages(seed=11, rounds=240):
+    """All bytes that seeded orders come to, a line of hexadecimal for each message: round, proxy, bytes."""
+    draw = random.Random(seed)
+    orders = FrameOrders(CLASS_NAMES, lambda endpoint: None, lambda token, at_ms: None, lambda text: None)
+    joined, lines = set(), []
+    for number in range(rounds):
+        for _ in range(draw.randrange(0, 7)):
+            write_one_order(draw, orders, joined)
+        if draw.random() < 0.5:
+            orders.receipt(draw.randrange(64))
+        for proxy, message in orders.flush():
+            lines.append(f"{number} {proxy} {message.hex()}")
+    return "\n".join(lines) + "\n"
+
+
+def write_one_order(draw, orders, joined):
+    endpoint, table = f"ep-{draw.randrange(14)}", draw.choice([0, 0, 1, 2, 1003])
+    classes = draw.choice([[0, 1, 2], [0], [1, 2], []])
+    kind = draw.random()
+    if kind < 0.4:
+        orders.line(table, endpoint, draw.choice([0, 1, 3.5, 10, 12.0]))
+    elif kind < 0.55:
+        orders.withdraw(endpoint, draw.random() < 0.6)
+    elif kind < 0.7 and joined:
+        orders.bind(draw.choice(sorted(joined)), table, classes)
+    elif kind < 0.85:
+        orders.level(draw.choice([table, 65535]), classes, draw.choice([1e6, 0.25, 33.125, 0.0]), draw.randrange(4))
+    elif kind < 0.95:
+        proxy = draw.randrange(8)
+        joined.add(proxy)
+        orders.join(proxy)
+    elif joined:
+        proxy = draw.choice(sorted(joined))
+        joined.discard(proxy)
+        orders.leave(proxy)
+
+
+ATTACH = {"t": "attach", "id": 3, "site": "a", "rps": 21.5, "new": True}
+TELEMETRY = {"t": "telemetry", "site": "b"}
+DONE = {"t": "done", "id": 3, "seq": 905, "ms": 310.4}
+UPSTREAM = {
+    "t": "upstream_stats", "site": "a", "target": "s-1", "count": 9, "fail": 3, "mean": 4.5, "over": 1000.0,
+    "util": {"util": 0.6, "inflight": 4},
+}  # fmt: skip
+CLIENT = {"t": "client_stats", "id": 3, "lane": "quote", "count": 19, "fail": 2, "over": 1000.0}
+NAN = "NaN"
+
+
+def conversations():
+    """Names and bytes of connections, one message or a few each."""
+    told = {"sign of life": [{"t": "hb"}, ATTACH, {"t": "hb"}], "collector": [TELEMETRY, UPSTREAM, CLIENT]}
+    told["proxy"] = [ATTACH, DONE, UPSTREAM, CLIENT, {**DONE, "seq": 0}]
+    for name, message in (("attach", ATTACH), ("telemetry", TELEMETRY)):
+        for field in message:
+            told[f"{name} without {field}"] = [{key: value for key, value in message.items() if key != field}, DONE]
+    changes = {
+        "id": [4, -1, True, "3", 1.0, None], "site": ["c", 3, ""], "rps": [-1, "x", 1e10], "new": [1, None],
+        "seq": [65536, -1, 1.5], "ms": [None, -3], "target": ["", 5], "count": [-1, 2.5, 10**12], "fail": [10, "x"],
+        "mean": [-1, 1e7], "over": [0, -5, 1e9], "util": [3, {"util": 37.0}, {"x": "y"}, None], "lane": ["none", 7],
+        "t": ["what", 4, ["attach"], {}],
+    }  # fmt: skip
+    for name, first, message in (
+        ("attach", None, ATTACH), ("done", ATTACH, DONE), ("upstream", TELEMETRY, UPSTREAM),
+        ("client", TELEMETRY, CLIENT), ("client of a proxy", ATTACH, {**CLIENT, "id": 2}),
+    ):  # fmt: skip
+        for field in message:
+            for value in changes[field]:
+                said = [message | {field: value}, UPSTREAM]
+                told[f"{name} with {field}={value!r}"] = [first, *said] if first else said
+            if first:
+                told[f"{name} without {field}"] = [first, {k: v for k, v in message.items() if k != field}]
+    found = {name: b"".join(framed(msgspec.json.encode(m)) for m in messages) for name, messages in told.items()}
+    found["http"] = b"GET / HTTP/1.1\r\n\r\n"
+    found["no length"] = b"\x00\x00\x00\x00"
+    found["beyond a stranger"] = (5000).to_bytes(4, "big") + b"{"
+    found["beyond all"] = framed(msgspec.json.encode(ATTACH)) + (2**20 + 1).to_bytes(4, "big") + b"{"
+    found["a list"] = framed(msgspec.json.encode(ATTACH)) + framed(b"[1]")
+    found["half a message"] = framed(msgspec.json.encode(ATTACH))[:20]
+    found["not a number"] = framed(msgspec.json.encode(TELEMETRY)) + framed(b'{"t":"upstream_stats","mean":NaN}')
+    return found
+
+
+class Peer:
+    """A connection without its socket: what it was sent, and why it was ended."""
+
+    def __init__(self):
+        self.codec = FrameCodec(4096)
+        self.sent, self.stopping, self.order, self.heard_ms = [], "", 1, 0.0
+
+    @property
+    def started(self):
+        return self.codec.started
+
+    def send(self, stream, message):
+        self.sent.append(message)
+
+    def stop(self, reason):
+        self.stopping = self.stopping or reason
+
+
+def incoming_messages():
+    """What each conversation brings the deciding thread, what is answered, dropped and ended, by conversation."""
+    return {name: outcome_of(data) for name, data in conversations().items()}
+
+
+def outcome_of(data):
+    """One connection's bytes, read by the front without its sockets."""
+    brought = []
+    known = check.Known(4, frozenset("ab"), {"lookup": 0, "quote": 1, "issue": 2}, 1200.0)
+    front = FrameFront(
+        "127.0.0.1:0", FrameLimits(64, 64), known, lambda news, key=None, add=None: brought.append(news)
+    )
+    peer = Peer()
+    for event in peer.codec.receive(data):
+        front.event(peer, event)
+    front.poller.listener.close()
+    return {
+        "brought": [plain([each for each in news if each is not peer]) for news in brought],
+        "answered": [message.hex() for message in peer.sent], "started": peer.started,
+        "dropped": sum(front.dropped.values()), "ended": bool(peer.stopping),
+    }  # fmt: skip
+
+
+# xDS
+
+
+def xds_responses():
+    """What a delta and a state-of-the-world proxy are sent, a line each.
+
+    Names within one response stand in the order of a set, which differs from process to process: they are sorted here.
+    """
+    pilot = MemoryPilot(endpoints=6, record=pilot_record(gate=GateRecord(on=False)))
+    lines = []
+    proxy = recording_proxy(pilot, "p0", "a", lines)
+    pilot.run(3000)
+    sotw = SotwProxy(pilot, "old", "b", lines)
+    sotw.run(2000)
+    order(pilot, lambda tables: [tables.line(0, 3, 17.0), tables.level(0, [0, 1], 12.5, 1)])
+    sotw.run(600)
+    pilot.roster("partial", [2], "terminating")
+    sotw.run(1500)
+    proxy.refuses = True
+    order(pilot, lambda tables: tables.line(0, 4, 3.0))
+    sotw.run(300)
+    proxy.refuses = False
+    order(pilot, lambda tables: tables.line(0, 4, 5.0))
+    sotw.run(1500)
+    held = {url: dict(versions) for url, versions in proxy.versions.items()}
+    proxy.leave()
+    order(pilot, lambda tables: [tables.line(0, 1, 0.0), tables.line(0, 5, 8.0)])
+    sotw.run(400)
+    recording_proxy(pilot, "p0", "a", lines, held)
+    sotw.run(3000)
+    return "\n".join(lines) + "\n"
+
+
+def recording_proxy(pilot, name, zone, lines, held=None):
+    """Joins a proxy whose stream's responses are written down."""
+    proxy = pilot.join(name, zone, held)
+    pump = proxy.stream.pump
+
+    def recording(now_ms):
+        responses = pump(now_ms)
+        lines.extend(f"{name} {delta_text(response.message)}" for response in responses)
+        return responses
+
+    proxy.stream.pump = recording
+    return proxy
+
+
+def delta_text(message):
+    """A delta response: its fields, and each resource byte for byte."""
+    response = discovery_pb2.DeltaDiscoveryResponse.FromString(message)
+    resources = sorted(each.SerializeToString(deterministic=True).hex() for each in response.resources)
+    removed = sorted(response.removed_resources)
+    return json.dumps([response.system_version_info, response.type_url, response.nonce, resources, removed])
+
+
+class SotwProxy:
+    """A proxy that speaks the older stream and acknowledges all."""
+
+    def __init__(self, pilot, name, zone, lines):
+        self.pilot, self.lines, self.name = pilot, lines, name
+        core = pilot.core
+        self.stream = SotwStream(core.tables, pilot.encoder, core.record.limits, "e", core.ordered_ms)
+        request = discovery_pb2.DiscoveryRequest(type_url=CDS)
+        request.node.id = name
+        self.stream.proxy = core.join(name, zone, 5.0, self.stream.first(request), True)
+        for url, names in ((CDS, ()), (EDS, ("table-0",)), (LDS, ()), (RDS, ("exchanges",))):
+            self.stream.request(discovery_pb2.DiscoveryRequest(type_url=url, resource_names=names), pilot.now)
+
+    def run(self, ms):
+        for _ in range(int(ms / 100)):
+            self.pilot.run(100)
+            for response in self.stream.pump(self.pilot.now):
+                self.lines.append(f"{self.name} {response.message.hex()}")
+                names = {EDS: ("table-0",), RDS: ("exchanges",)}.get(response.url, ())
+                word = discovery_pb2.DiscoveryRequest(
+                    type_url=response.url, response_nonce=response.nonce, resource_names=names
+                )
+                self.stream.request(word, self.pilot.now)
+
+
+# files
+
+
+def file_generation(form):
+    """The files of one generation and its manifest, by name, as hexadecimal."""
+    rows = {("pool", 0): (), ("share", 0): ((0, 0.25),), ("entry",): (), ("pool", 1): (), ("share", 1): ()}
+    rows["routes",] = ((0, 0, None, 1), (1, 1, 3.0, 0))
+    rows.update({("line", 0, at): ("127.0.0.1", 9000 + at, float(at)) for at in range(1, 30)})
+    rows.update({("line", 1, at): ("127.0.0.1", 9000 + at, 2.0) for at in range(3, 9)})
+    rows["out", 9] = ("127.0.0.1", 9009, "draining")
+    pilot = MemoryPilot()
+    files = Packer(pilot.encoder, form, 4).files({key: content(key, what) for key, what in rows.items()})
+    found = {file.name: file.data.hex() for file in files}
+    found["manifest"] = manifest("pilot-0-17", 5, 12, 1234.5, files).hex()
+    return found
+
+
+# settings and configuration
+
+
+def settings_values(path):
+    """A settings file as checked, in the names of the file."""
+    kind = DayRecord if "each_zone" in path.read_text() else PilotRecord
+    return load(kind, path).model_dump(mode="json")
+
+
+def settings_fault(path):
+    """What is said of a settings file that does not check, without its folder."""
+    try:
+        load(PilotRecord, path)
+    except Fault as trouble:
+        return str(trouble).replace(f"{path.parent}/", "")
+    return "it checks"
+
+
+def configuration_values(path):
+    """What a platform configuration comes to: values in order, whatever their names; or the sentence on it."""
+    try:
+        found = record.read({"BALANCER_CONFIG": str(path)})
+        facts = record.pilot_facts(found, str(path))
+    except record.Fault as trouble:
+        return str(trouble).replace(f"{path.parent}/", "")
+    known = {"revision": found.known.revision, "complete": True, "members": found.known.members}
+    first = endpoints.read_list(known, 5000.0, "persisted")
+    return plain({
+        "start": list(dataclasses.astuple(facts.start)),
+        "rest": [
+            facts.classes, facts.known.proxies, sorted(facts.known.zones), facts.known.places, facts.known.cut_off_ms,
+            facts.tick_ms, facts.probe_ms, facts.probe_path,
+        ],
+        "list": [first.kind, first.entries, first.addresses, first.revision, first.spoilt, first.whole],
+        "seed": record.seed_of(found.seed),
+    })  # fmt: skip
+
+
+def start_values(line):
+    """A `start` as the module is told it: values in order."""
+    _, found = decode.fields(line)
+    facts, names = start_facts(found)
+    return plain([list(dataclasses.astuple(facts)), names])
+
+
+# store and captures
+
+
+def export_of(folder):
+    """All rows of a store as JSON lines."""
+    found = Store(folder, write=False)
+    try:
+        return "".join(f"{msgspec.json.encode(line).decode()}\n" for line in found.exported()), found.check()["bad"]
+    finally:
+        found.close()
+
+
+def imported(folder, lines):
+    """Takes an export in, into a new store."""
+    found = Store(folder)
+    try:
+        return found.take_in(msgspec.json.decode(line) for line in lines.splitlines())
+    finally:
+        found.close()
+
+
+def capture_records(folder):
+    """All records of the lives in a folder: the life, and each record as bytes of MessagePack."""
+    return [
+        (life.header.epoch, msgspec.msgpack.encode(record)) for life in lives(folder) for record in read_life(life)
+    ]
--- /dev/null
+++ b/tests/compatibility/settings/bad/not-cue.cue
@@ -0,0 +1,2 @@
+name: "pilot"
+fleet: {
--- /dev/null
+++ b/tests/compatibility/settings/bad/unknown-reference.cue
@@ -0,0 +1,1 @@
+name: nothing
