--- a/quillstep/charts.py
+++ b/quillstep/bench/charts.py
@@ -26,9 +26,7 @@
     axes.set_ylabel("service")
     axes.set_ylim(0.0, 1.02)
     changed = ", ".join(f"{path}={value}" for path, value in found["change"].items()) or "no change"
-    axes.set_title(
-        f"{changed}: {found['service']['replayed']:.3f} to {found['service']['changed']:.3f} (replayed)"
-    )
+    axes.set_title(f"{changed}: {found['service']['replayed']:.3f} to {found['service']['changed']:.3f} (replayed)")
     axes.legend(loc="lower left")
     figure.tight_layout()
     figure.savefig(path, dpi=110)
@@ -39,9 +37,7 @@
     """Service against the values of one setting, with the noise over seeds."""
     figure, axes = pyplot.subplots(figsize=(7.0, 4.0))
     values = [str(row["value"]) for row in rows]
-    axes.errorbar(
-        values, [row["service"] for row in rows], yerr=[row["noise"] for row in rows], marker="o", capsize=4
-    )
+    axes.errorbar(values, [row["service"] for row in rows], yerr=[row["noise"] for row in rows], marker="o", capsize=4)
     axes.set_xlabel(setting)
     axes.set_ylabel("service (replayed)")
     figure.tight_layout()
--- a/quillstep/bench/crash.py
+++ b/quillstep/bench/crash.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from quillstep.store import Store, StoreTrouble
-from quillstep.store.format import Entry, HoldRow, PinRow, VersionRow, number_key, numbers_of
+from quillstep.store.records import Entry, HoldRow, PinRow, VersionRow, number_key, numbers_of
 
 COMMITS, PROXIES = 6, 3
 ROWS = PROXIES + 2
--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from quillstep.bench.streams import day_of
-from quillstep.day.run import play_arm
-from quillstep.day.service import service
-from quillstep.rulecheck import Evidence, judge, longest_channel
-from quillstep.settings import DayRecord
+from quillstep.config.records import DayRecord
+from quillstep.invariants import Evidence, judge, longest_channel
+from quillstep.testbed.scenarios.runner import play_arm
+from quillstep.testbed.scenarios.service_quality import service
 
 ARMS: dict[str, dict[str, Any]] = {
     "streams": {},
@@ -55,11 +55,7 @@
 
 def turn_ms(evidence: Evidence, proxies: int) -> float:
     """The median time from an order that reaches most proxies to its last acknowledgement."""
-    spans = [
-        max(at for _, at in rows) - rows[0][0]
-        for rows in answered(evidence).values()
-        if len(rows) * 2 > proxies
-    ]
+    spans = [max(at for _, at in rows) - rows[0][0] for rows in answered(evidence).values() if len(rows) * 2 > proxies]
     return round(statistics.median(spans), 1) if spans else 0.0
 
 
@@ -87,9 +83,7 @@
 def run(sizes: list[int], exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
     """All arms at all sizes; traffic in proportion to the largest."""
     most = max(sizes)
-    rows = [
-        measure(name, size, exchanges_per_s * size / most, seconds, folder) for size in sizes for name in ARMS
-    ]
+    rows = [measure(name, size, exchanges_per_s * size / most, seconds, folder) for size in sizes for name in ARMS]
     return {
         "bench": "fronts",
         "machine": f"{platform.machine()}, Python {platform.python_version()}",
--- a/quillstep/bench/reports.py
+++ b/quillstep/bench/load_reports.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, day_of
-from quillstep.day.run import Arm, play_arm
-from quillstep.day.service import service
-from quillstep.rulecheck import Evidence, judge, longest_channel
-from quillstep.settings import DayRecord
+from quillstep.config.records import DayRecord
+from quillstep.invariants import Evidence, judge, longest_channel
+from quillstep.testbed.scenarios.runner import Arm, play_arm
+from quillstep.testbed.scenarios.service_quality import service
 
 SPAN_S = 8.0  # of reports, then of none
 LINES_A_PROXY = 15.0  # lines a second of channel for each proxy, as the fleet of 262 has them
@@ -54,9 +54,7 @@
     return DayRecord.model_validate({**base, "name": f"{proxies} by {way}"})
 
 
-def acknowledged(
-    evidence: Evidence, begin_ms: float
-) -> tuple[list[float], list[float], list[float], list[float]]:
+def acknowledged(evidence: Evidence, begin_ms: float) -> tuple[list[float], list[float], list[float], list[float]]:
     """Milliseconds from the roster's word of a drain to each proxy's acknowledgement, and to the last of each drain:
     with reports, without."""
     acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.sent if row["what"] == "ack"}
--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 from quillstep.bench.streams import day_of
-from quillstep.capture import lives, read_life
-from quillstep.day.run import play_arm
-from quillstep.day.service import service
-from quillstep.replay.daybook import read_daybook
+from quillstep.config.records import DayRecord
+from quillstep.recording import lives, read_life
 from quillstep.replay.faithful import Replay
+from quillstep.replay.recorded_day import read_daybook
 from quillstep.replay.whatif import learn, play
-from quillstep.settings import DayRecord
+from quillstep.testbed.scenarios.runner import play_arm
+from quillstep.testbed.scenarios.service_quality import service
 
 SECONDS = 20.0
 TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "late_credit": 0.2}
@@ -30,9 +30,7 @@
             for at, what in ((3.0, "fail"), (6.0, "silent"), (10.0, "fail"), (14.0, "silent"))
         ]
     },
-    "answers lost": {
-        "troubles": [{"at_s": 5.0, "for_s": 10.0, "what": "lose_answers", "count": 4, "factor": 2.0}]
-    },
+    "answers lost": {"troubles": [{"at_s": 5.0, "for_s": 10.0, "what": "lose_answers", "count": 4, "factor": 2.0}]},
     "overload": {"phases": [{"at_s": 6.0, "for_s": 8.0, "times": 3.0}]},
 }
 
@@ -125,9 +123,7 @@
 
 def run(proxies: int, exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
     """The large day first, then five small ones side by side."""
-    large = DayRecord.model_validate(
-        {**day_of(proxies, exchanges_per_s, seconds, 1).model_dump(), "capture": True}
-    )
+    large = DayRecord.model_validate({**day_of(proxies, exchanges_per_s, seconds, 1).model_dump(), "capture": True})
 
     def played(kind: str) -> Path:
         return play_arm(small_day(kind), folder / kind.replace(" ", "-")).folder
--- a/quillstep/bench/sampling.py
+++ b/quillstep/bench/sampling.py
@@ -4,11 +4,11 @@
 import random
 from typing import Any
 
-from quillstep.reports.gather import MESSAGE_WORK, Gatherer
-from quillstep.reports.guard import Account, Told
-from quillstep.reports.sampling import Sampler
-from quillstep.reports.sums import Row
-from quillstep.settings import ClassRecord, FleetRecord, ReportsRecord
+from quillstep.config.records import ClassRecord, FleetRecord, ReportsRecord
+from quillstep.load_reports.aggregator import MESSAGE_WORK, Gatherer
+from quillstep.load_reports.sampling import Sampler
+from quillstep.load_reports.upstream_stats import Row
+from quillstep.load_reports.validation import Account, Told
 
 USUAL_MS = 1000.0
 TRIES_A_S = 2.0  # of the mean proxy at the mean endpoint
@@ -21,9 +21,7 @@
     alone predicts: sqrt((groups - 1) x sum of squares over the rest) / total.
     """
     chance = random.Random(seed)
-    kind = ClassRecord(
-        name="one", agreed_ms=400.0, cut_off_ms=1200.0, credit=1.0, semantics="safe", work_ms=20.0
-    )
+    kind = ClassRecord(name="one", agreed_ms=400.0, cut_off_ms=1200.0, credit=1.0, semantics="safe", work_ms=20.0)
     gatherer = Gatherer(ReportsRecord(work_per_s=1e12), FleetRecord(zones=["a"], classes=[kind]))
     sampler = Sampler(work_per_s, USUAL_MS, seed)
     sizes = [chance.expovariate(1.0) + 0.05 for _ in range(proxies)]
@@ -62,9 +60,7 @@
         if begin and now >= begin:
             by_endpoint = {row[1]: row[2] for row in found["sums"]}
             errors += [by_endpoint.get(e, 0.0) / each - 1.0 for e, each in enumerate(true) if each]
-            rest = [
-                TRIES_A_S * sizes[proxy] * stage.times for proxy in range(proxies) if proxy not in stage.heavy
-            ]
+            rest = [TRIES_A_S * sizes[proxy] * stage.times for proxy in range(proxies) if proxy not in stage.heavy]
             spread = math.sqrt((stage.groups - 1) * sum(each * each + each for each in rest) / stage.times)
             special = TRIES_A_S * sum(sizes[proxy] for proxy in stage.heavy)
             stated.append(spread / (special + sum(rest) / stage.times))
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -16,14 +16,14 @@
 
 from quillstep.bench import crash as killing
 from quillstep.bench.streams import day_of
-from quillstep.day.plan import plan
-from quillstep.day.run import Arm, now_ms, play_arm
-from quillstep.day.service import service
-from quillstep.rulecheck import judge, longest_channel, slowest_drain
-from quillstep.settings import DayRecord, StoreRecord
+from quillstep.config.records import DayRecord, StoreRecord
+from quillstep.invariants import judge, longest_channel, slowest_drain
+from quillstep.routing.resources import LINE, content
 from quillstep.store import Store
-from quillstep.store.format import Entry, VersionRow, Wish, number_key
-from quillstep.tables.content import LINE, content
+from quillstep.store.records import Entry, VersionRow, Wish, number_key
+from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.runner import Arm, now_ms, play_arm
+from quillstep.testbed.scenarios.service_quality import service
 from quillstep.xds.resources import name
 
 FEW = 8  # lines that a small rollback changes
@@ -82,9 +82,7 @@
     """Both kinds of rollbacks on one fleet, one after the other."""
     day = day_of(proxies, 0.5 * proxies, 3.0, 1)
     scale = max(1.0, proxies / 262.0)
-    channel = day.fleet.channel.model_copy(
-        update={"lines_per_s": 3900.0 * scale, "lines_waiting_most": 7000.0 * scale}
-    )
+    channel = day.fleet.channel.model_copy(update={"lines_per_s": 3900.0 * scale, "lines_waiting_most": 7000.0 * scale})
     day = day.model_copy(update={
         "fleet": day.fleet.model_copy(update={"channel": channel}), "troubles": [],
         "store": StoreRecord(folder="store"),
@@ -235,4 +233,3 @@
         **{f"kill_{name}": value for name, value in killed.items()},
         "rules_broken": sum(row["rules_broken"] for row in rows),
     }  # fmt: skip
-
--- a/quillstep/bench/streams.py
+++ b/quillstep/bench/streams.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from quillstep.day.run import play_arm
-from quillstep.day.service import service
-from quillstep.rulecheck import Evidence, judge, longest_channel, slowest_drain
-from quillstep.settings import DayRecord
+from quillstep.config.records import DayRecord
+from quillstep.invariants import Evidence, judge, longest_channel, slowest_drain
+from quillstep.testbed.scenarios.runner import play_arm
+from quillstep.testbed.scenarios.service_quality import service
 
 ENDPOINTS_A_ZONE = 23
 ZONES = ["norte", "sur", "oriente", "poniente"]
@@ -20,9 +20,7 @@
 
 def day_of(proxies: int, exchanges_per_s: float, seconds: float, pilots: int) -> DayRecord:
     """A plain day at one size: three drains and a return, the rest is traffic."""
-    drains = [
-        {"at_s": at, "for_s": 4.0, "what": "drain", "count": 1} for at in (seconds * k / 5 for k in (1, 2, 3))
-    ]
+    drains = [{"at_s": at, "for_s": 4.0, "what": "drain", "count": 1} for at in (seconds * k / 5 for k in (1, 2, 3))]
     return DayRecord.model_validate({
         "name": f"{proxies} proxies", "seed": 5, "seconds": seconds, "proxies": proxies, "pilots": pilots,
         "warm_up_s": 4.0 + 24000.0 / 3900.0 * proxies / 262.0 / pilots * 2.5,
@@ -80,9 +78,7 @@
     }  # fmt: skip
 
 
-def measure(
-    proxies: int, exchanges_per_s: float, seconds: float, pilots: int, folder: Path
-) -> dict[str, Any]:
+def measure(proxies: int, exchanges_per_s: float, seconds: float, pilots: int, folder: Path) -> dict[str, Any]:
     """One size, played once."""
     day = day_of(proxies, exchanges_per_s, seconds, pilots)
     arm = play_arm(day, folder / f"{proxies}")
@@ -104,9 +100,7 @@
     }  # fmt: skip
 
 
-def run(
-    sizes: list[int], exchanges_per_s: float, seconds: float, pilots: int, folder: Path
-) -> dict[str, Any]:
+def run(sizes: list[int], exchanges_per_s: float, seconds: float, pilots: int, folder: Path) -> dict[str, Any]:
     """All sizes, one after another; traffic in proportion to the largest."""
     most = max(sizes)
     rows = [measure(size, exchanges_per_s * size / most, seconds, pilots, folder) for size in sizes]
--- a/quillstep/bench/lineage.py
+++ b/quillstep/bench/tracing.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 from quillstep.bench.streams import day_of
-from quillstep.day.run import Arm, play_arm
-from quillstep.day.service import service
-from quillstep.lineage.report import lineage_of, summary
-from quillstep.lineage.spans import read
-from quillstep.proof.prove import prove
-from quillstep.rulecheck import Evidence, judge
-from quillstep.settings import DayRecord
+from quillstep.config.records import DayRecord
+from quillstep.invariants import Evidence, judge
+from quillstep.model_checking.runner import prove
+from quillstep.testbed.scenarios.runner import Arm, play_arm
+from quillstep.testbed.scenarios.service_quality import service
+from quillstep.tracing.report import lineage_of, summary
+from quillstep.tracing.spans import read
 
 ARMS = {"bare": (False, 0.0), "record": (True, 0.0), "spans": (True, 0.05)}
 SLOW_LINE_MS = 3.0
--- a/quillstep/cli/main.py
+++ b/quillstep/cli/main.py
@@ -12,20 +12,19 @@
 from rich.console import Console
 from rich.table import Table
 
-from quillstep import logs
 from quillstep.cli.store import store, tables
-from quillstep.settings import DayRecord, Fault, PilotRecord, changed, load
+from quillstep.config.cue import Fault
+from quillstep.config.records import DayRecord, PilotRecord, changed, load
+from quillstep.logging import configure_logging
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
-@click.option(
-    "--log", "form", type=click.Choice(["auto", "human", "json"]), default="auto", help="Form of log lines."
-)
+@click.option("--log", "form", type=click.Choice(["auto", "human", "json"]), default="auto", help="Form of log lines.")
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 @click.version_option(package_name=None, version="0.2.0", prog_name="quillstep")
 def cli(form: str, log_level: str) -> None:
     """A central planner behind a layer of plain proxies."""
-    logs.set_up(form, log_level)
+    configure_logging(form, log_level)
 
 
 def checked(kind: type, path: str) -> Any:
@@ -42,10 +41,10 @@
 def pilot(settings: str, with_parent: bool) -> None:
     """Run one pilot until it is told to stop."""
     record = checked(PilotRecord, settings)
+    from quillstep.controller.service import Pilot
     from quillstep.files.disk import Refused
-    from quillstep.pilot.service import Pilot
     from quillstep.store import StoreTrouble
-    from quillstep.store.keeper import opened
+    from quillstep.store.writer import opened
 
     kept = None
     try:
@@ -101,8 +100,8 @@
     except Fault as fault:
         click.echo(f"quillstep: {fault}", err=True)
         sys.exit(2)
-    from quillstep.day.children import ChildError
-    from quillstep.day.run import play_day
+    from quillstep.testbed.scenarios.child_processes import ChildError
+    from quillstep.testbed.scenarios.runner import play_day
 
     try:
         found = play_day(record, Path(folder), list(arms) or None)
@@ -134,7 +133,7 @@
 
 
 def lives_of(folder: str) -> Any:
-    from quillstep.capture import BadBlock, lives
+    from quillstep.recording import BadBlock, lives
 
     try:
         found = lives(Path(folder))
@@ -170,7 +169,7 @@
 @click.option("--kind", "kinds", multiple=True, help="Only records of this kind.")
 def capture_show(folder: str, life: str | None, begin: float, span: float, kinds: tuple[str, ...]) -> None:
     """Records of a span, a JSON line each; messages by their size."""
-    from quillstep.capture.reader import between
+    from quillstep.recording.reader import between
 
     found = chosen(lives_of(folder), life)
     first = found.first_ms + begin * 1000.0
@@ -183,9 +182,7 @@
 def chosen(found: Any, life: str | None) -> Any:
     matching = [each for each in found if life in (None, each.header.epoch)]
     if not matching:
-        click.echo(
-            f"quillstep: no life {life}; there are {', '.join(e.header.epoch for e in found)}", err=True
-        )
+        click.echo(f"quillstep: no life {life}; there are {', '.join(e.header.epoch for e in found)}", err=True)
         sys.exit(2)
     return matching[0]
 
@@ -197,7 +194,7 @@
 @click.option("--for", "span", required=True, type=float, help="Seconds from the life's beginning.")
 def capture_cut(folder: str, out: str, life: str | None, span: float) -> None:
     """The beginning of a life as a capture of its own; it replays like the whole."""
-    from quillstep.capture.reader import cut
+    from quillstep.recording.reader import cut
 
     found = chosen(lives_of(folder), life)
     count = cut(found, found.first_ms, found.first_ms + span * 1000.0, Path(out))
@@ -209,10 +206,7 @@
 def capture_verify(folder: str) -> None:
     """Read all of it, checksums included; status 1 if any of it is damaged, 0 if at most a tail is torn."""
     for life in lives_of(folder):
-        click.echo(
-            f"{life.header.epoch}: {life.records} records whole"
-            + (f"; torn: {life.torn}" if life.torn else "")
-        )
+        click.echo(f"{life.header.epoch}: {life.records} records whole" + (f"; torn: {life.torn}" if life.torn else ""))
 
 
 @capture.command("keep")
@@ -220,8 +214,8 @@
 @click.argument("out", type=click.Path())
 def capture_keep(folder: str, out: str) -> None:
     """What replays need of a played arm, and no more: captures, the fleet, the exchanges."""
-    from quillstep.capture import BadBlock
-    from quillstep.replay.daybook import keep
+    from quillstep.recording import BadBlock
+    from quillstep.replay.recorded_day import keep
 
     try:
         click.echo(f"{out}: {keep(Path(folder), Path(out))} exchanges")
@@ -244,10 +238,10 @@
     """
     import time
 
-    from quillstep.capture import read_life
+    from quillstep.recording import read_life
     from quillstep.replay.faithful import Replay
 
-    logs.set_up("auto", "error")
+    configure_logging("auto", "error")
     rows = []
     for life in lives_of(folder):
         begun = time.perf_counter()
@@ -265,7 +259,7 @@
 
 
 def changes_of(texts: tuple[str, ...]) -> dict[str, Any]:
-    from quillstep.settings import parse_changes
+    from quillstep.config.records import parse_changes
 
     try:
         return parse_changes(texts)
@@ -275,10 +269,10 @@
 
 
 def daybook_of(folder: str) -> Any:
-    from quillstep.capture import BadBlock
-    from quillstep.replay.daybook import read_daybook
+    from quillstep.recording import BadBlock
+    from quillstep.replay.recorded_day import read_daybook
 
-    logs.set_up("auto", "error")
+    configure_logging("auto", "error")
     try:
         return read_daybook(Path(folder))
     except (OSError, BadBlock) as trouble:
@@ -323,7 +317,7 @@
         sys.exit(2)
     show_comparison(folder, found)
     if chart:
-        from quillstep.charts import service_over_time
+        from quillstep.bench.charts import service_over_time
 
         service_over_time(found, Path(chart))
     if out:
@@ -355,9 +349,7 @@
         console.print(f"gain {found['gain']:+.4f}, noise over {found['seeds']} seeds {found['noise']:.4f}; "
                       f"{fate['won']} exchanges won, {fate['lost']} lost")  # fmt: skip
     else:
-        console.print(
-            f"can't tell: the day's own replay misses by {found['error']:+.3f}, {found['tolerance']} allowed"
-        )
+        console.print(f"can't tell: the day's own replay misses by {found['error']:+.3f}, {found['tolerance']} allowed")
 
 
 @replay.command()
@@ -380,12 +372,10 @@
     for name in ("value", "service", "noise", "rules broken"):
         table.add_column(name, justify="right")
     for row in rows:
-        table.add_row(
-            str(row["value"]), f"{row['service']:.4f}", f"{row['noise']:.4f}", str(row["rules_broken"])
-        )
+        table.add_row(str(row["value"]), f"{row['service']:.4f}", f"{row['noise']:.4f}", str(row["rules_broken"]))
     Console(stderr=True).print(table)
     if chart:
-        from quillstep.charts import sweep as draw
+        from quillstep.bench.charts import sweep as draw
 
         draw(rows, path, Path(chart))
     click.echo(msgspec.json.encode({"setting": path, "rows": rows}).decode())
@@ -401,7 +391,7 @@
     FOLDER is an arm of a played day.  The last line of standard output is one JSON object; status 1 if anything is
     missing of a chain.
     """
-    from quillstep.lineage.report import cause, lineage_of, summary, told
+    from quillstep.tracing.report import cause, lineage_of, summary, told
 
     if bool(exchange) == all_of_them:
         raise click.UsageError("name one exchange, or --all")
@@ -432,7 +422,7 @@
 
     The last line of standard output is one JSON object; status 1 if anything is wrong or a twin is not found.
     """
-    from quillstep.proof.prove import prove as run
+    from quillstep.model_checking.runner import prove as run
 
     found = run(depth)
     table = Table(title="the stream protocol, within bounds")
@@ -460,9 +450,7 @@
 @click.option("--exchanges", default=860.0, show_default=True, help="A second, at the largest size.")
 @click.option("--seconds", default=20.0, show_default=True)
 @click.option("--pilots", default=1, show_default=True)
-@click.option(
-    "--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes."
-)
+@click.option("--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes.")
 @click.option("--out", type=click.Path(), help="A file to keep the result in.")
 def streams(
     sizes: tuple[int, ...], exchanges: float, seconds: float, pilots: int, folder: str, out: str | None
@@ -477,9 +465,7 @@
 @click.option("--proxies", "sizes", multiple=True, type=int, default=[16, 64, 262], show_default=True)
 @click.option("--exchanges", default=400.0, show_default=True, help="A second, at the largest size.")
 @click.option("--seconds", default=12.0, show_default=True)
-@click.option(
-    "--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes."
-)
+@click.option("--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes.")
 @click.option("--out", type=click.Path(), help="A file to keep the result in.")
 def fronts(sizes: tuple[int, ...], exchanges: float, seconds: float, folder: str, out: str | None) -> None:
     """Streams and files side by side, against whole tables sent again."""
@@ -495,9 +481,7 @@
 @click.option("--exchanges", default=300.0, show_default=True, help="A second, at every size.")
 @click.option("--spans", default=4, show_default=True, help="With and without reports, in turn.")
 @click.option("--set", "changes", multiple=True, help="field=value in the reports' record.")
-@click.option(
-    "--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes."
-)
+@click.option("--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes.")
 @click.option("--out", type=click.Path(), help="A file to keep the result in.")
 @click.option("--chart", type=click.Path(), help="A PNG of the result.")
 def bench_reports(
@@ -505,11 +489,11 @@
     folder: str, out: str | None, chart: str | None,
 ) -> None:  # fmt: skip
     """Drains with and without the load of many reports, what reading costs, by three ways of reading."""
-    from quillstep.bench.reports import run
+    from quillstep.bench.load_reports import run
 
     found = run(list(sizes), list(ways), exchanges, spans, Path(folder), changes_of(changes))
     if chart:
-        from quillstep.charts import reports as draw
+        from quillstep.bench.charts import reports as draw
 
         draw(found["rows"], Path(chart))
     finish(found, out)
@@ -521,17 +505,15 @@
 @click.option("--seconds", default=20.0, show_default=True, help="Of each arm.")
 @click.option("--turns", default=2, show_default=True, help="Of each arm: nothing kept, the record, record and spans.")
 @click.option("--depth", default=12, show_default=True, help="Of the model, as in `quillstep prove`.")
-@click.option(
-    "--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes."
-)
+@click.option("--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes.")
 @click.option("--out", type=click.Path(), help="A file to keep the result in.")
 def bench_lineage(
     proxies: int, exchanges: float, seconds: float, turns: int, depth: int, folder: str, out: str | None
 ) -> None:
     """Every answer of a run traced, verdicts on late orders against the truth, costs, spreading, the model."""
-    from quillstep.bench.lineage import run
+    from quillstep.bench.tracing import run
 
-    logs.set_up("auto", "error")
+    configure_logging("auto", "error")
     finish(run(proxies, exchanges, seconds, turns, depth, Path(folder)), out)
 
 
@@ -539,18 +521,14 @@
 @click.option("--proxies", "sizes", multiple=True, type=int, default=[16, 64, 262], show_default=True)
 @click.option("--seeds", default=3, show_default=True, help="Of the crash, each with and without.")
 @click.option("--seconds", default=15.0, show_default=True, help="Of the day that costs are taken on.")
-@click.option(
-    "--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes."
-)
+@click.option("--record", "folder", type=click.Path(), default=".day/bench", help="Where the sockets' record goes.")
 @click.option("--out", type=click.Path(), help="A file to keep the result in.")
 @click.option("--kills", default=2000, show_default=True, help="Of a store's writer, at its write points.")
-def bench_store(
-    sizes: tuple[int, ...], seeds: int, seconds: float, kills: int, folder: str, out: str | None
-) -> None:
+def bench_store(sizes: tuple[int, ...], seeds: int, seconds: float, kills: int, folder: str, out: str | None) -> None:
     """Commits, rollbacks against whole tables, a pilot's crash with a store and without."""
     from quillstep.bench.store import run
 
-    logs.set_up("auto", "error")
+    configure_logging("auto", "error")
     finish(run(list(sizes), seeds, seconds, kills, Path(folder) / "store"), out)
 
 
@@ -558,15 +536,13 @@
 @click.option("--proxies", default=262, show_default=True)
 @click.option("--exchanges", default=860.0, show_default=True, help="A second, of the large day.")
 @click.option("--seconds", default=60.0, show_default=True, help="Of the large day.")
-@click.option(
-    "--record", "folder", type=click.Path(), default=".day/bench", help="Where the captured days go."
-)
+@click.option("--record", "folder", type=click.Path(), default=".day/bench", help="Where the captured days go.")
 @click.option("--out", type=click.Path(), help="A file to keep the result in.")
 def bench_replay(proxies: int, exchanges: float, seconds: float, folder: str, out: str | None) -> None:
     """Speed of both replays on a large day, and how near the model comes to five kinds of days."""
     from quillstep.bench.replay import run
 
-    logs.set_up("auto", "error")
+    configure_logging("auto", "error")
     finish(run(proxies, exchanges, seconds, Path(folder)), out)
 
 
--- a/quillstep/cli/store.py
+++ b/quillstep/cli/store.py
@@ -14,10 +14,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from quillstep.settings import Fault, PilotRecord, load
+from quillstep.config.cue import Fault
+from quillstep.config.records import PilotRecord, load
+from quillstep.routing.resources import TABLES, terms_of
 from quillstep.store import Store, StoreTrouble
-from quillstep.store.format import Entry, VersionRow, Wish, number_key
-from quillstep.tables.content import TABLES, terms_of
+from quillstep.store.records import Entry, VersionRow, Wish, number_key
 
 TAKEN_S = 5.0  # that a running pilot is given to take an order
 LOOK_S = 0.05
--- a/quillstep/settings/records.py
+++ b/quillstep/config/records.py
@@ -1,7 +1,7 @@
 """The typed records that settings files are checked into, and what of them the module is told at its start.
 
 Units stand in the names: `_ms` milliseconds, `_s` seconds, `_per_s` a second, `_bytes` bytes; a share is 0 to 1.
-A file that doesn't check raises `quillstep.settings.Fault`.
+A file that doesn't check raises `quillstep.config.Fault`.
 """
 
 import json
@@ -10,8 +10,8 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from quillstep.interface import ClassFacts, StartFacts
-from quillstep.settings.cue import Fault, Origin, read, shown
+from quillstep.config.cue import Fault, Origin, read, shown
+from quillstep.planner.messages import ClassFacts, StartFacts
 
 Positive = Annotated[float, Field(gt=0)]
 NotBelow0 = Annotated[float, Field(ge=0)]
@@ -122,9 +122,7 @@
 class ReportsRecord(Record):
     """How load reports are read: see docs/reports.md."""
 
-    by: Literal["inbox", "thread", "processes"] = (
-        "thread"  # `inbox` is the first pilot's way, kept as a baseline
-    )
+    by: Literal["inbox", "thread", "processes"] = "thread"  # `inbox` is the first pilot's way, kept as a baseline
     listen: list[Address] = []  # where report streams dial, a process for each; only with `processes`
     work_per_s: Positive = 60000.0  # that one thread or process may spend, in rows of reports
     window_ms: Positive = 200.0  # between two hand-overs to the deciding thread
@@ -348,9 +346,7 @@
             _wrong(origin, f"{path}.name", shown(row.name), "a name that no other class has")
         names.add(row.name)
         if row.cut_off_ms < row.agreed_ms:
-            _wrong(
-                origin, f"{path}.cut_off_ms", f"{row.cut_off_ms:g}", f"at least {row.agreed_ms:g}, agreed_ms"
-            )
+            _wrong(origin, f"{path}.cut_off_ms", f"{row.cut_off_ms:g}", f"at least {row.agreed_ms:g}, agreed_ms")
         if row.semantics == "keyed" and not (row.scope and row.window_ms):
             _wrong(origin, path, "a keyed class without them", "scope and window_ms")
     most, rate = fleet.channel.lines_waiting_most, fleet.channel.lines_per_s
@@ -417,8 +413,7 @@
     rules, channel, proxies = fleet.rules, fleet.channel, fleet.proxies
     return StartFacts(
         classes=[
-            ClassFacts(c.agreed_ms, c.credit, c.semantics, c.scope, c.window_ms, c.home_only)
-            for c in fleet.classes
+            ClassFacts(c.agreed_ms, c.credit, c.semantics, c.scope, c.window_ms, c.home_only) for c in fleet.classes
         ],
         zones=list(fleet.zones),
         may_probe=fleet.probes.allowed,
--- a/quillstep/facts.py
+++ b/quillstep/config/start_settings.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from quillstep.interface import ClassFacts, StartFacts
+from quillstep.planner.messages import ClassFacts, StartFacts
 
 
 def number(found: dict[str, str], key: str, absent: float = 0.0, to: Callable = float) -> float:
--- a/quillstep/pilot/baselines.py
+++ b/quillstep/controller/baselines.py
@@ -1,6 +1,6 @@
 """Baselines to compare with: every listed, ready endpoint in one table, evenly or by listed weight."""
 
-from quillstep.interface import Incoming, Orders, StartFacts
+from quillstep.planner.messages import Incoming, Orders, StartFacts
 
 TABLE = 0
 
--- a/quillstep/pilot/rounds.py
+++ b/quillstep/controller/control_intervals.py
@@ -3,7 +3,7 @@
 import heapq
 from typing import Any
 
-from quillstep.interface import Incoming, Orders
+from quillstep.planner.messages import Incoming, Orders
 
 
 class Rounds:
--- a/quillstep/pilot/core.py
+++ b/quillstep/controller/core.py
@@ -9,23 +9,23 @@
 
 import structlog
 
-from quillstep.interface import Incoming
-from quillstep.pilot.baselines import EvenPlanner, ListedPlanner
-from quillstep.pilot.channel import Channel
-from quillstep.pilot.intake import PlainIntake
-from quillstep.pilot.rounds import Rounds
-from quillstep.reports.gather import Asked, Gatherer
-from quillstep.reports.guard import Account, Told
-from quillstep.reports.intake import INTAKE_PART, Intake
-from quillstep.rules import Planner
-from quillstep.settings import PilotRecord, start_facts
-from quillstep.tables import Push, Tables
-from quillstep.tables.book import Book, Version, version_of
-from quillstep.tables.content import terms_of
-from quillstep.tables.gate import Gate
-from quillstep.tables.pace import STALL_PART
-from quillstep.tables.recover import trust_ms
-from quillstep.tables.ways import Ways, allowed_way
+from quillstep.config.records import PilotRecord, start_facts
+from quillstep.controller.baselines import EvenPlanner, ListedPlanner
+from quillstep.controller.control_intervals import Rounds
+from quillstep.controller.plain_stats import PlainIntake
+from quillstep.controller.update_channel import Channel
+from quillstep.load_reports.aggregator import Asked, Gatherer
+from quillstep.load_reports.collector import INTAKE_PART, Intake
+from quillstep.load_reports.validation import Account, Told
+from quillstep.planner.messages import Incoming
+from quillstep.planner.planner import Planner
+from quillstep.routing import Push, Tables
+from quillstep.routing.ack_latency import STALL_PART
+from quillstep.routing.recovery import trust_ms
+from quillstep.routing.resources import terms_of
+from quillstep.routing.retry_policies import Ways, allowed_way
+from quillstep.routing.rollout_gate import Gate
+from quillstep.routing.versions import Book, Version, version_of
 
 PLANNERS: dict[str, Any] = {"learnt": Planner, "even": EvenPlanner, "listed": ListedPlanner}
 ORDERS_KEPT = 4096  # whose times are remembered
@@ -73,9 +73,7 @@
         self.plain = PlainIntake(INTAKE_PART * proxies.report_every_ms)
         self.intake = Intake(record)
         self.by_inbox = record.reports.by == "inbox"
-        self.gatherer = Gatherer(
-            record.reports, record.fleet
-        )  # of reports that come with the news, as files do
+        self.gatherer = Gatherer(record.reports, record.fleet)  # of reports that come with the news, as files do
         self.asked: list[Asked] = []  # what proxies are to be asked for
         self.moves: list[tuple] = []  # what other gatherers are to be told: joins, leaves, addresses
         self.places = {row.name: place for place, row in enumerate(record.fleet.classes)}
@@ -112,9 +110,7 @@
             self.placed.append((endpoint, host, port))
         if addresses:
             self.gatherer.listed(self.endpoints)
-            self.moves.append(
-                ("listed", [[host, port, number] for number, (host, port) in addresses.items()])
-            )
+            self.moves.append(("listed", [[host, port, number] for number, (host, port) in addresses.items()]))
         for entry in entries:
             self.states[entry[0]], self.started[entry[0]] = entry[2], entry[4]
         self.listed = self.listed or kind != "error"
@@ -300,9 +296,7 @@
             self.log.warning("load report doubted", proxy=name, reason=text)
         for proxy in sorted(self.intake.bounded):
             name = self.gatherer.names.get(proxy, "")
-            self.log.warning(
-                "load report doubted", proxy=name, reason="tells of more than its part of all traffic"
-            )
+            self.log.warning("load report doubted", proxy=name, reason="tells of more than its part of all traffic")
         self.intake.bounded.clear()
 
     def due_ms(self) -> float:
@@ -336,9 +330,7 @@
         self.ordered.pop(self.tables.number - ORDERS_KEPT, None)
         if self.orders is not None:
             self.orders = []
-        self.next_round.call(
-            incoming, Writer(self) if self.orders is None else KeepingWriter(self, self.orders)
-        )
+        self.next_round.call(incoming, Writer(self) if self.orders is None else KeepingWriter(self, self.orders))
         self.book.flush()
         self.channel.put(self.tables.commit(), now_ms)
         self.tell_held(now_ms)
--- a/quillstep/pilot/decide.py
+++ b/quillstep/controller/decision_loop.py
@@ -9,9 +9,9 @@
 
 import structlog
 
+from quillstep.config.records import PilotRecord
+from quillstep.controller.core import Core
 from quillstep.files.front import FileFront
-from quillstep.pilot.core import Core
-from quillstep.settings import PilotRecord
 from quillstep.xds.front import XdsFront
 
 WAITS_SHOWN = 8  # proxies that one line of the log names
--- a/quillstep/pilot/roster.py
+++ b/quillstep/controller/discovery_client.py
@@ -29,9 +29,7 @@
     started = fields["started_ms"].number_value if "started_ms" in fields else 0.0
     draining = line.health_status == health_check_pb2.DRAINING
     state = STATES.get(line.health_status, "terminating" if draining else "terminated")
-    weight = (
-        float(line.load_balancing_weight.value) / 100.0 if line.HasField("load_balancing_weight") else 1.0
-    )
+    weight = float(line.load_balancing_weight.value) / 100.0 if line.HasField("load_balancing_weight") else 1.0
     address = line.endpoint.address.socket_address
     entry = (
         int(fields["id"].number_value),
@@ -46,9 +44,7 @@
 class RosterClient:
     """Keeps a stream to the roster; `put` is given ("roster", kind, entries, addresses)."""
 
-    def __init__(
-        self, address: str, name: str, zone: str, offset_ms: float, put: Callable[[tuple], None]
-    ) -> None:
+    def __init__(self, address: str, name: str, zone: str, offset_ms: float, put: Callable[[tuple], None]) -> None:
         self.address, self.name, self.zone, self.offset_ms, self.put = address, name, zone, offset_ms, put
         self.known: dict[str, tuple] = {}  # resource name to its newest entry
         self.versions: dict[str, str] = {}
--- a/quillstep/pilot/tell.py
+++ b/quillstep/controller/event_codec.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from quillstep.capture.format import Record
 from quillstep.files.front import Hello, Parked
-from quillstep.tables import Content
+from quillstep.recording.format import Record
+from quillstep.routing import Content
 
 
 class Teller:
--- a/quillstep/pilot/lanes.py
+++ b/quillstep/controller/event_queue.py
@@ -29,9 +29,7 @@
     def put_sums(self, entry: Entry) -> None:
         self.enter(self.sums, entry)
 
-    def bring(
-        self, entry: Entry, key: Hashable = None, add: Callable[[Entry, Entry], Entry] | None = None
-    ) -> None:
+    def bring(self, entry: Entry, key: Hashable = None, add: Callable[[Entry, Entry], Entry] | None = None) -> None:
         """Never waits: without `add` the entry is kept in any case, with it what comes to a full lane adds up."""
         with self.lock:
             if add is None or len(self.news) < self.most[id(self.news)]:
--- a/quillstep/pilot/probes.py
+++ b/quillstep/controller/health_checker.py
@@ -69,9 +69,7 @@
 class Prober:
     """Asks endpoints; `put` is given ("probe", endpoint, answered, took_ms, load).  What finds no room is dropped."""
 
-    def __init__(
-        self, threads: int, timeout_ms: float, put: Callable[[tuple], None], path: str = "/health"
-    ) -> None:
+    def __init__(self, threads: int, timeout_ms: float, put: Callable[[tuple], None], path: str = "/health") -> None:
         self.timeout_ms, self.put, self.path = timeout_ms, put, path
         self.wanted: queue.Queue[tuple[Any, str, int]] = queue.Queue(1024)
         self.asked: set[Any] = set()
--- a/quillstep/pilot/intake.py
+++ b/quillstep/controller/plain_stats.py
@@ -25,9 +25,7 @@
         self.sums: dict[tuple[str, int], Sum] = {}
         self.arrivals: list[tuple] = []
 
-    def tried(
-        self, zone: str, endpoint: int, tries: int, failed: int, good_ms: float, load: dict[str, float]
-    ) -> None:
+    def tried(self, zone: str, endpoint: int, tries: int, failed: int, good_ms: float, load: dict[str, float]) -> None:
         row = self.sums.get((zone, endpoint))
         if row is None:
             row = self.sums[zone, endpoint] = Sum()
--- a/quillstep/pilot/service.py
+++ b/quillstep/controller/service.py
@@ -10,17 +10,17 @@
 import structlog
 from hdrh.histogram import HdrHistogram
 
-from quillstep.capture.writer import Capture
-from quillstep.pilot.decide import Decider
-from quillstep.pilot.lanes import Lanes
-from quillstep.pilot.probes import Prober
-from quillstep.pilot.roster import RosterClient
-from quillstep.pilot.tell import Teller
-from quillstep.reports.processes import Processes
-from quillstep.reports.reader import ThreadReader
-from quillstep.settings import PilotRecord
+from quillstep.config.records import PilotRecord
+from quillstep.controller.decision_loop import Decider
+from quillstep.controller.discovery_client import RosterClient
+from quillstep.controller.event_codec import Teller
+from quillstep.controller.event_queue import Lanes
+from quillstep.controller.health_checker import Prober
+from quillstep.load_reports.reader_pool import Processes
+from quillstep.load_reports.reader_thread import ThreadReader
+from quillstep.recording.writer import Capture
 from quillstep.store import Store
-from quillstep.store.keeper import Keeper
+from quillstep.store.writer import Keeper
 from quillstep.xds.peer import STACK_BYTES
 from quillstep.xds.server import Server
 
@@ -84,7 +84,7 @@
             )
         self.spans: Any = None
         if record.spans.file:
-            from quillstep.lineage.spans import Spans  # only who wants spans needs the library for them
+            from quillstep.tracing.spans import Spans  # only who wants spans needs the library for them
 
             self.spans = Spans(record.spans.file, record.spans.part, record.spans.most_per_s, record.name)
         self.reader: ThreadReader | None = None
@@ -98,9 +98,7 @@
         self.decider.streams.server = self.server
         self.prober = Prober(record.fleet.probes.at_once, record.fleet.probes.timeout_ms, self.put)
         self.stopping = False
-        self.late = HdrHistogram(
-            1, LATE_MOST, 2
-        )  # of rounds behind the time they were due, tenths of a millisecond
+        self.late = HdrHistogram(1, LATE_MOST, 2)  # of rounds behind the time they were due, tenths of a millisecond
         self.said_ms = 0.0
         self.cpu_s: dict[str, dict[str, float]] = {}  # of readers, by part
         self.log = structlog.get_logger("pilot")
@@ -164,9 +162,7 @@
             threading.Thread(target=self.reader.run, daemon=True).start()
         if self.decider.files:
             self.decider.files.start()
-        self.roster = RosterClient(
-            self.record.roster, self.record.name, self.record.zone, offset_ms, self.put
-        )
+        self.roster = RosterClient(self.record.roster, self.record.name, self.record.zone, offset_ms, self.put)
         self.log.info("pilot ready", pilot=self.record.name, address=self.server.address)
         while not self.stopping:
             self.turn()
--- a/quillstep/pilot/channel.py
+++ b/quillstep/controller/update_channel.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from quillstep.tables import Push
+from quillstep.routing import Push
 
 
 class Channel:
--- a/quillstep/files/disk.py
+++ b/quillstep/files/disk.py
@@ -27,7 +27,7 @@
 
 import msgspec
 
-from quillstep.files.pack import MANIFEST, Manifest, Packed
+from quillstep.files.generation_files import MANIFEST, Manifest, Packed
 
 NAME = re.compile(r"[A-Za-z0-9_%~][A-Za-z0-9._%~-]{0,199}")
 LIBC = ctypes.CDLL(None, use_errno=True)
@@ -77,16 +77,12 @@
 class Disk:
     """One root and its lock; raises Refused where another pilot holds it."""
 
-    def __init__(
-        self, root: str, fsync: bool = True, step: Callable[[str], None] = lambda name: None
-    ) -> None:
+    def __init__(self, root: str, fsync: bool = True, step: Callable[[str], None] = lambda name: None) -> None:
         self.root, self.step = root, step
         self.fsync = fsync
         os.makedirs(root, 0o755, exist_ok=True)
         self.fd = open_directory(root)
-        self.lock = os.open(
-            ".lock", os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC, 0o644, dir_fd=self.fd
-        )
+        self.lock = os.open(".lock", os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC, 0o644, dir_fd=self.fd)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -277,9 +273,7 @@
             generations = open_directory("generations", at)
             try:
                 for name in os.listdir(generations):
-                    if name.startswith("new-") or (
-                        name.isdigit() and int(name) not in keep | {number, before}
-                    ):
+                    if name.startswith("new-") or (name.isdigit() and int(name) not in keep | {number, before}):
                         remove(name, generations)
             finally:
                 os.close(generations)
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -15,14 +15,14 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
+from quillstep.config.records import PilotRecord
 from quillstep.files.disk import Disk, Refused, read_ack, safe_name
+from quillstep.files.generation_files import Packed, Packer, contents_of, manifest
 from quillstep.files.lane import Generation, Lane
-from quillstep.files.pack import Packed, Packer, contents_of, manifest
-from quillstep.settings import PilotRecord
-from quillstep.tables import Content, Key, Tables
+from quillstep.routing import Content, Key, Tables
 from quillstep.xds import resources
 from quillstep.xds.front import warn_overdue, warn_refused
-from quillstep.xds.loads import Hooks, read_report
+from quillstep.xds.load_stats import Hooks, read_report
 
 ALIVE_PART = 0.1  # of the time after which silence counts, between two signs of life of ours
 BATCH_MOST = 512  # generations between two syncs
@@ -213,9 +213,7 @@
                     self.say_written(job, str(found))
                 continue
             for job in ready:
-                if self.tried(
-                    job, lambda job: self.disk.point(job.directory, job.generation.number, job.keep)
-                ):
+                if self.tried(job, lambda job: self.disk.point(job.directory, job.generation.number, job.keep)):
                     self.say_written(job, "")
             self.swaps += len(ready)
             if self.swaps >= CLEAR_EVERY:
--- a/quillstep/files/pack.py
+++ b/quillstep/files/generation_files.py
@@ -12,8 +12,8 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import json_format
 
-from quillstep.tables import Content, Key
-from quillstep.tables.content import ENTRY, LINE, OUT, POOL, ROUTES, SHARE
+from quillstep.routing import Content, Key
+from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE
 from quillstep.xds import resources
 
 MANIFEST = "manifest.json"
@@ -67,9 +67,7 @@
         made = self.made.get(at)
         if made is None:
             version = xxhash.xxh3_64_hexdigest(repr(at).encode())
-            response = discovery_pb2.DiscoveryResponse(
-                version_info=version, type_url=resources.type_url(rows[0][0])
-            )
+            response = discovery_pb2.DiscoveryResponse(version_info=version, type_url=resources.type_url(rows[0][0]))
             for key, content in rows:
                 wrapped = discovery_pb2.Resource(name=resources.name(key), version=content.version)
                 if content.what[:1] == (RAW,):
--- a/quillstep/files/lane.py
+++ b/quillstep/files/lane.py
@@ -6,9 +6,9 @@
 
 from typing import NamedTuple
 
-from quillstep.files.pack import RAW
-from quillstep.tables import Change, Content, Key, Ledger, Refusal, Tables
-from quillstep.tables.content import POOL, ROUTES
+from quillstep.files.generation_files import RAW
+from quillstep.routing import Change, Content, Key, Ledger, Refusal, Tables
+from quillstep.routing.resources import POOL, ROUTES
 
 
 class Generation(NamedTuple):
@@ -38,9 +38,7 @@
         self.accepted_number = last
         self.accepted = accepted
         self.newest = dict(accepted)
-        self.sets: dict[int, dict[Key, Content]] = {
-            last: dict(accepted)
-        }  # of generations that may be accepted
+        self.sets: dict[int, dict[Key, Content]] = {last: dict(accepted)}  # of generations that may be accepted
         self.refused_number = 0
         self.writing = False
         self.retry_ms = 0.0
--- a/quillstep/rulecheck/rules.py
+++ b/quillstep/invariants/checks.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from quillstep.rulecheck.evidence import Evidence
+from quillstep.invariants.evidence import Evidence
 
 BARE, TWICE, DRAIN, COLD, QUEUE = "bare", "twice", "drain", "cold", "queue"
 SLACK = 1.1  # for chance, in a cold endpoint's budget
--- a/quillstep/rulecheck/evidence.py
+++ b/quillstep/invariants/evidence.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from quillstep.settings import FleetRecord
+from quillstep.config.records import FleetRecord
 
 
 @dataclass(slots=True)
--- a/quillstep/reports/gather.py
+++ b/quillstep/load_reports/aggregator.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from quillstep.reports.ageing import HALVES, horizon_ms, weight
-from quillstep.reports.guard import Account, Told, counted, sound
-from quillstep.reports.sums import Folded, Report, Window, fold
-from quillstep.settings import FleetRecord, ReportsRecord
+from quillstep.config.records import FleetRecord, ReportsRecord
+from quillstep.load_reports.aging import HALVES, horizon_ms, weight
+from quillstep.load_reports.upstream_stats import Folded, Report, Window, fold
+from quillstep.load_reports.validation import Account, Told, counted, sound
 
 MESSAGE_WORK = 40.0  # rows that reading one message costs as much as; measured, see docs/reports.md
 ROW_BYTES = 60.0  # about the least that a row takes
@@ -133,9 +133,7 @@
         self.done += cost
         return work_of(size)
 
-    def take(
-        self, name: str, told: Told, arrived_ms: float, now_ms: float, work: float = MESSAGE_WORK
-    ) -> None:
+    def take(self, name: str, told: Told, arrived_ms: float, now_ms: float, work: float = MESSAGE_WORK) -> None:
         """One report that was read, at the cost of so much work."""
         account = self.accounts.get(name)
         if account is None:
@@ -204,9 +202,7 @@
         }  # fmt: skip
         self.window, self.since_ms, self.done, self.void = Window(), None, 0.0, {}
         if len(self.newest) > 4 * (len(self.endpoints) + 1) * 16:
-            self.newest = {
-                key: at for key, at in self.newest.items() if now_ms - at < HALVES * 60 * self.usual_ms
-            }
+            self.newest = {key: at for key, at in self.newest.items() if now_ms - at < HALVES * 60 * self.usual_ms}
         return found
 
 
--- a/quillstep/reports/intake.py
+++ b/quillstep/load_reports/collector.py
@@ -11,10 +11,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from quillstep.reports.gather import Asked
-from quillstep.reports.sampling import Sampler
-from quillstep.reports.sums import ENOUGH, ONE_MOST
-from quillstep.settings import PilotRecord
+from quillstep.config.records import PilotRecord
+from quillstep.load_reports.aggregator import Asked
+from quillstep.load_reports.sampling import Sampler
+from quillstep.load_reports.upstream_stats import ENOUGH, ONE_MOST
 
 INTAKE_PART = 0.5  # of the report period between two hand-overs to the module
 LATENCY_DIGITS = 2
@@ -36,9 +36,7 @@
         self.sums: dict[tuple[str, int], list[list[Any]]] = {}
         self.arrivals: dict[tuple[int, int], list[list[float]]] = {}  # by class place and proxy
         self.newest: dict[tuple[str, int], float] = {}
-        self.told: dict[
-            tuple[int, int], float
-        ] = {}  # until when arrivals were told, by class place and proxy
+        self.told: dict[tuple[int, int], float] = {}  # until when arrivals were told, by class place and proxy
         self.carried: dict[tuple[str, int], float] = {}  # tries that wait for fresh news of their endpoint
         self.rates: dict[int, float] = {}  # exchanges a second by proxy, for the bound on one's word
         work = facts.work_per_s * max(1, len(facts.listen))
@@ -78,9 +76,7 @@
         for proxy, _, _, covers_ms, rows, arrived, failing in found["heard"]:
             self.heard(proxy, covers_ms, rows, arrived, failing, now_ms)
         for zone, place, mean_ms, count in found["took"]:
-            self.histogram(zone, place).record_value(
-                max(1, min(round(self.longest_ms), round(mean_ms))), count
-            )
+            self.histogram(zone, place).record_value(max(1, min(round(self.longest_ms), round(mean_ms))), count)
         for reason, count in found["void"].items():
             self.count(reason, count)
         if found["overtaken"]:
@@ -94,9 +90,7 @@
         key = (zone, endpoint)
         newest = self.newest.get(key, float("-inf"))
         if self.ageing and until_ms < newest - self.usual_ms - self.period_ms:
-            self.count(
-                "overtaken sums"
-            )  # another gatherer had fresher news of it; the tries were made all the same
+            self.count("overtaken sums")  # another gatherer had fresher news of it; the tries were made all the same
             self.carried[key] = self.carried.get(key, 0.0) + row[2] + row[3]
             return
         self.newest[key] = max(newest, until_ms)
--- a/quillstep/reports/link.py
+++ b/quillstep/load_reports/framing.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from quillstep.net import lengths
+from quillstep.net import framing
 
 FRAME_MOST = 64 * 2**20
 _encode = msgspec.msgpack.Encoder().encode
@@ -12,7 +12,7 @@
 
 
 def framed(message: list[Any]) -> bytes:
-    return lengths.framed(_encode(message))
+    return framing.framed(_encode(message))
 
 
 def check(size: int, first: bytes) -> None:
@@ -28,4 +28,4 @@
 
     def feed(self, data: bytes) -> list[list[Any]]:
         self.held += data
-        return [_decode(body) for body in lengths.bodies(self.held, check)]
+        return [_decode(body) for body in framing.bodies(self.held, check)]
--- a/quillstep/reports/processes.py
+++ b/quillstep/load_reports/reader_pool.py
@@ -15,10 +15,10 @@
 
 import structlog
 
-from quillstep.reports.gather import Asked
-from quillstep.reports.link import Frames, framed
-from quillstep.reports.places import Places, Telling
-from quillstep.settings import PilotRecord
+from quillstep.config.records import PilotRecord
+from quillstep.load_reports.aggregator import Asked
+from quillstep.load_reports.framing import Frames, framed
+from quillstep.load_reports.ownership import Places, Telling
 
 CHUNK = 256 * 1024
 READY_S = 30.0
@@ -55,7 +55,9 @@
 
     def one(self, at: int, ready: threading.Event) -> None:
         child = subprocess.Popen(
-            [sys.executable, "-m", "quillstep.reports.process"], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+            [sys.executable, "-m", "quillstep.load_reports.reader_process"],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
         )
         assert child.stdin and child.stdout
         record = self.record
--- a/quillstep/reports/process.py
+++ b/quillstep/load_reports/reader_process.py
@@ -1,4 +1,4 @@
-"""A process that only reads load reports.  `python -m quillstep.reports.process`.
+"""A process that only reads load reports.  `python -m quillstep.load_reports.reader_process`.
 
 One thread polls all its streams, and none is read while what it brought before waits to be read: that is how
 back-pressure reaches a proxy.  The pilot's word comes on standard input, windows of sums leave on standard output; it
@@ -13,14 +13,14 @@
 import msgspec
 import structlog
 
-from quillstep import logs
+from quillstep.config.records import FleetRecord, LimitsRecord, ReportsRecord
+from quillstep.load_reports.aggregator import Asked, Gatherer
+from quillstep.load_reports.framing import Frames, framed
+from quillstep.load_reports.reader_session import Desk
+from quillstep.load_reports.reader_thread import say
+from quillstep.load_reports.validation import Account
+from quillstep.logging import configure_logging
 from quillstep.net.poller import Poller, Served, now_ms
-from quillstep.reports.desk import Desk
-from quillstep.reports.gather import Asked, Gatherer
-from quillstep.reports.guard import Account
-from quillstep.reports.link import Frames, framed
-from quillstep.reports.reader import say
-from quillstep.settings import FleetRecord, LimitsRecord, ReportsRecord
 from quillstep.xds.grpc import UNIMPLEMENTED
 from quillstep.xds.http2 import GrpcConnection
 from quillstep.xds.server import LOAD
@@ -154,7 +154,7 @@
             return
         opening = frames.feed(data)
     listen, facts, fleet, limits = opening[0]
-    logs.set_up("auto", "info")
+    configure_logging("auto", "info")
     process = ReadingProcess(
         listen,
         ReportsRecord.model_validate(facts),
--- a/quillstep/reports/desk.py
+++ b/quillstep/load_reports/reader_session.py
@@ -11,10 +11,10 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.reports.gather import Asked, Gatherer
-from quillstep.reports.guard import Account
+from quillstep.load_reports.aggregator import Asked, Gatherer
+from quillstep.load_reports.validation import Account
 from quillstep.xds.grpc import INVALID_ARGUMENT, PERMISSION_DENIED, UNAVAILABLE
-from quillstep.xds.loads import life_of, load_request, read_report
+from quillstep.xds.load_stats import life_of, load_request, read_report
 
 WAITS = 0.1  # periods between two looks whether a proxy has joined, whose reports came first
 SILENT_PERIODS = 3.0  # after which a stream without a life may lose its name to another
@@ -38,9 +38,7 @@
     sends: list[tuple[Any, bytes]] = field(default_factory=list)
     ends: list[tuple[Any, int, str]] = field(default_factory=list)
     taken: list[tuple[Any, int]] = field(default_factory=list)  # key and size of a message that was read
-    hellos: list[tuple[str, str]] = field(
-        default_factory=list
-    )  # names that have a stream here, and their lives
+    hellos: list[tuple[str, str]] = field(default_factory=list)  # names that have a stream here, and their lives
 
 
 class Desk:
@@ -133,11 +131,7 @@
 
     def not_before(self, line: Line, arrived_ms: float, size: int, now_ms: float) -> float:
         """0 where a message may be read now, else when to look again."""
-        if (
-            line.name
-            and line.name not in self.gatherer.accounts
-            and now_ms - arrived_ms < self.gatherer.usual_ms
-        ):
+        if line.name and line.name not in self.gatherer.accounts and now_ms - arrived_ms < self.gatherer.usual_ms:
             return now_ms + WAITS * self.gatherer.usual_ms  # its other stream may be about to stand
         return self.gatherer.may_read(line.name, size, now_ms)
 
--- a/quillstep/reports/reader.py
+++ b/quillstep/load_reports/reader_thread.py
@@ -7,11 +7,11 @@
 
 import structlog
 
+from quillstep.config.records import FleetRecord, ReportsRecord
+from quillstep.load_reports.aggregator import Asked, Gatherer
+from quillstep.load_reports.reader_session import Desk
+from quillstep.load_reports.validation import Account
 from quillstep.net.poller import now_ms
-from quillstep.reports.desk import Desk
-from quillstep.reports.gather import Asked, Gatherer
-from quillstep.reports.guard import Account
-from quillstep.settings import FleetRecord, ReportsRecord
 from quillstep.xds.server import Peer
 
 IDLE_S = 0.5
--- a/quillstep/reports/sampling.py
+++ b/quillstep/load_reports/sampling.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass, field
 
-from quillstep.reports.gather import MESSAGE_WORK, Asked
+from quillstep.load_reports.aggregator import MESSAGE_WORK, Asked
 
 # Groups, and times the usual period: from the least sparing to the most.
 STAGES = [(1, 1), (2, 1), (4, 1), (4, 2), (8, 2), (8, 4), (8, 8)]
@@ -66,9 +66,7 @@
     def left(self, proxy: int) -> None:
         self.known.pop(proxy, None)
 
-    def heard(
-        self, proxy: int, covers_ms: float, rows: int, arrived: int, failing: float, now_ms: float
-    ) -> None:
+    def heard(self, proxy: int, covers_ms: float, rows: int, arrived: int, failing: float, now_ms: float) -> None:
         known = self.known.get(proxy)
         if known is None or covers_ms <= 0.0:
             return
@@ -154,9 +152,7 @@
             stage.order, stage.turn = [], 0
         if stage.turn >= stage.groups:
             stage.order, stage.turn = stage.order[stage.groups :], stage.turn - stage.groups
-        while (
-            len(stage.order) < 2 * stage.groups
-        ):  # the next cycle is drawn early: its first group is told early
+        while len(stage.order) < 2 * stage.groups:  # the next cycle is drawn early: its first group is told early
             cycle = list(range(stage.groups))
             self.draw.shuffle(cycle)
             stage.order += cycle
--- a/quillstep/reports/sums.py
+++ b/quillstep/load_reports/upstream_stats.py
@@ -150,9 +150,7 @@
     if len(tries) < ENOUGH:
         return {}
     left = clip(list(tries.values()), ONE_MOST)
-    return {
-        proxy: kept / told for (proxy, told), kept in zip(tries.items(), left, strict=True) if kept < told
-    }
+    return {proxy: kept / told for (proxy, told), kept in zip(tries.items(), left, strict=True) if kept < told}
 
 
 def tell_heard(found: Folded, report: Report, counts: float) -> None:
--- a/quillstep/reports/guard.py
+++ b/quillstep/load_reports/validation.py
@@ -6,8 +6,8 @@
 
 from dataclasses import dataclass, field
 
-from quillstep.reports.ageing import Delay, Numbers, horizon_ms
-from quillstep.reports.sums import Report, Row
+from quillstep.load_reports.aging import Delay, Numbers, horizon_ms
+from quillstep.load_reports.upstream_stats import Report, Row
 
 COUNT_MOST = 100_000.0  # exchanges or tries a second that one proxy may tell of at all
 TOOK_MOST = 10.0  # cut-offs that one try may have taken
@@ -117,9 +117,7 @@
     if told.numbered and tries > TRIES_MOST * account.came + SPARE_TRIES:
         struck, kept = len(told.rows), []
     told.rows = kept
-    told.took = [
-        row for row in told.took if 0 <= row[1] <= most and 0.0 <= row[2] <= row[1] * TOOK_MOST * cut_off_ms
-    ]
+    told.took = [row for row in told.took if 0 <= row[1] <= most and 0.0 <= row[2] <= row[1] * TOOK_MOST * cut_off_ms]
     return "", struck
 
 
@@ -137,9 +135,7 @@
     late_ms = 0.0
     if told.sent_ms is not None and told.until_ms is not None:
         late_ms = (
-            told.sent_ms
-            - told.until_ms
-            + account.delay.over(told.sent_ms, arrived_ms, DELAY_SPAN * account.usual_ms)
+            told.sent_ms - told.until_ms + account.delay.over(told.sent_ms, arrived_ms, DELAY_SPAN * account.usual_ms)
         )
     until_ms = arrived_ms - late_ms
     most = horizon_ms(max(account.period_ms, account.usual_ms), account.usual_ms)
--- a/quillstep/logs.py
+++ b/quillstep/logging.py
@@ -7,7 +7,7 @@
 from structlog.typing import Processor
 
 
-def set_up(form: str, level: str) -> None:
+def configure_logging(form: str, level: str) -> None:
     """`form` is auto, human or json; `level` a name such as info."""
     human = form == "human" or (form == "auto" and sys.stderr.isatty())
     shape: Processor = structlog.dev.ConsoleRenderer() if human else structlog.processors.JSONRenderer()
--- a/quillstep/proof/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -14,10 +14,10 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.settings import ClassRecord, LimitsRecord
-from quillstep.tables import Tables
-from quillstep.tables.content import OUT
-from quillstep.tables.ways import Ways
+from quillstep.config.records import ClassRecord, LimitsRecord
+from quillstep.routing import Tables
+from quillstep.routing.resources import OUT
+from quillstep.routing.retry_policies import Ways
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RDS, WITHDRAWN, Encoder
--- a/quillstep/proof/fuzz.py
+++ b/quillstep/model_checking/fuzz.py
@@ -1,7 +1,7 @@
 """What reads bytes from peers, as targets for a fuzzer: each takes any bytes and may raise only what it says.
 
     pip install -r requirements-fuzz.txt
-    python -m quillstep.proof.fuzz TARGET [options of libFuzzer, e.g. -max_total_time=60]
+    python -m quillstep.model_checking.fuzz TARGET [options of libFuzzer, e.g. -max_total_time=60]
 
 The tests drive the same targets with `hypothesis`; `atheris` follows the code's branches and stays out of CI.
 """
@@ -16,12 +16,12 @@
 from google.protobuf.message import DecodeError
 
 from quillstep.files.disk import read_ack
-from quillstep.proof.explore import CLASSES, LIMITS, Pilot, ordered_ms
-from quillstep.tables import Tables
+from quillstep.model_checking.explore import CLASSES, LIMITS, Pilot, ordered_ms
+from quillstep.routing import Tables
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.grpc import FramingError, Unframer
 from quillstep.xds.http2 import ConnectionBroken, GrpcConnection
-from quillstep.xds.loads import read_report
+from quillstep.xds.load_stats import read_report
 from quillstep.xds.resources import Encoder, key_of, name, type_url
 from quillstep.xds.sotw import SotwStream
 from quillstep.xds.stream import StreamFault
@@ -128,7 +128,7 @@
     for module in [each for each in sys.modules if each.partition(".")[0] in FOLLOWED]:
         del sys.modules[module]  # they come again, with their branches counted
     with atheris.instrument_imports(include=list(FOLLOWED)):
-        target = importlib.import_module("quillstep.proof.fuzz").TARGETS[name]
+        target = importlib.import_module("quillstep.model_checking.fuzz").TARGETS[name]
     atheris.Setup([sys.argv[0], *sys.argv[2:]], target)
     atheris.Fuzz()
 
--- a/quillstep/proof/twins.py
+++ b/quillstep/model_checking/mutants.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from quillstep.tables import Change, Key, Ledger, Refusal, Tables
-from quillstep.tables.ledger import Flight
+from quillstep.routing import Change, Key, Ledger, Refusal, Tables
+from quillstep.routing.proxy_state import Flight
 
 
 class HeldAtSending(Tables):
--- a/quillstep/proof/chosen.py
+++ b/quillstep/model_checking/rollback_model.py
@@ -9,7 +9,7 @@
 
 import z3
 
-from quillstep.proof.bounded import Model, Row, Step, value
+from quillstep.model_checking.bounded_model import Model, Row, Step, value
 
 VERSIONS = (1, 2, 3)
 FIRST = {
@@ -44,9 +44,7 @@
         commits["pin"] = s["pin"]
     alive = s["up"] == 1
     leaves = z3.BoolVal(True) if twin == "leaves before it is durable" else durable(s, s["mem"])
-    keeps = [
-        Step(f"store {v}", And(alive, s["mem"] == v, s[f"s{v}"] == 0), {f"s{v}": value(1)}) for v in VERSIONS
-    ]
+    keeps = [Step(f"store {v}", And(alive, s["mem"] == v, s[f"s{v}"] == 0), {f"s{v}": value(1)}) for v in VERSIONS]
     return [
         Step("grant", And(alive, s["w1"] != 0, s["granted"] == 0), grants),
         Step("commit", And(alive, s["granted"] == 1), commits),
--- a/quillstep/proof/stream.py
+++ b/quillstep/model_checking/stream_model.py
@@ -14,7 +14,7 @@
 
 import z3
 
-from quillstep.proof.bounded import Model, Row, Step, value
+from quillstep.model_checking.bounded_model import Model, Row, Step, value
 
 LOOSE = 1  # the version whose way of trying again is the looser one
 VERSIONS = (1, 2, 3)
--- a/quillstep/interface.py
+++ b/quillstep/planner/messages.py
@@ -1,7 +1,7 @@
 """What a caller hands to the decision module, and what the module calls back.
 
 Times are milliseconds with fractions and ids are as the caller got them.  The caller makes one `Planner`
-(see `quillstep.rules`) at each start and calls its `round` once for all that has come in since the last.
+(see `quillstep.planner.planner`) at each start and calls its `round` once for all that has come in since the last.
 """
 
 from collections.abc import Iterable
--- a/quillstep/rules.py
+++ b/quillstep/planner/planner.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from quillstep.interface import ClassFacts, Incoming, Orders, StartFacts
+from quillstep.planner.messages import ClassFacts, Incoming, Orders, StartFacts
 
 ALPHA, GAMMA = 0.15, 0.1  # the update's learning and discount rate
 TURN_MS = 1000.0  # the design's turn, and the window over which changes are gathered
--- a/quillstep/platform/__main__.py
+++ b/quillstep/platform/__main__.py
@@ -54,17 +54,17 @@
     # Before all that takes long to import: SIGHUP would end a process that has not said otherwise.
     signal.signal(signal.SIGTERM, signals.take)
     signal.signal(signal.SIGHUP, signals.take)
-    from quillstep import logs
-    from quillstep.platform import record
+    from quillstep.logging import configure_logging
+    from quillstep.platform import configuration
     from quillstep.platform.service import LivePilot
 
-    logs.set_up("json", "info")
+    configure_logging("json", "info")
     threading.excepthook = end_with_thread
     try:
-        found = record.read()
-        facts = record.pilot_facts(found, os.environ[record.FILE])
+        found = configuration.read()
+        facts = configuration.pilot_facts(found, os.environ[configuration.FILE])
         pilot = LivePilot(found, facts)
-    except record.Fault as trouble:
+    except configuration.Fault as trouble:
         print(f"quillstep: {trouble}.", file=sys.stderr)
         return 1
     except OSError as trouble:
@@ -72,7 +72,7 @@
         return 1
     signals.hand_over(pilot)
     try:
-        pilot.run(record.read)
+        pilot.run(configuration.read)
     except Exception as trouble:
         pilot.log.critical("the deciding thread ended by a fault of ours", exc_info=trouble)
         sys.stderr.flush()
--- a/quillstep/platform/record.py
+++ b/quillstep/platform/configuration.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from quillstep.facts import ms, start_facts, whole
-from quillstep.frames.check import Known
-from quillstep.interface import StartFacts
-from quillstep.platform.endpoints import address_of
+from quillstep.config.start_settings import ms, start_facts, whole
+from quillstep.planner.messages import StartFacts
+from quillstep.platform.endpoint_list import address_of
+from quillstep.platform.protocol.validation import Known
 
 Text = Annotated[str, msgspec.Meta(min_length=1)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
--- a/quillstep/platform/watch.py
+++ b/quillstep/platform/discovery_watch.py
@@ -19,7 +19,7 @@
 import structlog
 
 from quillstep.net.http import ask, dial, get, next_event
-from quillstep.platform.endpoints import News, Unreadable, address_of, read_list
+from quillstep.platform.endpoint_list import News, Unreadable, address_of, read_list
 
 EMPTY_MS = 2000.0  # between empty lines while nothing changes
 SILENT_MS = 2.1 * EMPTY_MS  # without a whole line: the watch is dead
--- a/quillstep/frames/codec.py
+++ b/quillstep/platform/protocol/codec.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from quillstep.net.lengths import bodies, framed
+from quillstep.net.framing import bodies, framed
 from quillstep.net.poller import Event
 
 MESSAGE_MOST = 2**20
--- a/quillstep/frames/front.py
+++ b/quillstep/platform/protocol/connections.py
@@ -12,10 +12,10 @@
 
 import structlog
 
-from quillstep.frames import check
-from quillstep.frames.check import Known, Spoilt
-from quillstep.frames.codec import FrameCodec, encode, framed
 from quillstep.net.poller import Event, Poller, Served, now_ms
+from quillstep.platform.protocol import validation
+from quillstep.platform.protocol.codec import FrameCodec, encode, framed
+from quillstep.platform.protocol.validation import Known, Spoilt
 
 ALIVE = framed(encode({"t": "hb_ok"}))
 STRANGER_MOST = 4096  # bytes of a message before joining
@@ -39,9 +39,7 @@
 class FrameFront:
     """The listener and all that it accepted.  `bring(news, key, add)` hands over."""
 
-    def __init__(
-        self, listen: str, limits: FrameLimits, known: Known, bring: Callable[..., None]
-    ) -> None:
+    def __init__(self, listen: str, limits: FrameLimits, known: Known, bring: Callable[..., None]) -> None:
         self.known, self.bring = known, bring
         self.poller = Poller(
             listen, limits, lambda: FrameCodec(STRANGER_MOST), self.event, self.closed, silent_ms=limits.silent_ms
@@ -60,7 +58,7 @@
         if kind == "broken":
             peer.stop(what)
             return
-        name = check.kind(what)
+        name = validation.kind(what)
         if name == "hb":
             peer.send(0, ALIVE)
             return
@@ -77,11 +75,11 @@
 
     def start(self, peer: Served, name: str, fields: dict[str, Any]) -> None:
         if name == "attach":
-            proxy, zone, usual, fresh = check.joining(fields, self.known)
+            proxy, zone, usual, fresh = validation.joining(fields, self.known)
             self.proxies[peer] = proxy
             self.bring(("join", peer, proxy, zone, usual, fresh))
         elif name == "telemetry":
-            zone = check.zone(fields, self.known)
+            zone = validation.zone(fields, self.known)
             same = [other for other, its in self.collectors.items() if its == zone]
             if len(same) >= COLLECTORS:
                 # The oldest could be the one that works, and the others come from who only says so.
@@ -97,17 +95,17 @@
         REPORTS[name](self, peer, fields)
 
     def sums(self, peer: Served, fields: dict[str, Any]) -> None:
-        zone, row = check.sums(fields, self.known)
+        zone, row = validation.sums(fields, self.known)
         self.bring(("sums", row), (zone, row[0]), add_sums)
 
     def usage(self, peer: Served, fields: dict[str, Any]) -> None:
-        row = check.usage(fields, self.known)
+        row = validation.usage(fields, self.known)
         if self.proxies.get(peer, row[1]) != row[1]:
             raise Spoilt("it is of another proxy")
         self.bring(("arrivals", row), row[:2], add_arrivals)
 
     def receipt(self, peer: Served, fields: dict[str, Any]) -> None:
-        proxy, serial = check.receipt(fields, self.known)
+        proxy, serial = validation.receipt(fields, self.known)
         if self.proxies.get(peer) != proxy:
             raise Spoilt("it is of another proxy")
         self.bring(("receipt", peer, proxy, serial))
--- a/quillstep/frames/orders.py
+++ b/quillstep/platform/protocol/updates.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
-from quillstep.frames.codec import encode, framed
+from quillstep.platform.protocol.codec import encode, framed
 
 ALL = 65535  # the table whose levels hold for all joined proxies
 PARTS_MOST = 64
@@ -140,9 +140,7 @@
             out |= {endpoint for endpoint, withdrawn in self.toggled.items() if withdrawn}
         return frozenset(out), known.out - named if bound else known.out
 
-    def message(
-        self, users: Users, bound: frozenset[int], shut: frozenset[str], back: frozenset[str]
-    ) -> bytes:
+    def message(self, users: Users, bound: frozenset[int], shut: frozenset[str], back: frozenset[str]) -> bytes:
         """What this round says to proxies that use these tables; nothing: no bytes."""
         parts = list(self.parts(users, bound))
         if shut or back:
--- a/quillstep/platform/service.py
+++ b/quillstep/platform/service.py
@@ -14,16 +14,16 @@
 
 import structlog
 
-from quillstep.frames.front import FrameFront, FrameLimits
-from quillstep.frames.orders import FrameOrders
+from quillstep.controller.control_intervals import Rounds
+from quillstep.controller.event_queue import Lanes
+from quillstep.controller.health_checker import Prober
 from quillstep.net.poller import Served, now_ms
-from quillstep.pilot.lanes import Lanes
-from quillstep.pilot.probes import Prober
-from quillstep.pilot.rounds import Rounds
-from quillstep.platform.endpoints import News, read_list
-from quillstep.platform.record import Fault, PilotFacts, PlatformRecord, pilot_facts, seed_of
-from quillstep.platform.watch import Watch
-from quillstep.rules import Planner
+from quillstep.planner.planner import Planner
+from quillstep.platform.configuration import Fault, PilotFacts, PlatformRecord, pilot_facts, seed_of
+from quillstep.platform.discovery_watch import Watch
+from quillstep.platform.endpoint_list import News, read_list
+from quillstep.platform.protocol.connections import FrameFront, FrameLimits
+from quillstep.platform.protocol.updates import FrameOrders
 
 STACK_BYTES = 256 * 1024
 BATCH = 1024  # pieces of news between two rounds
--- a/quillstep/capture/reader.py
+++ b/quillstep/recording/reader.py
@@ -9,7 +9,8 @@
 import lmdb
 import msgspec
 
-from quillstep.capture.format import (
+from quillstep.config.records import PilotRecord, check_older
+from quillstep.recording.format import (
     HEAD,
     MARK,
     BadBlock,
@@ -21,8 +22,7 @@
     encode_block,
     encode_header,
 )
-from quillstep.capture.writer import INDEX
-from quillstep.settings import PilotRecord, check_older
+from quillstep.recording.writer import INDEX
 
 
 @dataclass(slots=True)
--- a/quillstep/capture/writer.py
+++ b/quillstep/recording/writer.py
@@ -14,7 +14,7 @@
 import msgspec
 import structlog
 
-from quillstep.capture.format import Header, Record, encode_block, encode_header
+from quillstep.recording.format import Header, Record, encode_block, encode_header
 
 INDEX = "index.lmdb"
 INDEX_BYTES = 64 * 2**20
@@ -26,9 +26,7 @@
 class Capture:
     """One life's capture.  `put` and `flush` belong to the deciding thread and never block."""
 
-    def __init__(
-        self, folder: str, pilot: str, epoch: str, settings: dict[str, Any], segment_bytes: int
-    ) -> None:
+    def __init__(self, folder: str, pilot: str, epoch: str, settings: dict[str, Any], segment_bytes: int) -> None:
         self.folder, self.segment_bytes = Path(folder), segment_bytes
         offset = (time.time() - time.monotonic()) * 1000.0
         self.header = Header(pilot, epoch, 0, settings, offset)
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -11,11 +11,11 @@
 import msgspec
 import xxhash
 
-from quillstep.capture import Header, Record, record_of
+from quillstep.config.records import PilotRecord
+from quillstep.controller.decision_loop import Decider
+from quillstep.controller.event_codec import parked_of
 from quillstep.files.disk import Disk
-from quillstep.pilot.decide import Decider
-from quillstep.pilot.tell import parked_of
-from quillstep.settings import PilotRecord
+from quillstep.recording import Header, Record, record_of
 from quillstep.xds.server import REQUESTS
 
 CAUSES_MOST = 12
--- a/quillstep/replay/infer.py
+++ b/quillstep/replay/inference.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from quillstep.settings import ClassRecord
+from quillstep.config.records import ClassRecord
 
 SPAN_MS = 500.0
 QUICK = 0.1
@@ -81,9 +81,7 @@
 
 def speed(rows: list[Try]) -> float:
     """Work a millisecond, from the quickest answers."""
-    ratios = sorted(
-        (ended - sent - NET_MS) / kind.work_ms for sent, ended, result, kind in rows if result == "ok"
-    )
+    ratios = sorted((ended - sent - NET_MS) / kind.work_ms for sent, ended, result, kind in rows if result == "ok")
     if not ratios:
         return 1.0
     quick = ratios[int(QUICK * len(ratios))]
--- a/quillstep/replay/model.py
+++ b/quillstep/replay/model.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from quillstep.replay.infer import NET_MS, Inferred
-from quillstep.reports.guard import Told
-from quillstep.settings import ClassRecord, FleetRecord
-from quillstep.tables import Change
-from quillstep.tables.content import LINE, OUT, POOL, ROUTES, SHARE
+from quillstep.config.records import ClassRecord, FleetRecord
+from quillstep.load_reports.validation import Told
+from quillstep.replay.inference import NET_MS, Inferred
+from quillstep.routing import Change
+from quillstep.routing.resources import LINE, OUT, POOL, ROUTES, SHARE
 
 LOAD_SPAN_MS = 500.0
 FILL_MS = 250.0
@@ -43,9 +43,7 @@
 class Endpoint:
     """Cores that work comes to in sequence; hidden states as inferred."""
 
-    def __init__(
-        self, number: int, row: dict[str, Any], fleet: FleetRecord, inferred: Inferred, draw: Any
-    ) -> None:
+    def __init__(self, number: int, row: dict[str, Any], fleet: FleetRecord, inferred: Inferred, draw: Any) -> None:
         self.number, self.fleet, self.inferred, self.draw = number, fleet, inferred, draw
         self.address = f"{row['host']}:{row['port']}"
         self.speed = inferred.speeds.get(number, row.get("speed", 1.0))
@@ -251,9 +249,7 @@
         more = 2 if mode == 3 else 1 if mode else 0
         until = made["at"] + kind.cut_off_ms
         again = turn < more
-        limit = (
-            min(until, now + day.fleet.proxies.try_factor * kind.agreed_ms) if again and mode > 1 else until
-        )
+        limit = min(until, now + day.fleet.proxies.try_factor * kind.agreed_ms) if again and mode > 1 else until
         endpoint = day.by_address[address]
         if self.draw() < endpoint.inferred.state(endpoint.number, now).closed:
             result, ended, ran = "no connection", now + NET_MS, False
@@ -264,9 +260,7 @@
             day.clock.at(ended, endpoint.give_back, self.name, ended, result in ("ok", "error"))
         if ran:
             day.served.append((endpoint.number, now, kind, self.name, made["exchange"]))
-        day.clock.at(
-            ended, self.ended, made, place, turn, used | {address}, address, now, result, again, mode
-        )
+        day.clock.at(ended, self.ended, made, place, turn, used | {address}, address, now, result, again, mode)
 
     def ended(
         self, made: dict[str, Any], place: int, turn: int, used: set[str], address: str, sent: float,
--- a/quillstep/replay/daybook.py
+++ b/quillstep/replay/recorded_day.py
@@ -13,8 +13,8 @@
 import msgspec
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from quillstep.capture import Life, lives, read_life, record_of
-from quillstep.settings import PilotRecord
+from quillstep.config.records import PilotRecord
+from quillstep.recording import Life, lives, read_life, record_of
 from quillstep.xds.server import LOAD
 
 CLOCKS_MS = 50.0  # up to which clocks count as one
@@ -29,15 +29,11 @@
     first_ms: float
     last_ms: float
     roster: list[tuple[float, str, list[tuple], dict[int, tuple[str, int]]]] = field(default_factory=list)
-    streams: list[tuple[float, str, str, dict[str, Any]]] = field(
-        default_factory=list
-    )  # at, join or leave, proxy
+    streams: list[tuple[float, str, str, dict[str, Any]]] = field(default_factory=list)  # at, join or leave, proxy
     reports: list[tuple[float, str, float]] = field(
         default_factory=list
     )  # when a load report of which proxy came, and how old its sums were then
-    delays: dict[str, list[float]] = field(
-        default_factory=lambda: defaultdict(list)
-    )  # from send to word, by proxy
+    delays: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))  # from send to word, by proxy
 
 
 @dataclass(slots=True)
@@ -87,9 +83,7 @@
     """What replays need of a played arm, and no more: captures, the fleet, the exchanges; returns their number."""
     out.mkdir(parents=True, exist_ok=True)
     for path in sorted(folder.glob("capture-*")):
-        shutil.copytree(
-            path, out / path.name, dirs_exist_ok=True, ignore=shutil.ignore_patterns("index.lmdb")
-        )
+        shutil.copytree(path, out / path.name, dirs_exist_ok=True, ignore=shutil.ignore_patterns("index.lmdb"))
     shutil.copy(folder / "fleet.json", out / "fleet.json")
     book = read_daybook(folder)
     rows = [msgspec.json.encode(row) for row in book.exchanges]
@@ -139,9 +133,7 @@
     return found
 
 
-def take_report_time(
-    found: PilotLife, row: list[Any], taken: float, nodes: dict[tuple[int, int], str]
-) -> None:
+def take_report_time(found: PilotLife, row: list[Any], taken: float, nodes: dict[tuple[int, int], str]) -> None:
     """Remember when load reports came: a report stream's first request names its node, later ones are reports."""
     at = (row[3], row[4])
     if nodes[at]:
--- a/quillstep/replay/sweep.py
+++ b/quillstep/replay/sweep.py
@@ -4,10 +4,10 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from quillstep.replay.daybook import Daybook
-from quillstep.replay.infer import Inferred
+from quillstep.config.records import changed
+from quillstep.replay.inference import Inferred
+from quillstep.replay.recorded_day import Daybook
 from quillstep.replay.whatif import learn, play
-from quillstep.settings import changed
 
 
 def one(book: Daybook, inferred: Inferred, change: dict[str, Any], seed: int) -> tuple[float, int, str]:
@@ -21,9 +21,7 @@
         changed(book.lives[0].record, change)
     inferred, _ = learn(book)
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
-        played = [
-            [pool.submit(one, book, inferred, change, seed) for seed in range(seeds)] for change in changes
-        ]
+        played = [[pool.submit(one, book, inferred, change, seed) for seed in range(seeds)] for change in changes]
         rows = []
         for change, futures in zip(changes, played, strict=True):
             found = [future.result() for future in futures]
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -11,16 +11,16 @@
 import msgspec
 import xxhash
 
-from quillstep.day.service import earned_part, service
-from quillstep.pilot.core import Core
-from quillstep.pilot.decide import Decider
-from quillstep.replay.daybook import Daybook, PilotLife
-from quillstep.replay.infer import Inferred, held_out_error, infer, tries_of
+from quillstep.config.records import ClassRecord, PilotRecord, changed
+from quillstep.controller.core import Core
+from quillstep.controller.decision_loop import Decider
+from quillstep.invariants import Evidence, judge
+from quillstep.load_reports.validation import Told
+from quillstep.replay.inference import Inferred, held_out_error, infer, tries_of
 from quillstep.replay.model import Endpoint, Proxy, VirtualDay
-from quillstep.reports.guard import Told
-from quillstep.rulecheck import Evidence, judge
-from quillstep.settings import ClassRecord, PilotRecord, changed
-from quillstep.tables.content import ENTRY
+from quillstep.replay.recorded_day import Daybook, PilotLife
+from quillstep.routing.resources import ENTRY
+from quillstep.testbed.scenarios.service_quality import earned_part, service
 
 ACK_PART = 0.5  # of a captured delay, the way there; the rest is the word's way back
 TOLERANCE = 0.03  # of service, between the day and its own replay, up to which a comparison tells something
@@ -48,9 +48,7 @@
                 core.tables.send(number, nonce, changes, now_ms)
                 self.pilot.sent(proxy, ledger.released, len(changes), now_ms)
                 delay = self.pilot.delay(proxy.name)
-                self.day.clock.at(
-                    now_ms + ACK_PART * delay, self.arrive, number, ledger, proxy, nonce, changes
-                )
+                self.day.clock.at(now_ms + ACK_PART * delay, self.arrive, number, ledger, proxy, nonce, changes)
                 self.day.clock.at(now_ms + delay, self.word, number, ledger, nonce)
 
     def arrive(self, number: int, ledger: Any, proxy: Proxy, nonce: str, changes: list) -> None:
@@ -76,9 +74,7 @@
     def __init__(self, day: VirtualDay, life: PilotLife, record: PilotRecord, seed: int) -> None:
         self.day, self.life = day, life
         plain = {**record.model_dump(), "files": {}, "capture": {}, "record": ""}
-        self.decider = Decider(
-            PilotRecord.model_validate(plain), life.epoch, lambda *a, **k: None, lambda news: None
-        )
+        self.decider = Decider(PilotRecord.model_validate(plain), life.epoch, lambda *a, **k: None, lambda news: None)
         self.core: Core = self.decider.core
         self.decider.fronts = [ModelFront(day, self)]
         self.joined: dict[int, Proxy] = {}
@@ -128,9 +124,7 @@
         if proxy is None:
             return
         self.core.now_ms = self.day.clock.now
-        number = self.core.join(
-            name, proxy.zone, proxy.usual, proxy.versions, fields["fresh"], self.decider.fronts[0]
-        )
+        number = self.core.join(name, proxy.zone, proxy.usual, proxy.versions, fields["fresh"], self.decider.fronts[0])
         self.joined[number] = proxy
         self.core.tables.ask(number, [(ENTRY,)], False)
         self.poke()
@@ -235,9 +229,7 @@
         made.sent += pilot.taps
         for at, _, entries, _ in life.roster:
             for endpoint, zone, state, _, started in entries:
-                made.told.append(
-                    {"at": at, "pilot": name, "endpoint": endpoint, "state": state, "started": started}
-                )
+                made.told.append({"at": at, "pilot": name, "endpoint": endpoint, "state": state, "started": started})
                 if started:
                     starts[endpoint, started] = None
                 made.zones.setdefault(endpoint, zone)
@@ -340,7 +332,6 @@
     """How many exchanges are answered in time in one and not in the other."""
     classes = {row.name: row for row in fleet.classes}
     good = [
-        {row["exchange"] for row in rows if earned_part(classes[row["class"]], row)[0] == 1.0}
-        for rows in (one, two)
+        {row["exchange"] for row in rows if earned_part(classes[row["class"]], row)[0] == 1.0} for rows in (one, two)
     ]
     return {"won": len(good[1] - good[0]), "lost": len(good[0] - good[1])}
--- a/quillstep/tables/pace.py
+++ b/quillstep/routing/ack_latency.py
@@ -47,9 +47,7 @@
     """One proxy's pace.  `late_most_ms`: from when on an order is late; `stall_ms`: what one piece may cost;
     `usual_line_ms`: what a line costs the others, gone by until its own cost is known."""
 
-    def __init__(
-        self, late_most_ms: float = 0.0, stall_ms: float = 0.0, usual_line_ms: float | None = None
-    ) -> None:
+    def __init__(self, late_most_ms: float = 0.0, stall_ms: float = 0.0, usual_line_ms: float | None = None) -> None:
         self.late_most_ms, self.stall_ms, self.usual_line_ms = late_most_ms, stall_ms, usual_line_ms
         self.small: deque[float] = deque(maxlen=KEPT)
         self.large: deque[tuple[int, float]] = deque(maxlen=KEPT)
--- a/quillstep/tables/ledger.py
+++ b/quillstep/routing/proxy_state.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from quillstep.tables.content import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Content, Key, rank
-from quillstep.tables.pace import LOST, ON_ITS_WAY, Pace, Verdict
-from quillstep.tables.ration import KEPT_FREE, Ration
+from quillstep.routing.ack_latency import LOST, ON_ITS_WAY, Pace, Verdict
+from quillstep.routing.message_quota import KEPT_FREE, Ration
+from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Content, Key, rank
 
 BACK_OFF_MS = 100.0  # after a refusal, doubled with each in a row
 BACK_OFF_MOST = 64.0  # times that
--- a/quillstep/tables/ways.py
+++ b/quillstep/routing/retry_policies.py
@@ -109,9 +109,7 @@
         held = self.held[proxy]
         ends = [end for end in held.ends.get(place, ()) if end[1] > now_ms]
         held.ends[place] = ends
-        return max(
-            [held.ways.get(place, 0), *(f.get(place, 0) for f in held.flights.values()), *(w for w, _ in ends)]
-        )
+        return max([held.ways.get(place, 0), *(f.get(place, 0) for f in held.flights.values()), *(w for w, _ in ends)])
 
     def standing(self, now_ms: float) -> list[Standing]:
         """The classes that may still be tried again by a looser way than they allow."""
--- a/quillstep/tables/world.py
+++ b/quillstep/routing/tables.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from quillstep.tables.content import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Content, Key, content
-from quillstep.tables.effect import LOOK_MS, grows, spent
-from quillstep.tables.ledger import Change, Ledger, Refusal
-from quillstep.tables.pace import Pace, UsualCost
-from quillstep.tables.ration import Ration
-from quillstep.tables.ways import Ways
+from quillstep.routing.ack_latency import Pace, UsualCost
+from quillstep.routing.message_quota import Ration
+from quillstep.routing.proxy_state import Change, Ledger, Refusal
+from quillstep.routing.resources import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Content, Key, content
+from quillstep.routing.retry_policies import Ways
+from quillstep.routing.unacknowledged import LOOK_MS, grows, spent
 
 OPEN_RATE = 1e5  # a rate from which on nothing is held back: no limit is sent
 
@@ -229,9 +229,7 @@
             self.stirred.add(proxy)
             self.answering.add(proxy)
 
-    def take(
-        self, proxy: int, now_ms: float, wants: Callable[[Key], bool], together: bool = False
-    ) -> list[Change]:
+    def take(self, proxy: int, now_ms: float, wants: Callable[[Key], bool], together: bool = False) -> list[Change]:
         """What a front should send this proxy now; `wants` tells what it has asked for."""
         ledger = self.ledgers[proxy]
         self.answering.add(proxy)
@@ -305,9 +303,7 @@
         self.answering.clear()
         return done
 
-    def refuse(
-        self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False
-    ) -> Refusal | None:
+    def refuse(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Refusal | None:
         self.stirred.add(proxy)
         self.ways.refuse(proxy, nonce)
         return self.ledgers[proxy].refuse(nonce, reason, now_ms, whole)
--- a/quillstep/tables/effect.py
+++ b/quillstep/routing/unacknowledged.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Iterable, Mapping
 
-from quillstep.tables.content import LINE, OUT, Content, Key
-from quillstep.tables.ledger import Change, Ledger
+from quillstep.routing.proxy_state import Change, Ledger
+from quillstep.routing.resources import LINE, OUT, Content, Key
 
 LOOK_MS = 50.0  # between two looks at who still holds an old line
 
--- a/quillstep/tables/book.py
+++ b/quillstep/routing/versions.py
@@ -12,9 +12,9 @@
 import msgspec
 import xxhash
 
-from quillstep.tables.gate import Gate, Held, Seen
-from quillstep.tables.recover import Former
-from quillstep.tables.world import Tables
+from quillstep.routing.recovery import Former
+from quillstep.routing.rollout_gate import Gate, Held, Seen
+from quillstep.routing.tables import Tables
 
 KEPT = 512  # versions of a table that are remembered here; a store keeps more
 _encode = msgspec.msgpack.Encoder().encode
--- a/quillstep/wirehost/decode.py
+++ b/quillstep/simulator/decode.py
@@ -1,6 +1,6 @@
 """Reads lines of the wire: fields, the settings of a start, list entries and load reports."""
 
-from quillstep.facts import ms, number, start_facts, whole, yes
+from quillstep.config.start_settings import ms, number, start_facts, whole, yes
 
 REQUIRED: dict[str, tuple[str, ...]] = {
     "turn": ("atTime",),
--- a/quillstep/wirehost/host.py
+++ b/quillstep/simulator/host.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 from typing import TextIO
 
-from quillstep.interface import Incoming
-from quillstep.rules import Planner
-from quillstep.wirehost import decode
-from quillstep.wirehost.orders import WireOrders
+from quillstep.planner.messages import Incoming
+from quillstep.planner.planner import Planner
+from quillstep.simulator import decode
+from quillstep.simulator.output import WireOrders
 
 
 class Unreadable(Exception):
--- a/quillstep/store/retain.py
+++ b/quillstep/store/retention.py
@@ -12,9 +12,7 @@
     wall_ms: float
 
 
-def to_drop(
-    rows: Iterable[Stood], pinned: set[str], now_ms: float, count_most: int, age_most_ms: float
-) -> list[int]:
+def to_drop(rows: Iterable[Stood], pinned: set[str], now_ms: float, count_most: int, age_most_ms: float) -> list[int]:
     """The numbers of one table's versions to be dropped: older than the age, or beyond the count.
 
     The newest stays, and so does what is pinned.  A clock that went back makes nothing older: no age is below 0.
--- a/quillstep/store/disk.py
+++ b/quillstep/store/store.py
@@ -15,7 +15,7 @@
 import lmdb
 import msgspec
 
-from quillstep.store.format import (
+from quillstep.store.records import (
     PARTS,
     SCHEMA,
     BadValue,
@@ -27,7 +27,7 @@
     pack,
     unpack,
 )
-from quillstep.store.retain import Stood, to_drop
+from quillstep.store.retention import Stood, to_drop
 
 META = number_key(0)
 STEPS = ("begin", "put", "before commit", "after commit")
@@ -61,9 +61,7 @@
                 str(self.folder), map_size=size_most, max_dbs=len(PARTS), sync=fsync, readonly=not write,
                 create=write, max_readers=64,
             )  # fmt: skip
-            self.parts = {
-                name: self.env.open_db(name.encode(), create=write) for name in PARTS
-            }
+            self.parts = {name: self.env.open_db(name.encode(), create=write) for name in PARTS}
         except lmdb.MapFullError:
             raise StoreTrouble("full", f"{folder}: its {size_most} bytes are full") from None
         except (lmdb.ReadonlyError, PermissionError) as trouble:
--- a/quillstep/store/keeper.py
+++ b/quillstep/store/writer.py
@@ -14,10 +14,10 @@
 
 import structlog
 
-from quillstep.settings import StoreRecord
-from quillstep.store.disk import Store, StoreTrouble, nothing, set_aside
-from quillstep.store.format import Entry, HoldRow, LifeRow, PinRow, VersionRow, number_key
-from quillstep.tables.book import Version
+from quillstep.config.records import StoreRecord
+from quillstep.routing.versions import Version
+from quillstep.store.records import Entry, HoldRow, LifeRow, PinRow, VersionRow, number_key
+from quillstep.store.store import Store, StoreTrouble, nothing, set_aside
 
 GROUP_MOST = 256  # hand-overs in one commit
 WAITING_MOST = 4096  # hand-overs that may wait; beyond it the journal is left out
--- a/quillstep/standins/roster.py
+++ b/quillstep/testbed/discovery_server.py
@@ -14,8 +14,8 @@
 from envoy.config.endpoint.v3 import endpoint_components_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.settings import LimitsRecord
-from quillstep.standins.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
+from quillstep.config.records import LimitsRecord
+from quillstep.testbed.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
 from quillstep.xds.resources import LEDS
 from quillstep.xds.server import DELTA, Peer, Server
 
--- a/quillstep/standins/endpoints.py
+++ b/quillstep/testbed/endpoints.py
@@ -15,7 +15,7 @@
 from collections import deque
 from typing import Any
 
-from quillstep.standins.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
+from quillstep.testbed.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
 
 LOAD_SPAN_MS = 500.0
 HEAD_MOST = 16 * 1024
@@ -156,9 +156,7 @@
         """Answer one request; False if the connection is to be closed."""
         at = now_ms()
         path = head[0].split(" ")[1] if " " in head[0] else ""
-        fields = {
-            name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])
-        }
+        fields = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
         if path == "/health":
             return self.health(sock, at)
         row = self.host.classes.get(path.removeprefix("/"))
--- a/quillstep/standins/follow_files.py
+++ b/quillstep/testbed/file_subscriber.py
@@ -17,13 +17,13 @@
 from envoy.service.discovery.v3 import discovery_pb2
 
 from quillstep.files.disk import safe_name
-from quillstep.files.pack import MANIFEST, Manifest, decode
-from quillstep.standins.follow import MESSAGES, drops_of, line_of, routes_of
-from quillstep.standins.process import now_ms
+from quillstep.files.generation_files import MANIFEST, Manifest, decode
+from quillstep.testbed.process import now_ms
+from quillstep.testbed.xds_subscriber import MESSAGES, drops_of, line_of, routes_of
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LEDS, RDS
 
 if TYPE_CHECKING:
-    from quillstep.standins.proxies import Proxy
+    from quillstep.testbed.proxies import Proxy
 
 LOOK_S = 0.03
 ALIVE_EVERY = 8  # looks between two at its pilot's sign of life
@@ -118,9 +118,7 @@
         self.load_stream = None
         with contextlib.suppress(OSError):
             (here / "hello.json").unlink()
-        self.record(
-            what="stream", up=False, pilot=root, reason="left it" if self.ended.is_set() else "silent"
-        )
+        self.record(what="stream", up=False, pilot=root, reason="left it" if self.ended.is_set() else "silent")
 
     @staticmethod
     def current(link: str) -> int:
--- a/quillstep/standins/reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -13,15 +13,15 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.standins.process import now_ms
+from quillstep.testbed.process import now_ms
 from quillstep.xds.client import MESSAGE_MOST
 from quillstep.xds.http2 import ConnectionBroken, GrpcConnection
-from quillstep.xds.loads import TOOK
+from quillstep.xds.load_stats import TOOK
 from quillstep.xds.peer import dial
 from quillstep.xds.server import LOAD
 
 if TYPE_CHECKING:
-    from quillstep.standins.proxies import Proxy
+    from quillstep.testbed.proxies import Proxy
 
 DIAL_MS = 250.0
 UNSENT_MOST = 32 * 1024  # beyond it sums stay here and add up
--- a/quillstep/standins/proxies.py
+++ b/quillstep/testbed/proxies.py
@@ -16,10 +16,10 @@
 import time
 from typing import Any
 
-from quillstep.standins.follow import DeltaFollower, Follower, Held, Route, SotwFollower
-from quillstep.standins.follow_files import FileFollower
-from quillstep.standins.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
-from quillstep.standins.reporting import Reporter, bucket
+from quillstep.testbed.file_subscriber import FileFollower
+from quillstep.testbed.load_reporting import Reporter, bucket
+from quillstep.testbed.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
+from quillstep.testbed.xds_subscriber import DeltaFollower, Follower, Held, Route, SotwFollower
 
 WORKERS_MOST = 600
 STANDING = "standing"  # the table that a proxy starts with, and the version of its lines
@@ -182,9 +182,7 @@
                 bare = all(row[0] in self.held.out for row in lines.values())
                 if bare != self.bare.get(name, False):
                     self.bare[name] = bare
-                    self.host.record.put(
-                        what="bare", at=now_ms(), proxy=self.name, **{"class": name}, on=bare
-                    )
+                    self.host.record.put(what="bare", at=now_ms(), proxy=self.name, **{"class": name}, on=bare)
             used = set(self.held.tables) | {STANDING}
             self.turns = {table: turns for table, turns in self.turns.items() if table in used}
 
@@ -256,13 +254,9 @@
                 self.met(name).answered(now_ms() - at)
             else:
                 self.met(name).counts[1] += 1
-        self.host.record.put(
-            **note, end=now_ms(), outcome=outcome, tries=tried, mode=tries_left, routes=went_by
-        )
+        self.host.record.put(**note, end=now_ms(), outcome=outcome, tries=tried, mode=tries_left, routes=went_by)
 
-    def try_once(
-        self, address: Address, name: str, exchange: str, until: float
-    ) -> tuple[str, dict[str, float]]:
+    def try_once(self, address: Address, name: str, exchange: str, until: float) -> tuple[str, dict[str, float]]:
         """One try; "no connection" is proof that it never ran, nothing else is."""
         try:
             sock, new = self.connections.get(address, until - now_ms())
@@ -337,9 +331,7 @@
         self.names = [row["name"] for row in rows]
         self.cumulated = list(itertools.accumulate(row["share"] for row in rows))
         self.seconds = setup["seconds"]
-        self.drawers = {
-            row["name"]: random.Random(f"{setup['seed']} {row['name']}") for row in setup["proxies"]
-        }
+        self.drawers = {row["name"]: random.Random(f"{setup['seed']} {row['name']}") for row in setup["proxies"]}
         self.rates = {row["name"]: row["usual"] for row in setup["proxies"]}
 
     def times(self, at_s: float) -> float:
@@ -368,7 +360,7 @@
 
     def __init__(self, path: str, spans: dict[str, Any]) -> None:
         super().__init__(path)
-        from quillstep.lineage.spans import Spans  # only who wants spans needs the library for them
+        from quillstep.tracing.spans import Spans  # only who wants spans needs the library for them
 
         self.spans = Spans(**spans)
 
--- a/quillstep/day/plan.py
+++ b/quillstep/testbed/scenarios/plan.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from quillstep.settings import DayRecord, TroubleRecord
+from quillstep.config.records import DayRecord, TroubleRecord
 
 PROXY_STEPS = {
     "proxy_moves": "moves",
@@ -37,13 +37,10 @@
     for zone in day.fleet.zones:
         for kind in day.endpoints:
             row = {**kind.model_dump(exclude={"each_zone"}), "zone": zone, "state": "in_service"}
-            made.endpoints += [
-                {**row, "id": chance.randrange(1, 2**32), "up": True} for _ in range(kind.each_zone)
-            ]
+            made.endpoints += [{**row, "id": chance.randrange(1, 2**32), "up": True} for _ in range(kind.each_zone)]
         first = {**day.endpoints[0].model_dump(exclude={"each_zone"}), "zone": zone}
         made.endpoints += [
-            {**first, "id": chance.randrange(1, 2**32), "up": False, "state": "terminated"}
-            for _ in range(day.reserves)
+            {**first, "id": chance.randrange(1, 2**32), "up": False, "state": "terminated"} for _ in range(day.reserves)
         ]
     sizes = [chance.expovariate(1.0) ** day.callers_skew + 0.05 for _ in range(day.proxies)]
     for at in range(day.proxies):
@@ -85,9 +82,7 @@
             do = PROXY_STEPS[what]
             made.steps.append((at, "proxy", {"do": do, "proxy": name, "for_ms": for_ms, "factor": trouble.factor}))
         return
-    fit = [
-        row for row in made.endpoints if trouble.zone in ("", row["zone"]) and row["up"] == (what != "join")
-    ]
+    fit = [row for row in made.endpoints if trouble.zone in ("", row["zone"]) and row["up"] == (what != "join")]
     count = len(fit) if what == "zone_loss" else min(trouble.count, len(fit))
     for row in chance.sample(fit, count):
         number = row["id"]
--- a/quillstep/day/run.py
+++ b/quillstep/testbed/scenarios/runner.py
@@ -12,11 +12,11 @@
 import msgspec
 import structlog
 
-from quillstep.day.children import Child
-from quillstep.day.plan import Plan, plan
-from quillstep.day.service import service
-from quillstep.rulecheck import Evidence, judge, longest_channel, read_evidence, slowest_drain
-from quillstep.settings import DayRecord, FleetRecord, PilotRecord, StoreRecord
+from quillstep.config.records import DayRecord, FleetRecord, PilotRecord, StoreRecord
+from quillstep.invariants import Evidence, judge, longest_channel, read_evidence, slowest_drain
+from quillstep.testbed.scenarios.child_processes import Child
+from quillstep.testbed.scenarios.plan import Plan, plan
+from quillstep.testbed.scenarios.service_quality import service
 
 SETTLE_S = 60.0
 SPANS_PER_S = 200.0  # of one process
@@ -70,7 +70,7 @@
         groups = [list(fleet.zones)] if shared else [[zone] for zone in fleet.zones]
         for at, zones in enumerate(groups):
             rows = [row for row in self.made.endpoints if row["zone"] in zones]
-            host = self.child(f"endpoints-{at}", "quillstep.standins.endpoints")
+            host = self.child(f"endpoints-{at}", "quillstep.testbed.endpoints")
             host.say(
                 endpoints=rows, rules=fleet.rules.model_dump(), record=str(self.folder / f"endpoints-{at}.jsonl"),
                 classes=[row.model_dump() for row in fleet.classes], answers_tell=not fleet.probes.load_only_here,
@@ -80,7 +80,7 @@
                 self.hosts[int(number)] = host
 
     def start_roster(self) -> None:
-        self.roster = self.child("roster", "quillstep.standins.roster")
+        self.roster = self.child("roster", "quillstep.testbed.discovery_server")
         rows = [{**row, "port": self.ports[row["id"]]} for row in self.made.endpoints]
         self.roster.say(
             endpoints=rows, late_ms=self.day.roster_late_ms, seed=self.day.seed,
@@ -144,7 +144,7 @@
                 roots = [self.root(k) for k in row["pilots"]]
                 reports = {self.addresses[k]: self.report_addresses[k] for k in row["pilots"] if self.addresses}
                 rows.append({**row, "reports": reports, "standing": standing, "pilots": pilots, "roots": roots})
-            host = self.child(f"proxies-{at}", "quillstep.standins.proxies")
+            host = self.child(f"proxies-{at}", "quillstep.testbed.proxies")
             spans = self.spans(f"proxies-{at}")
             host.say(
                 spans=spans and {**spans, "service": f"proxies-{at}"},
@@ -274,9 +274,7 @@
             sizes={row["id"]: row["cores"] * row["speed"] for row in rows},
             homes={row["name"]: row["zone"] for row in self.made.proxies},
             pilots={
-                where: f"pilot-{at}"
-                for at, address in enumerate(self.addresses)
-                for where in (address, self.root(at))
+                where: f"pilot-{at}" for at, address in enumerate(self.addresses) for where in (address, self.root(at))
             },
         )
         return read_evidence(self.folder, found)
@@ -332,9 +330,7 @@
     breaks = judge(main)
     kinds = [row["what"] for row in main.sent]
     served = service(day.fleet, main.exchanges)
-    baselines = {
-        name: service(day.fleet, e.exchanges)["service"] for name, e in found.items() if e is not main
-    }
+    baselines = {name: service(day.fleet, e.exchanges)["service"] for name, e in found.items() if e is not main}
     return {
         "day": day.name,
         "rules_broken": len(breaks),
--- a/quillstep/day/service.py
+++ b/quillstep/testbed/scenarios/service_quality.py
@@ -3,7 +3,7 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-from quillstep.settings import ClassRecord, FleetRecord
+from quillstep.config.records import ClassRecord, FleetRecord
 
 
 def earned_part(kind: ClassRecord, row: dict[str, Any]) -> tuple[float, str]:
--- a/quillstep/standins/follow.py
+++ b/quillstep/testbed/xds_subscriber.py
@@ -17,13 +17,13 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.standins.process import now_ms
+from quillstep.testbed.process import now_ms
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RATE_FILTER, RDS, WITHDRAWN
 from quillstep.xds.server import DELTA, LOAD, SOTW
 
 if TYPE_CHECKING:
-    from quillstep.standins.proxies import Proxy
+    from quillstep.testbed.proxies import Proxy
 
 SILENT_MS = 12000.0
 CUT_SPREAD_MS = 1000.0  # over which proxies that were cut off come back
--- a/quillstep/lineage/news.py
+++ b/quillstep/tracing/causes.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from quillstep.capture.format import Record
+from quillstep.recording.format import Record
 
 NEWS = ("roster", "probe", "reports", "files", "open", "request", "end")
 KEPT_MOST = 12  # pieces of news that are told one by one
@@ -58,9 +58,7 @@
     kind = row[0]
     if kind == "roster":
         states = [f"{entry[0]} {entry[2]}" for entry in row[4][:4]]
-        return f"roster, {row[3]}: {', '.join(states)}" + (
-            f" and {len(row[4]) - 4} more" if len(row[4]) > 4 else ""
-        )
+        return f"roster, {row[3]}: {', '.join(states)}" + (f" and {len(row[4]) - 4} more" if len(row[4]) > 4 else "")
     if kind == "probe":
         return f"probe of {row[3]}: {'answered' if row[4] else 'no answer'}"
     if kind == "reports":
--- a/quillstep/lineage/chain.py
+++ b/quillstep/tracing/chain.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import Any, NamedTuple
 
-from quillstep.rulecheck.evidence import Evidence
+from quillstep.invariants.evidence import Evidence
 
 STANDING = "standing"  # the version of lines that a proxy starts with: nobody's order
 ROUTES = ("RouteConfiguration", "files")
--- a/quillstep/lineage/report.py
+++ b/quillstep/tracing/report.py
@@ -3,11 +3,11 @@
 from pathlib import Path
 from typing import Any
 
-from quillstep.capture import lives, read_life
-from quillstep.lineage.chain import STANDING, Chain, Lineage, Link
-from quillstep.lineage.news import Round, why
-from quillstep.rulecheck import Evidence, read_evidence
-from quillstep.settings import PilotRecord, load
+from quillstep.config.records import PilotRecord, load
+from quillstep.invariants import Evidence, read_evidence
+from quillstep.recording import lives, read_life
+from quillstep.tracing.causes import Round, why
+from quillstep.tracing.chain import STANDING, Chain, Lineage, Link
 
 GAPS_SHOWN = 10
 
@@ -61,8 +61,6 @@
                 rounds.add((link.pilot, link.round))
                 found["word_lost"] += link.acknowledged_ms is None
                 if link.ordered_ms is not None:
-                    found["oldest_order_ms"] = max(
-                        found["oldest_order_ms"], round(chain.at_ms - link.ordered_ms, 1)
-                    )
+                    found["oldest_order_ms"] = max(found["oldest_order_ms"], round(chain.at_ms - link.ordered_ms, 1))
     found["rounds"] = len(rounds)
     return found
--- a/quillstep/lineage/spans.py
+++ b/quillstep/tracing/spans.py
@@ -223,6 +223,3 @@
         for group in json.loads(line)["resourceSpans"]:
             found += [span for scope in group["scopeSpans"] for span in scope["spans"]]
     return found
-
-
-
--- a/quillstep/wirehost/__init__.py
+++ b/quillstep/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: speaks the line protocol on standard input and output for any number of instances."""
+"""The earlier name of `quillstep.simulator`, kept for scripts that start it by `python -m quillstep.wirehost`."""
--- a/quillstep/wirehost/__main__.py
+++ b/quillstep/wirehost/__main__.py
@@ -1,20 +1,9 @@
-"""Run as `python -m quillstep.wirehost`: wire on standard input and output, trouble on standard error."""
+"""Runs `python -m quillstep.simulator` under its earlier name."""
 
 import sys
 
-from quillstep.wirehost.host import Host, Unreadable
-
-
-def main() -> int:
-    try:
-        Host().serve(sys.stdin.buffer, sys.stdout)
-    except Unreadable as trouble:
-        print(trouble, file=sys.stderr)
-        return 1
-    except (KeyboardInterrupt, BrokenPipeError):
-        return 1
-    return 0
-
+from quillstep.simulator.__main__ import main
 
 if __name__ == "__main__":
+    print("quillstep: quillstep.wirehost is now quillstep.simulator", file=sys.stderr)
     sys.exit(main())
--- a/quillstep/xds/delta.py
+++ b/quillstep/xds/delta.py
@@ -11,8 +11,8 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.tables import Change, Key, Refusal
-from quillstep.tables.content import LINE, OTHER, OUT
+from quillstep.routing import Change, Key, Refusal
+from quillstep.routing.resources import LINE, OTHER, OUT
 from quillstep.xds import resources
 from quillstep.xds.stream import Response, Stream
 
@@ -52,9 +52,7 @@
         """Take a request in; what it acknowledged, and what it refused."""
         url = request.type_url
         if url not in KNOWN:
-            response = discovery_pb2.DeltaDiscoveryResponse(
-                removed_resources=request.resource_names_subscribe
-            )
+            response = discovery_pb2.DeltaDiscoveryResponse(removed_resources=request.resource_names_subscribe)
             self.unserved(request, list(request.resource_names_subscribe), response)
             return [], None
         acknowledged, refusal = self.word(request, now_ms)
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -9,14 +9,14 @@
 import structlog
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from quillstep.settings import PilotRecord
-from quillstep.tables import Refusal, Tables
-from quillstep.tables.ledger import INSISTED
-from quillstep.tables.pace import ON_ITS_WAY, Verdict
+from quillstep.config.records import PilotRecord
+from quillstep.routing import Refusal, Tables
+from quillstep.routing.ack_latency import ON_ITS_WAY, Verdict
+from quillstep.routing.proxy_state import INSISTED
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED, UNAVAILABLE
-from quillstep.xds.loads import Hooks, life_of, load_request, read_report
+from quillstep.xds.load_stats import Hooks, life_of, load_request, read_report
 from quillstep.xds.server import DELTA, LOAD, SOTW, News, Peer, Server
 from quillstep.xds.sotw import SotwStream
 from quillstep.xds.stream import Response, StreamFault
--- a/quillstep/xds/http2.py
+++ b/quillstep/xds/http2.py
@@ -48,9 +48,7 @@
         self.answered: set[int] = set()  # streams whose response headers are out
         self.held_bytes = 0
         self.started = False  # the first request has come
-        self.owed: dict[
-            int, list[int]
-        ] = {}  # streams that get room by `taken`: bytes and messages not taken yet
+        self.owed: dict[int, list[int]] = {}  # streams that get room by `taken`: bytes and messages not taken yet
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(WINDOW)
 
@@ -60,9 +58,7 @@
             found = self.h2.receive_data(data)
         except (h2.exceptions.ProtocolError, h2.exceptions.H2Error) as trouble:
             raise ConnectionBroken(f"{type(trouble).__name__}: {trouble}") from None
-        except (
-            Exception
-        ) as trouble:  # whatever else a hostile peer makes h2 or hpack raise ends its connection
+        except Exception as trouble:  # whatever else a hostile peer makes h2 or hpack raise ends its connection
             raise ConnectionBroken(f"unreadable: {type(trouble).__name__}: {trouble}") from None
         events: list[Event] = []
         for event in found:
@@ -140,9 +136,7 @@
         if owed is None or not messages:
             self.h2.acknowledge_received_data(size, stream)
             return
-        self.h2.increment_flow_control_window(
-            size
-        )  # other streams of this connection don't wait for this one
+        self.h2.increment_flow_control_window(size)  # other streams of this connection don't wait for this one
         owed[0] += size
         owed[1] += messages
 
--- a/quillstep/xds/loads.py
+++ b/quillstep/xds/load_stats.py
@@ -7,7 +7,7 @@
 from envoy.config.endpoint.v3 import load_report_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from quillstep.reports.guard import Told
+from quillstep.load_reports.validation import Told
 
 TOOK = "took_le_"  # buckets of times by class: a metric each, the bound in its name
 
@@ -15,9 +15,7 @@
 class Hooks(Protocol):
     """What the pilot is told."""
 
-    def join(
-        self, node: str, zone: str, usual: float, held: dict, fresh: bool, front: Any, life: str = ""
-    ) -> int:
+    def join(self, node: str, zone: str, usual: float, held: dict, fresh: bool, front: Any, life: str = "") -> int:
         """A proxy is there, by this front; returns its number.  Another front that had it is told to drop it."""
 
     def leave(self, proxy: int) -> None:
@@ -56,9 +54,7 @@
     told = Told(-1, None, None, 0.0, xxhash.xxh3_64_intdigest(data) >> 1)
     if request.HasField("node") and "report" in request.node.metadata.fields:
         stamps = request.node.metadata.fields["report"].struct_value.fields
-        figures = {
-            name: stamps[name].number_value for name in ("number", "until_ms", "sent_ms") if name in stamps
-        }
+        figures = {name: stamps[name].number_value for name in ("number", "until_ms", "sent_ms") if name in stamps}
         number = figures.get("number", -1.0)
         told.number = int(number) if 0 <= number < 2**53 else -1
         told.until_ms, told.sent_ms = figures.get("until_ms"), figures.get("sent_ms")
--- a/quillstep/xds/peer.py
+++ b/quillstep/xds/peer.py
@@ -147,9 +147,7 @@
             self.stop("it takes no bytes")
         except OSError:
             self.stop("the connection broke")
-        except (
-            Exception
-        ) as trouble:  # a broken protocol state must end this connection, not the thread silently
+        except Exception as trouble:  # a broken protocol state must end this connection, not the thread silently
             self.stop(f"{type(trouble).__name__}: {trouble}")
 
     def outgoing(self) -> bytes:
--- a/quillstep/xds/resources.py
+++ b/quillstep/xds/resources.py
@@ -23,8 +23,8 @@
 from envoy.extensions.filters.network.http_connection_manager.v3 import http_connection_manager_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.settings import ClassRecord
-from quillstep.tables.content import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Content, Key
+from quillstep.config.records import ClassRecord
+from quillstep.routing.resources import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Content, Key
 
 PREFIX = "type.googleapis.com/"
 LDS = PREFIX + "envoy.config.listener.v3.Listener"
@@ -199,9 +199,7 @@
         return listener
 
 
-def _addressed(
-    line: endpoint_components_pb2.LbEndpoint, host: str, port: int
-) -> endpoint_components_pb2.LbEndpoint:
+def _addressed(line: endpoint_components_pb2.LbEndpoint, host: str, port: int) -> endpoint_components_pb2.LbEndpoint:
     address = line.endpoint.address.socket_address
     address.address, address.port_value = host, port
     return line
--- a/quillstep/xds/server.py
+++ b/quillstep/xds/server.py
@@ -9,9 +9,9 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
+from quillstep.config.records import LimitsRecord
 from quillstep.net.poller import Poller
 from quillstep.net.poller import Served as Peer
-from quillstep.settings import LimitsRecord
 from quillstep.xds.grpc import INVALID_ARGUMENT, RESOURCE_EXHAUSTED, UNIMPLEMENTED
 from quillstep.xds.http2 import Event, GrpcConnection
 
@@ -90,9 +90,7 @@
             except DecodeError:
                 self.log.warning("stream ended", reason="a message that is no request", method=found)
                 self.methods.pop((peer, stream), None)
-                peer.with_connection(
-                    lambda c: c.finish(stream, INVALID_ARGUMENT, "a message that is no request")
-                )
+                peer.with_connection(lambda c: c.finish(stream, INVALID_ARGUMENT, "a message that is no request"))
                 self.put(("end", peer, stream, "a message that is no request"))
                 return
             self.put(("request", peer, stream, message, event[2]))
--- a/quillstep/xds/sotw.py
+++ b/quillstep/xds/sotw.py
@@ -10,8 +10,8 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import any_pb2
 
-from quillstep.tables import Change, Key, Refusal
-from quillstep.tables.content import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Content
+from quillstep.routing import Change, Key, Refusal
+from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Content
 from quillstep.xds import resources
 from quillstep.xds.stream import Response, Stream
 
@@ -40,9 +40,7 @@
         self.named(request)
         return {}
 
-    def request(
-        self, request: discovery_pb2.DiscoveryRequest, now_ms: float
-    ) -> tuple[list[Change], Refusal | None]:
+    def request(self, request: discovery_pb2.DiscoveryRequest, now_ms: float) -> tuple[list[Change], Refusal | None]:
         """Take a request in; what it acknowledged, and what it refused."""
         url = request.type_url
         if url not in KINDS:
--- a/quillstep/xds/stream.py
+++ b/quillstep/xds/stream.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from quillstep.settings import LimitsRecord
-from quillstep.tables import Change, Refusal, Tables
+from quillstep.config.records import LimitsRecord
+from quillstep.routing import Change, Refusal, Tables
 from quillstep.xds import resources
 from quillstep.xds.grpc import INVALID_ARGUMENT, RESOURCE_EXHAUSTED
 
@@ -86,7 +86,5 @@
             error = response.resource_errors.add()
             error.resource_name.name = named
             error.error_detail.code = INVALID_ARGUMENT
-            error.error_detail.message = (
-                f"this pilot serves no {request.type_url or 'resources without a type'}"
-            )
+            error.error_detail.message = f"this pilot serves no {request.type_url or 'resources without a type'}"
         self.errors.append(Response(response.SerializeToString(), 0, request.type_url, response.nonce, 0, 0))
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -13,19 +13,20 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from fleet import MemoryPilot, order, pilot_record
 
-from quillstep.capture import lives, read_life
-from quillstep.facts import start_facts
-from quillstep.files.pack import Packer, manifest
-from quillstep.frames import check
-from quillstep.frames.codec import FrameCodec, framed
-from quillstep.frames.front import FrameFront, FrameLimits
-from quillstep.frames.orders import FrameOrders
-from quillstep.platform import endpoints, record
-from quillstep.settings import DayRecord, Fault, GateRecord, PilotRecord, load
+from quillstep.config.cue import Fault
+from quillstep.config.records import DayRecord, GateRecord, PilotRecord, load
+from quillstep.config.start_settings import start_facts
+from quillstep.files.generation_files import Packer, manifest
+from quillstep.platform import configuration, endpoint_list
+from quillstep.platform.protocol import validation
+from quillstep.platform.protocol.codec import FrameCodec, framed
+from quillstep.platform.protocol.connections import FrameFront, FrameLimits
+from quillstep.platform.protocol.updates import FrameOrders
+from quillstep.recording import lives, read_life
+from quillstep.routing.resources import content
+from quillstep.simulator import decode
+from quillstep.simulator.host import Host
 from quillstep.store import Store
-from quillstep.tables.content import content
-from quillstep.wirehost import decode
-from quillstep.wirehost.host import Host
 from quillstep.xds.resources import CDS, EDS, LDS, RDS
 from quillstep.xds.sotw import SotwStream
 
@@ -164,10 +165,8 @@
 def outcome_of(data):
     """One connection's bytes, read by the front without its sockets."""
     brought = []
-    known = check.Known(4, frozenset("ab"), {"lookup": 0, "quote": 1, "issue": 2}, 1200.0)
-    front = FrameFront(
-        "127.0.0.1:0", FrameLimits(64, 64), known, lambda news, key=None, add=None: brought.append(news)
-    )
+    known = validation.Known(4, frozenset("ab"), {"lookup": 0, "quote": 1, "issue": 2}, 1200.0)
+    front = FrameFront("127.0.0.1:0", FrameLimits(64, 64), known, lambda news, key=None, add=None: brought.append(news))
     peer = Peer()
     for event in peer.codec.receive(data):
         front.event(peer, event)
@@ -297,12 +296,12 @@
 def configuration_values(path):
     """What a platform configuration comes to: values in order, whatever their names; or the sentence on it."""
     try:
-        found = record.read({"BALANCER_CONFIG": str(path)})
-        facts = record.pilot_facts(found, str(path))
-    except record.Fault as trouble:
+        found = configuration.read({"BALANCER_CONFIG": str(path)})
+        facts = configuration.pilot_facts(found, str(path))
+    except configuration.Fault as trouble:
         return str(trouble).replace(f"{path.parent}/", "")
     known = {"revision": found.known.revision, "complete": True, "members": found.known.members}
-    first = endpoints.read_list(known, 5000.0, "persisted")
+    first = endpoint_list.read_list(known, 5000.0, "persisted")
     return plain({
         "start": list(dataclasses.astuple(facts.start)),
         "rest": [
@@ -310,7 +309,7 @@
             facts.tick_ms, facts.probe_ms, facts.probe_path,
         ],
         "list": [first.kind, first.entries, first.addresses, first.revision, first.spoilt, first.whole],
-        "seed": record.seed_of(found.seed),
+        "seed": configuration.seed_of(found.seed),
     })  # fmt: skip
 
 
@@ -344,6 +343,4 @@
 
 def capture_records(folder):
     """All records of the lives in a folder: the life, and each record as bytes of MessagePack."""
-    return [
-        (life.header.epoch, msgspec.msgpack.encode(record)) for life in lives(folder) for record in read_life(life)
-    ]
+    return [(life.header.epoch, msgspec.msgpack.encode(record)) for life in lives(folder) for record in read_life(life)]
--- a/tests/compatibility/simulator_dialogue.py
+++ b/tests/compatibility/simulator_dialogue.py
@@ -49,9 +49,7 @@
         for number in numbers:
             zone, availability, weight, up = self.endpoints[number]
             extra = f" upSince={up}" if up else ""
-            lines.append(
-                f"item endpoint={number} regionPart={zone} availability={availability} part={weight}{extra}"
-            )
+            lines.append(f"item endpoint={number} regionPart={zone} availability={availability} part={weight}{extra}")
         return lines
 
     def membership(self, instance, mode, numbers):
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("variant", VARIANTS)
 def test_the_adapter_replies_to_a_recorded_dialogue_with_the_same_bytes(variant):
-    command = [sys.executable, "-m", "quillstep.wirehost"]
+    command = [sys.executable, "-m", "quillstep.simulator"]
     told = golden(f"simulator-{variant}-input.txt").encode()
     done = subprocess.run(command, input=told, capture_output=True, cwd=ROOT, timeout=120, check=False)
     assert (done.returncode, done.stderr) == (0, b"")
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -2,8 +2,8 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.pilot.core import Core
-from quillstep.settings import ClassRecord, DayRecord, FleetRecord, LimitsRecord, PilotRecord
+from quillstep.config.records import ClassRecord, DayRecord, FleetRecord, LimitsRecord, PilotRecord
+from quillstep.controller.core import Core
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.resources import CDS, EDS, LDS, LEDS, RDS, WITHDRAWN, Encoder
@@ -73,9 +73,7 @@
                 break
             self.waits.pop(0)
             done += 1
-            word = discovery_pb2.DeltaDiscoveryRequest(
-                type_url=response.type_url, response_nonce=response.nonce
-            )
+            word = discovery_pb2.DeltaDiscoveryRequest(type_url=response.type_url, response_nonce=response.nonce)
             names = [resource.name for resource in response.resources]
             self.log.append((response.type_url, names, list(response.removed_resources)))
             follow = []
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """One pilot under test: a planner, a clock, and a writer that keeps its orders as tuples."""
 
-from quillstep import rules
-from quillstep.interface import ClassFacts, Incoming, StartFacts
+from quillstep.planner import planner as rules
+from quillstep.planner.messages import ClassFacts, Incoming, StartFacts
 
 
 def class_facts(semantics="safe", credit=1.0, **other):
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -10,8 +10,8 @@
 import pytest
 from fleet import small_day
 
-from quillstep.capture import BadBlock, Capture, Header, Life, lives, read_life
-from quillstep.capture.format import (
+from quillstep.recording import BadBlock, Capture, Header, Life, lives, read_life
+from quillstep.recording.format import (
     BLOCK,
     HEAD,
     MAGIC,
@@ -21,9 +21,9 @@
     encode_block,
     encode_header,
 )
-from quillstep.capture.reader import between, cut
-from quillstep.day.run import play_arm
+from quillstep.recording.reader import between, cut
 from quillstep.replay.faithful import Replay
+from quillstep.testbed.scenarios.runner import play_arm
 
 RECORDS = [["probe", at - 1.0, float(at), at, True, 2.5, {"util": 0.5}] for at in range(1, 41)]
 
@@ -165,9 +165,7 @@
 
 
 def test_another_seed_differs_and_the_first_difference_is_told(captured):
-    life = max(
-        (life for at in (0, 1) for life in lives(captured / f"capture-{at}")), key=lambda each: each.records
-    )
+    life = max((life for at in (0, 1) for life in lives(captured / f"capture-{at}")), key=lambda each: each.records)
     replay = Replay(life.header)
     other = Replay(life.header, replay.record.model_copy(update={"seed": replay.record.seed + 1}))
     outcome = other.play(read_life(life))
@@ -177,9 +175,7 @@
 
 
 def test_a_day_cut_off_in_the_middle_replays_as_far_as_it_goes(captured, tmp_path):
-    life = max(
-        (life for at in (0, 1) for life in lives(captured / f"capture-{at}")), key=lambda each: each.records
-    )
+    life = max((life for at in (0, 1) for life in lives(captured / f"capture-{at}")), key=lambda each: each.records)
     data = life.segments[0].read_bytes()
     piece = tmp_path / life.segments[0].name
     piece.write_bytes(data[: len(data) * 2 // 3])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,17 +19,17 @@
 import pytest
 from live import Client, Discovery, Endpoint, Listening, Process, Proxy, configuration, frame, settings, wait_until
 
-from quillstep.frames.check import Known
-from quillstep.frames.codec import FrameCodec
-from quillstep.frames.front import FrameFront, FrameLimits
+from quillstep.controller.health_checker import Prober, check, load_of
 from quillstep.net.http import ask, get, next_event
 from quillstep.net.poller import Poller
-from quillstep.pilot.probes import Prober, check, load_of
-from quillstep.platform import record
+from quillstep.platform import configuration as platform_configuration
 from quillstep.platform.__main__ import Signals
-from quillstep.platform.endpoints import address_of, read_list
+from quillstep.platform.discovery_watch import DIAL_MS, Watch
+from quillstep.platform.endpoint_list import address_of, read_list
+from quillstep.platform.protocol.codec import FrameCodec
+from quillstep.platform.protocol.connections import FrameFront, FrameLimits
+from quillstep.platform.protocol.validation import Known
 from quillstep.platform.service import LivePilot
-from quillstep.platform.watch import DIAL_MS, Watch
 
 KNOWN = Known(4, frozenset(live.ZONES), {"lookup": 0, "issue": 1}, 1200.0)
 LIMITS = FrameLimits(64, 64)
@@ -250,8 +250,8 @@
 def pilot(tmp_path):
     """A pilot whose deciding thread is this one: `taken` takes what was brought."""
     path = configuration(tmp_path, "127.0.0.1:1", [member("s0"), member("s1", locality="b")])
-    told = record.read({"BALANCER_CONFIG": str(path)})
-    made = LivePilot(told, record.pilot_facts(told, str(path)))
+    told = platform_configuration.read({"BALANCER_CONFIG": str(path)})
+    made = LivePilot(told, platform_configuration.pilot_facts(told, str(path)))
     made.take_list(made.first)
     made.steps = Steps()
     made.steps.front.bring = made.bring
@@ -369,7 +369,7 @@
 
 @pytest.fixture
 def brisk(monkeypatch):
-    monkeypatch.setattr("quillstep.platform.watch.LOOK_MS", 20.0)
+    monkeypatch.setattr("quillstep.platform.discovery_watch.LOOK_MS", 20.0)
 
 
 def test_a_watch_that_lives_but_keeps_news_back_is_found_by_the_whole_list(brisk):
@@ -461,7 +461,7 @@
 
 
 def test_a_watch_that_ends_after_each_line_is_not_dialled_without_a_pause(monkeypatch):
-    monkeypatch.setattr("quillstep.platform.watch.AGAIN_MS", 200.0)
+    monkeypatch.setattr("quillstep.platform.discovery_watch.AGAIN_MS", 200.0)
     begun = time.monotonic()
     discovery, watch, found = watched(lambda sock, _: Scripted.line(sock, list_line(2, member("t"))))
     try:
@@ -472,7 +472,7 @@
 
 
 def test_who_moves_a_watch_does_not_wait_for_its_pause(monkeypatch):
-    monkeypatch.setattr("quillstep.platform.watch.AGAIN_MS", 1e6)
+    monkeypatch.setattr("quillstep.platform.discovery_watch.AGAIN_MS", 1e6)
     discovery, watch, found = watched(lambda sock, _: Scripted.line(sock, list_line(2, member("t"))))
     try:
         wait_until(lambda: found and watch.state != "follows", "a line and the end")
@@ -484,7 +484,7 @@
 
 
 def test_a_fault_of_ours_with_a_line_costs_that_watch_and_not_the_thread(monkeypatch):
-    monkeypatch.setattr("quillstep.platform.watch.AGAIN_MS", 1.0)
+    monkeypatch.setattr("quillstep.platform.discovery_watch.AGAIN_MS", 1.0)
     failed = []
 
     def put(news):
@@ -625,7 +625,7 @@
         for at, endpoint in enumerate(endpoints):
             prober.ask(at, *address_of(endpoint.address))
         prober.ask("a name that can't be", "a..b", 80)
-        monkeypatch.setattr("quillstep.pilot.probes.load_of", lambda text: 1 / 0)
+        monkeypatch.setattr("quillstep.controller.health_checker.load_of", lambda text: 1 / 0)
         prober.ask("a fault of ours", *address_of(good.address))
         wait_until(lambda: len(found) == len(endpoints) + 2, "an answer for each")
         monkeypatch.undo()
@@ -688,8 +688,8 @@
 def test_a_configuration_that_cannot_be_used_is_told_in_one_sentence(tmp_path, what):
     change, at = BAD[what]
     path = configuration(tmp_path, **{"discovery": "127.0.0.1:1", "members": [], **change})
-    with pytest.raises(record.Fault) as found:
-        record.pilot_facts(record.read({"BALANCER_CONFIG": str(path)}), str(path))
+    with pytest.raises(platform_configuration.Fault) as found:
+        platform_configuration.pilot_facts(platform_configuration.read({"BALANCER_CONFIG": str(path)}), str(path))
     assert at in str(found.value) and str(path) in str(found.value) and "\n" not in str(found.value)
 
 
@@ -697,7 +697,7 @@
     lanes = [{**LANE, "name": "pay, final", "aim": 400000.5}, {**LANE, "name": "v.2"}]
     zones = ["port, north", "v.2 south", "c"]
     path = configuration(tmp_path, "127.0.0.1:1", [], settings={**settings(), "lanes": lanes, "zones": zones})
-    facts = record.pilot_facts(record.read({"BALANCER_CONFIG": str(path)}), str(path))
+    facts = platform_configuration.pilot_facts(platform_configuration.read({"BALANCER_CONFIG": str(path)}), str(path))
     assert facts.known.zones == set(zones) and facts.start.zones == zones
     assert facts.classes == ["pay, final", "v.2"] and facts.start.classes[0].agreed_ms == 400.0005
 
@@ -819,7 +819,9 @@
     path = configuration(tmp_path, "127.0.0.1:1", [])
     seams = {
         "poller": "import quillstep.net.poller as at; at.Poller.tend = lambda self: 1 / 0",
-        "watch": "import quillstep.platform.watch as at; at.AGAIN_MS = None; at.Watch.follow = lambda *_: None",
+        "watch": (
+            "import quillstep.platform.discovery_watch as at; at.AGAIN_MS = None; at.Watch.follow = lambda *_: None"
+        ),
         "deciding": "import quillstep.platform.service as at; at.LivePilot.turn = lambda self: 1 / 0",
     }
     code = f"{seams[thread]}; import sys; from quillstep.platform.__main__ import main; sys.exit(main())"
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -10,12 +10,12 @@
 from fleet import CLASSES, TIMES, small_day
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
-from quillstep.day.children import Child
-from quillstep.day.plan import plan
-from quillstep.day.run import play_arm
-from quillstep.day.service import service
-from quillstep.pilot.probes import load_of
-from quillstep.rulecheck import judge
+from quillstep.controller.health_checker import load_of
+from quillstep.invariants import judge
+from quillstep.testbed.scenarios.child_processes import Child
+from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.runner import play_arm
+from quillstep.testbed.scenarios.service_quality import service
 
 KEYED = {**TIMES, "name": "save", "credit": 2.0, "semantics": "keyed", "scope": "all"}
 ROUGH = [
@@ -58,18 +58,14 @@
 
 def test_what_may_have_run_is_never_sent_again_unless_its_class_allows_it(rough):
     _, evidence = rough
-    lost = [
-        row for row in evidence.exchanges if any(try_[3] in ("reset", "time-out") for try_ in row["tries"])
-    ]
+    lost = [row for row in evidence.exchanges if any(try_[3] in ("reset", "time-out") for try_ in row["tries"])]
     assert {row["class"] for row in lost} >= {"lookup", "issue"}  # the script did lose answers of both
     for row in lost:
         if row["class"] == "issue":
             assert row["tries"][-1][3] in ("reset", "time-out") or all(
                 try_[3] == "no connection" for try_ in row["tries"][:-1]
             )
-    effects = [
-        row["exchange"] for row in evidence.served if row["effect"] and row["class"] in ("issue", "save")
-    ]
+    effects = [row["exchange"] for row in evidence.served if row["effect"] and row["class"] in ("issue", "save")]
     assert len(effects) == len(set(effects))
 
 
@@ -130,7 +126,7 @@
 
 def test_endpoints_drop_keyed_repeats_within_the_window_and_not_after(tmp_path):
     rows = [{**KEYED, "name": "long", "window_ms": 60000.0}, {**KEYED, "name": "short", "window_ms": 0.001}]
-    host = Child("endpoints-0", ["quillstep.standins.endpoints"], tmp_path)
+    host = Child("endpoints-0", ["quillstep.testbed.endpoints"], tmp_path)
     try:
         host.say(
             endpoints=[{"id": 1, "zone": "a", "cores": 1, "speed": 1.0, "connections_most": 9, "waiting_most": 9,
@@ -157,9 +153,7 @@
     script = tmp_path / "small.cue"
     script.write_bytes(msgspec.json.encode(day.model_dump()))
     command = [sys.executable, "-m", "quillstep.cli", "day", str(script), "--record", str(tmp_path / "out")]
-    done = subprocess.run(
-        [*command, "--arm", "learnt", "--arm", "even"], capture_output=True, timeout=120, check=False
-    )
+    done = subprocess.run([*command, "--arm", "learnt", "--arm", "even"], capture_output=True, timeout=120, check=False)
     found = msgspec.json.decode(done.stdout.splitlines()[-1])
     assert done.returncode == 0 and found["rules_broken"] == 0
     assert 0.0 < found["service"] <= 1.0 and set(found["baselines"]) == {"even"}
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -13,13 +13,13 @@
 import pytest
 from fleet import MemoryPilot, order, pilot_record
 
+from quillstep.config.records import FilesRecord
 from quillstep.files.disk import STEPS, Disk, Refused, read_ack, safe_name
 from quillstep.files.front import FileFront
+from quillstep.files.generation_files import Packer, contents_of, decode, manifest
 from quillstep.files.lane import Lane
-from quillstep.files.pack import Packer, contents_of, decode, manifest
-from quillstep.settings import FilesRecord
-from quillstep.standins.follow_files import read_generation
-from quillstep.tables.content import LINE, OUT, POOL, ROUTES, content
+from quillstep.routing.resources import LINE, OUT, POOL, ROUTES, content
+from quillstep.testbed.file_subscriber import read_generation
 
 WAIT_S = 20.0
 
@@ -132,9 +132,7 @@
             continue
         outcomes["whole"] += 1
         expected = contents(float(told.generation))
-        assert {k: c.version for k, c in contents_of(files).items()} == {
-            k: c.version for k, c in expected.items()
-        }
+        assert {k: c.version for k, c in contents_of(files).items()} == {k: c.version for k, c in expected.items()}
     assert outcomes["whole"] >= 20 and outcomes["cleared"] >= 20
     disk.close()
 
@@ -369,9 +367,7 @@
     """A file front on a core with a disk, its news taken in by hand."""
 
     def __init__(self, root, step=lambda name: None):
-        record = pilot_record(
-            files=FilesRecord(root=str(root), poll_ms=5.0, silent_ms=60000.0, retry_ms=10.0)
-        )
+        record = pilot_record(files=FilesRecord(root=str(root), poll_ms=5.0, silent_ms=60000.0, retry_ms=10.0))
         self.pilot = MemoryPilot(record=record)
         self.news, self.ready = [], threading.Condition()
         self.taps = []
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -5,11 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillstep.day.run import play_arm
-from quillstep.rulecheck import judge
-from quillstep.tables.content import LINE, OUT, terms_of
-from quillstep.tables.pace import LATE, LOST, ON_ITS_WAY, STALLS, Pace, UsualCost
-from quillstep.tables.ways import LOOSEST, Ways, allowed_way
+from quillstep.invariants import judge
+from quillstep.routing.ack_latency import LATE, LOST, ON_ITS_WAY, STALLS, Pace, UsualCost
+from quillstep.routing.resources import LINE, OUT, terms_of
+from quillstep.routing.retry_policies import LOOSEST, Ways, allowed_way
+from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.xds.resources import LEDS
 
 LATE_MS, STALL_MS = 600.0, 40.0
--- a/tests/test_lineage.py
+++ b/tests/test_lineage.py
@@ -6,12 +6,12 @@
 from fleet import fleet, small_day
 
 from quillstep.cli.main import cli
-from quillstep.day.plan import plan
-from quillstep.day.run import Arm
-from quillstep.lineage.chain import Lineage
-from quillstep.lineage.news import concerns, why
-from quillstep.lineage.report import lineage_of, summary
-from quillstep.rulecheck import Evidence, judge
+from quillstep.invariants import Evidence, judge
+from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.runner import Arm
+from quillstep.tracing.causes import concerns, why
+from quillstep.tracing.chain import Lineage
+from quillstep.tracing.report import lineage_of, summary
 
 EPOCH = "pilot-0-77"
 LINE = "xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/table-0/5"
@@ -121,11 +121,7 @@
         ["orders", 900.0, 900.0, 4, [["withdraw", 5, True], ["note", "it drains"], ["line", 0, 6, 2.0]]],
     ]
     found = why(records, 4, LINE)
-    assert (
-        found
-        and found.news == {"roster": 1, "reports": 1}
-        and found.oldest_ms == {"roster": 50.0, "reports": 500.0}
-    )
+    assert found and found.news == {"roster": 1, "reports": 1} and found.oldest_ms == {"roster": 50.0, "reports": 500.0}
     assert found.orders == [["withdraw", 5, True]] and found.notes == ["it drains"]
     assert found.told[0] == "roster, partial: 5 terminating, 50 ms before"
     assert why(records, 9, LINE) is None
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,18 +13,18 @@
 import pytest
 from live import Client, Discovery, Endpoint, Proxy, configuration, frame, settings, sums, wait_until
 
-from quillstep.frames import check
-from quillstep.frames.codec import FrameCodec
-from quillstep.frames.front import FrameLimits, add_arrivals, add_sums
-from quillstep.frames.orders import FrameOrders
-from quillstep.pilot.lanes import Lanes
-from quillstep.platform import record
-from quillstep.platform.endpoints import Unreadable, read_list
+from quillstep.controller.event_queue import Lanes
+from quillstep.platform import configuration as platform_configuration
+from quillstep.platform.discovery_watch import LINE_MOST, Lines, Watch
+from quillstep.platform.endpoint_list import Unreadable, read_list
+from quillstep.platform.protocol import validation
+from quillstep.platform.protocol.codec import FrameCodec
+from quillstep.platform.protocol.connections import FrameLimits, add_arrivals, add_sums
+from quillstep.platform.protocol.updates import FrameOrders
 from quillstep.platform.service import LivePilot, limits_of
-from quillstep.platform.watch import LINE_MOST, Lines, Watch
-from quillstep.wirehost.decode import fields, start_facts
+from quillstep.simulator.decode import fields, start_facts
 
-KNOWN = check.Known(4, frozenset("ab"), {"lookup": 0, "issue": 1}, 1200.0)
+KNOWN = validation.Known(4, frozenset("ab"), {"lookup": 0, "issue": 1}, 1200.0)
 
 # the codec
 
@@ -71,14 +71,19 @@
     },
     "client_stats": {"id": 3, "lane": "lookup", "count": 19, "fail": 0, "over": 1000.0},
 }  # fmt: skip
-READS = {"attach": check.joining, "done": check.receipt, "upstream_stats": check.sums, "client_stats": check.usage}
+READS = {
+    "attach": validation.joining,
+    "done": validation.receipt,
+    "upstream_stats": validation.sums,
+    "client_stats": validation.usage,
+}
 
 
 @pytest.mark.parametrize("kind", sorted(GOOD))
 def test_a_good_message_is_read_and_one_without_a_field_is_not(kind):
     READS[kind](GOOD[kind], KNOWN)
     for name in GOOD[kind].keys() - {"util"}:
-        with pytest.raises(check.Spoilt, match=name):
+        with pytest.raises(validation.Spoilt, match=name):
             READS[kind]({key: value for key, value in GOOD[kind].items() if key != name}, KNOWN)
 
 
@@ -97,15 +102,15 @@
     ],
 )  # fmt: skip
 def test_a_field_out_of_range_or_of_another_type_spoils_its_message(kind, name, value):
-    with pytest.raises(check.Spoilt):
+    with pytest.raises(validation.Spoilt):
         READS[kind]({**GOOD[kind], name: value}, KNOWN)
 
 
 def test_tries_that_all_failed_need_no_mean_and_more_may_be_unanswered_than_arrived():
     told = {**GOOD["upstream_stats"], "fail": 9}
     del told["mean"]
-    assert check.sums(told, KNOWN)[1][:4] == ("s", 9, 9, 0.0)
-    assert check.usage({**GOOD["client_stats"], "count": 1, "fail": 4}, KNOWN)[2:4] == (1, 4)
+    assert validation.sums(told, KNOWN)[1][:4] == ("s", 9, 9, 0.0)
+    assert validation.usage({**GOOD["client_stats"], "count": 1, "fail": 4}, KNOWN)[2:4] == (1, 4)
 
 
 def test_reports_add_up_while_the_deciding_thread_is_late_and_joins_are_kept():
@@ -302,7 +307,7 @@
 
 
 def test_a_watch_that_ends_falls_silent_or_moves_is_dialled_anew_from_where_it_was(monkeypatch):
-    monkeypatch.setattr("quillstep.platform.watch.SILENT_MS", 1200.0)
+    monkeypatch.setattr("quillstep.platform.discovery_watch.SILENT_MS", 1200.0)
     first, second, found = Discovery(), Discovery(), []
     watch = Watch(first.address, 1, 0.0, found.append)
     watch.start()
@@ -329,10 +334,10 @@
 
 def test_nested_settings_tell_the_module_what_a_start_of_the_simulator_tells_it(tmp_path):
     told = settings(zones=["a", "b"])
-    flat = record.flat(told)
+    flat = platform_configuration.flat(told)
     line = "start i=0 randomSeed=1 " + " ".join(f"{key}={value}" for key, value in flat.items() if " " not in value)
     path = configuration(tmp_path, "127.0.0.1:1", [])
-    facts = record.pilot_facts(record.read({"BALANCER_CONFIG": str(path)}), str(path))
+    facts = platform_configuration.pilot_facts(platform_configuration.read({"BALANCER_CONFIG": str(path)}), str(path))
     assert (facts.start, facts.classes) == start_facts(fields(line)[1])
     assert facts.start.channel_rate == 3000.0 and facts.start.may_probe and facts.start.load_by_probe
     assert facts.known == KNOWN and facts.probe_path == "/status/load"
@@ -362,10 +367,10 @@
 def test_a_file_that_is_no_configuration_is_named(tmp_path, text):
     path = tmp_path / "config.json"
     path.write_bytes(text.encode("latin-1"))
-    with pytest.raises(record.Fault, match=str(path)):
-        record.read({"BALANCER_CONFIG": str(path)})
-    with pytest.raises(record.Fault, match="BALANCER_CONFIG"):
-        record.read({})
+    with pytest.raises(platform_configuration.Fault, match=str(path)):
+        platform_configuration.read({"BALANCER_CONFIG": str(path)})
+    with pytest.raises(platform_configuration.Fault, match="BALANCER_CONFIG"):
+        platform_configuration.read({})
 
 
 # one pilot in a process
@@ -490,8 +495,8 @@
     members = [endpoint.entry() for endpoint in endpoints.values()]
     discovery = Discovery(members)
     path = configuration(tmp_path, discovery.address, members)
-    told = record.read({"BALANCER_CONFIG": str(path)})
-    pilot = LivePilot(told, record.pilot_facts(told, str(path)))
+    told = platform_configuration.read({"BALANCER_CONFIG": str(path)})
+    pilot = LivePilot(told, platform_configuration.pilot_facts(told, str(path)))
     planner, believed = pilot.rounds.planner, {}
     real = planner.round
 
@@ -539,8 +544,8 @@
 
 def test_a_proxy_is_counted_with_its_stream_and_limits_leave_room_for_all(tmp_path):
     path = configuration(tmp_path, "127.0.0.1:1", [], limits={"cores": 0.5, "memory_mb": 64, "sockets": 256})
-    told = record.read({"BALANCER_CONFIG": str(path)})
-    facts = record.pilot_facts(told, str(path))
+    told = platform_configuration.read({"BALANCER_CONFIG": str(path)})
+    facts = platform_configuration.pilot_facts(told, str(path))
     limits = limits_of(told, facts)
     assert isinstance(limits, FrameLimits) and limits.connections_most < 256
     # Who has not joined gives way to who comes, so that room is left for all: see test_crossings.py.
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -10,25 +10,25 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from test_tables import settled
 
-from quillstep.lineage.spans import FileExporter, Spans, read
-from quillstep.proof import chosen, fuzz, messages, stream, twins
-from quillstep.proof.bounded import search
-from quillstep.proof.explore import explore
-from quillstep.settings import ChannelRecord, LimitsRecord
-from quillstep.tables.content import LINE, OUT, POOL
-from quillstep.tables.ration import KEPT_FREE, Ration
+from quillstep.config.records import ChannelRecord, LimitsRecord
+from quillstep.model_checking import fuzz, message_limit_model, mutants, rollback_model, stream_model
+from quillstep.model_checking.bounded_model import search
+from quillstep.model_checking.explore import explore
+from quillstep.routing.message_quota import KEPT_FREE, Ration
+from quillstep.routing.resources import LINE, OUT, POOL
+from quillstep.tracing.spans import FileExporter, Spans, read
 from quillstep.xds import resources
 from quillstep.xds.resources import CDS, EDS, LEDS, RDS, type_url
 
 # the model
 
 
-@pytest.mark.parametrize(("one", "what"), [(one, what) for one in (stream, chosen) for what in one.BAD])
+@pytest.mark.parametrize(("one", "what"), [(one, what) for one in (stream_model, rollback_model) for what in one.BAD])
 def test_no_run_of_a_model_ends_badly(one, what):
     assert search(one.model(), what, 8).run == []
 
 
-@pytest.mark.parametrize(("one", "twin"), [(one, twin) for one in (stream, chosen) for twin in one.TWINS])
+@pytest.mark.parametrize(("one", "twin"), [(one, twin) for one in (stream_model, rollback_model) for twin in one.TWINS])
 def test_each_broken_twin_of_a_model_is_found(one, twin):
     found = search(one.model(twin), one.TWINS[twin], 9)
     assert found.run and len(found.run) == found.depth
@@ -44,14 +44,14 @@
     [("held at sending", 2), ("lost and not missed", 3), ("refused for good", 3), ("trusts its memory", 5)],
 )  # the two that need more steps are found by `quillstep prove`
 def test_broken_twins_of_the_real_code_are_found(twin, depth):
-    found = explore(depth, 5000, twins.TWINS[twin])
+    found = explore(depth, 5000, mutants.TWINS[twin])
     assert found.wrong and found.depth == depth
 
 
 def test_the_gap_between_orders_keeps_the_limit_only_while_the_channel_hardly_lags():
     gap = 1.2 / 20
-    assert [messages.safe_delay(20, gap, joins) for joins in (0, 1, 2)] == [0.2, 0.14, 0.08]
-    leaves = messages.overrun(20, gap, 0.18, 2)
+    assert [message_limit_model.safe_delay(20, gap, joins) for joins in (0, 1, 2)] == [0.2, 0.14, 0.08]
+    leaves = message_limit_model.overrun(20, gap, 0.18, 2)
     assert leaves and leaves[-1] - leaves[0] < 1.0
 
 
@@ -213,7 +213,6 @@
             assert lines - out, "bare"
 
 
-
 Pilots.TestCase.settings = settings(max_examples=25, stateful_step_count=25, deadline=None, derandomize=True)
 TestPilots = Pilots.TestCase
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -16,26 +16,26 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillstep.bench.reports import measure
+from quillstep.bench.load_reports import measure
 from quillstep.bench.sampling import sampled
-from quillstep.capture import lives, read_life
-from quillstep.day.plan import plan
-from quillstep.day.run import Arm, play_arm
+from quillstep.config.records import ReportsRecord
+from quillstep.invariants import judge, longest_channel
+from quillstep.load_reports.aggregator import Asked, Gatherer, work_of
+from quillstep.load_reports.aging import HALVES, Delay, Numbers, horizon_ms, weight
+from quillstep.load_reports.collector import Intake
+from quillstep.load_reports.framing import Frames, framed
+from quillstep.load_reports.ownership import Places
+from quillstep.load_reports.reader_session import Desk
+from quillstep.load_reports.sampling import STAGES, Sampler
+from quillstep.load_reports.upstream_stats import ENOUGH, ONE_MOST, Report, Window, clip, fold
+from quillstep.load_reports.validation import Account, Told
+from quillstep.recording import lives, read_life
 from quillstep.replay.faithful import Replay
-from quillstep.reports.ageing import HALVES, Delay, Numbers, horizon_ms, weight
-from quillstep.reports.desk import Desk
-from quillstep.reports.gather import Asked, Gatherer, work_of
-from quillstep.reports.guard import Account, Told
-from quillstep.reports.intake import Intake
-from quillstep.reports.link import Frames, framed
-from quillstep.reports.places import Places
-from quillstep.reports.sampling import STAGES, Sampler
-from quillstep.reports.sums import ENOUGH, ONE_MOST, Report, Window, clip, fold
-from quillstep.rulecheck import judge, longest_channel
-from quillstep.settings import ReportsRecord
+from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.runner import Arm, play_arm
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED
-from quillstep.xds.loads import read_report
+from quillstep.xds.load_stats import read_report
 from quillstep.xds.resources import CDS
 from quillstep.xds.server import DELTA, LOAD
 
@@ -52,9 +52,7 @@
 
 def told(number=1, rows=(), arrived=10, covers=USUAL, until=None, sent=None, **more):
     """A report as a stand-in stamps it; `until` and `sent` on its own clock."""
-    made = Told(
-        number, sent, until if until is not None else sent, covers, number, [(0, arrived, 0)], list(rows)
-    )
+    made = Told(number, sent, until if until is not None else sent, covers, number, [(0, arrived, 0)], list(rows))
     for name, value in more.items():
         setattr(made, name, value)
     return made
@@ -130,18 +128,14 @@
     grace_ms=st.just(1000.0),
     arrivals=st.lists(st.tuples(st.integers(0, 1), st.integers(0, 9), st.integers(0, 9)), max_size=2),
     rows=st.lists(
-        st.tuples(
-            st.integers(1, 3), st.integers(0, 9), st.integers(0, 9), st.floats(0, 900), st.floats(0, 1)
-        ),
+        st.tuples(st.integers(1, 3), st.integers(0, 9), st.integers(0, 9), st.floats(0, 900), st.floats(0, 1)),
         max_size=4,
     ),
 )
 
 
 def outcome(window):
-    found = fold(
-        window, 5000.0, lambda r, now: weight(now - r.until_ms, r.covers_ms, 1000.0, 1000.0), {}, 1000.0, {}
-    )
+    found = fold(window, 5000.0, lambda r, now: weight(now - r.until_ms, r.covers_ms, 1000.0, 1000.0), {}, 1000.0, {})
     return found.sums, found.arrivals, found.took
 
 
@@ -288,9 +282,7 @@
     found = made.hand_over(1000.0)
     seconds = tries(found) / (1000 * 10.0)  # at ten tries a second each
     assert 1.0 < seconds < 2.6
-    assert sum(row[2] for row in found["arrivals"]) / sum(
-        row[4] for row in found["arrivals"]
-    ) == pytest.approx(0.01)
+    assert sum(row[2] for row in found["arrivals"]) / sum(row[4] for row in found["arrivals"]) == pytest.approx(0.01)
 
 
 def test_half_the_sums_five_seconds_late_leave_the_failing_part_as_the_fresh_ones_say():
@@ -623,9 +615,7 @@
     desk.message("p0", message("p0", rows=3, number=2), 200.0)
     desk.work(200.0)
     assert tries(desk.gatherer.hand_over(250.0)) == 12  # three tries, for four proxies
-    desk.joined(
-        Account(0, "a", "", USUAL, USUAL), "p0"
-    )  # it has joined anew: what it was asked holds no more
+    desk.joined(Account(0, "a", "", USUAL, USUAL), "p0")  # it has joined anew: what it was asked holds no more
     sends = desk.take_outcome().sends
     assert lrs_pb2.LoadStatsResponse.FromString(sends[-1][1]).report_endpoint_granularity
 
@@ -662,11 +652,7 @@
 
 
 @settings(max_examples=80, deadline=None)
-@given(
-    st.lists(
-        st.tuples(st.sampled_from(["hello 0", "hello 1", "join", "leave", "die 0", "answer"])), max_size=40
-    )
-)
+@given(st.lists(st.tuples(st.sampled_from(["hello 0", "hello 1", "join", "leave", "die 0", "answer"])), max_size=40))
 def test_no_sequence_of_moves_makes_a_proxy_count_twice(steps):
     places, waiting = Places(USUAL), []
     counting: list[bool] = [False, False]
@@ -739,7 +725,7 @@
 
 
 def test_the_readers_stay_out_of_the_adapters_imports():
-    code = "import sys, quillstep.wirehost.host; print([m for m in sys.modules if 'reports' in m or 'hdrh' in m])"
+    code = "import sys, quillstep.simulator.host; print([m for m in sys.modules if 'reports' in m or 'hdrh' in m])"
     out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert out.strip() == "[]"
 
@@ -790,9 +776,7 @@
     assert {row[0] for row in heard} == set(range(12))
     tried = sum(len(row["tries"]) for row in evidence.exchanges)
     counted = sum(row[2] + row[3] for r in read_life(life) if r[0] == "reports" for row in r[4]["sums"])
-    assert (
-        0.5 * tried < counted < 1.1 * tried
-    )  # nothing twice; old sums weigh less, a killed reader's last are lost
+    assert 0.5 * tried < counted < 1.1 * tried  # nothing twice; old sums weigh less, a killed reader's last are lost
     assert Replay(life.header).play(read_life(life)).identical
 
 
--- a/tests/test_rulecheck.py
+++ b/tests/test_rulecheck.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from quillstep.rulecheck import Evidence, judge
-from quillstep.rulecheck.evidence import put, read_evidence
-from quillstep.settings import ChannelRecord, ClassRecord, FleetRecord, RulesRecord
+from quillstep.config.records import ChannelRecord, ClassRecord, FleetRecord, RulesRecord
+from quillstep.invariants import Evidence, judge
+from quillstep.invariants.evidence import put, read_evidence
 
 COLD = {"start_capacity": 0.2, "warm_after_ms": 10000.0, "fall_multiple": 3.0, "tip_after_ms": 1500.0}
 RULES = RulesRecord(bare_ms=4000.0, drain_grace_ms=2000.0, **COLD)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from quillstep.settings import ClassRecord, DayRecord, Fault, PilotRecord, check_older, load, start_facts
-from quillstep.settings.cue import read_text
+from quillstep.config.cue import Fault, read_text
+from quillstep.config.records import ClassRecord, DayRecord, PilotRecord, check_older, load, start_facts
 
 
 @pytest.mark.parametrize(
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,13 +14,14 @@
 
 from quillstep.bench import crash
 from quillstep.cli.main import cli
-from quillstep.day.plan import plan
-from quillstep.day.run import Arm
-from quillstep.rulecheck import judge
-from quillstep.settings import GateRecord, StoreRecord
+from quillstep.config.records import GateRecord, StoreRecord
+from quillstep.invariants import judge
+from quillstep.routing.recovery import Former, trust_ms
+from quillstep.routing.resources import LINE, OUT, content
+from quillstep.routing.rollout_gate import BARE, COLD, GONE, MOVES, Gate, Seen
+from quillstep.routing.versions import Version, version_of
 from quillstep.store import Store, StoreTrouble
-from quillstep.store.disk import META, set_aside
-from quillstep.store.format import (
+from quillstep.store.records import (
     PARTS,
     SCHEMA,
     Entry,
@@ -31,12 +32,11 @@
     number_key,
     pack,
 )
-from quillstep.store.keeper import Keeper, opened
-from quillstep.store.retain import Stood, to_drop
-from quillstep.tables.book import Version, version_of
-from quillstep.tables.content import LINE, OUT, content
-from quillstep.tables.gate import BARE, COLD, GONE, MOVES, Gate, Seen
-from quillstep.tables.recover import Former, trust_ms
+from quillstep.store.retention import Stood, to_drop
+from quillstep.store.store import META, set_aside
+from quillstep.store.writer import Keeper, opened
+from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.runner import Arm
 from quillstep.xds.resources import LEDS, name
 
 NAN = float("nan")
@@ -84,7 +84,12 @@
 @pytest.mark.parametrize(
     ("allowed", "tries", "good"),
     [
-        (5.0, 1, True), (1e6, 0, True), (-1.0, 1, False), (NAN, 1, False), (1e9, 1, False), (5.0, 2, False),
+        (5.0, 1, True),
+        (1e6, 0, True),
+        (-1.0, 1, False),
+        (NAN, 1, False),
+        (1e9, 1, False),
+        (5.0, 2, False),
         (5.0, -1, False),
     ],  # fmt: skip
 )
@@ -481,6 +486,7 @@
 
 # kills at every write point
 
+
 def test_a_pilot_killed_at_any_write_point_finds_all_of_a_commit_or_nothing(tmp_path):
     found = crash.run(tmp_path / "s", crash.points(1, 250))
     assert found["fault"] == "" and found["kills"] == 250 and found["commits"] > 400
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -14,8 +14,8 @@
 from fleet import small_day
 from hyperframe.frame import ContinuationFrame, DataFrame, HeadersFrame, PingFrame, SettingsFrame
 
-from quillstep.day.plan import plan
-from quillstep.day.run import Arm
+from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.runner import Arm
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RDS, WITHDRAWN
 from quillstep.xds.server import DELTA, LOAD, SOTW
@@ -75,9 +75,7 @@
     """Speaks deltas; keeps every resource that it acknowledged."""
 
     def __init__(self, address, name, held=None):
-        super().__init__(
-            address, DELTA, discovery_pb2.DeltaDiscoveryRequest, discovery_pb2.DeltaDiscoveryResponse
-        )
+        super().__init__(address, DELTA, discovery_pb2.DeltaDiscoveryRequest, discovery_pb2.DeltaDiscoveryResponse)
         self.held = held or {}
         first = self.request(CDS)
         first.node.id, first.node.locality.zone = name, "a"
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quillstep.settings import ChannelRecord
-from quillstep.tables import Tables
-from quillstep.tables.content import LINE, OUT, POOL, ROUTES
+from quillstep.config.records import ChannelRecord
+from quillstep.routing import Tables
+from quillstep.routing.resources import LINE, OUT, POOL, ROUTES
 from quillstep.xds.resources import CDS, EDS, LEDS, RDS, key_of, name, type_url
 
 LINE_3 = "xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/table-0/3"
--- a/tests/test_whatif.py
+++ b/tests/test_whatif.py
@@ -8,12 +8,13 @@
 import pytest
 from fleet import CLASSES, fleet, pilot_record, small_day
 
-from quillstep.day.run import play_arm
-from quillstep.replay.daybook import Daybook, PilotLife, apart, read_daybook
-from quillstep.replay.infer import SPAN_MS, fit, infer
+from quillstep.config.cue import Fault
+from quillstep.config.records import changed, parse_changes
+from quillstep.replay.inference import SPAN_MS, fit, infer
 from quillstep.replay.model import VirtualDay
+from quillstep.replay.recorded_day import Daybook, PilotLife, apart, read_daybook
 from quillstep.replay.whatif import compare, learn, play
-from quillstep.settings import Fault, changed, parse_changes
+from quillstep.testbed.scenarios.runner import play_arm
 
 LOOKUP = CLASSES[0]
 ADDRESS = {number: f"127.0.0.1:{9000 + number}" for number in range(1, 7)}
@@ -27,14 +28,11 @@
     return {number: ("127.0.0.1", 9000 + number) for number in numbers}
 
 
-def book(
-    seconds=12.0, rate=60.0, tries=lambda at, number: ("ok", 22.0), roster=(), lives=1, late=0.0, **knobs
-):
+def book(seconds=12.0, rate=60.0, tries=lambda at, number: ("ok", 22.0), roster=(), lives=1, late=0.0, **knobs):
     """A captured day made by hand: one exchange after another over six endpoints, tried as `tries` says."""
     record = pilot_record(fleet=fleet(proxies={"standing": 2, "ejects": 3, **knobs}))
     proxies = {
-        f"p{at}": {"zone": "ab"[at % 2], "usual": rate / 4, "standing": [["127.0.0.1", 9001 + at]]}
-        for at in range(4)
+        f"p{at}": {"zone": "ab"[at % 2], "usual": rate / 4, "standing": [["127.0.0.1", 9001 + at]]} for at in range(4)
     }
     end = 1000.0 + seconds * 1000.0
     found = []
@@ -67,8 +65,7 @@
         )
         exchanges.append(row)
     machines = {
-        number: {"zone": "ab"[number % 2], "cores": 2, "host": "127.0.0.1", "port": 9000 + number}
-        for number in ADDRESS
+        number: {"zone": "ab"[number % 2], "cores": 2, "host": "127.0.0.1", "port": 9000 + number} for number in ADDRESS
     }
     return Daybook(found, machines, proxies, exchanges)
 
@@ -92,9 +89,7 @@
 
 
 def test_speeds_and_slow_spans_follow_from_the_quickest_answers():
-    rows = [
-        (100.0 * at, 100.0 * at + 41.0, "ok", LOOKUP) for at in range(50)
-    ]  # 20 ms of work in 40: speed 0.5
+    rows = [(100.0 * at, 100.0 * at + 41.0, "ok", LOOKUP) for at in range(50)]  # 20 ms of work in 40: speed 0.5
     rows += [(6000.0 + 40.0 * at, 6000.0 + 40.0 * at + 201.0, "ok", LOOKUP) for at in range(10)]
     made = infer({7: rows}, {7: 4})
     assert made.speeds[7] == pytest.approx(0.5)
@@ -196,9 +191,7 @@
     assert found["service"]["service"] > 0.98 and found["breaks"] == []
 
 
-@pytest.mark.parametrize(
-    ("offset", "shift"), [(1000.0, 0.0), (1030.0, 0.0), (91000.0, 90000.0), (-5000.0, -6000.0)]
-)
+@pytest.mark.parametrize(("offset", "shift"), [(1000.0, 0.0), (1030.0, 0.0), (91000.0, 90000.0), (-5000.0, -6000.0)])
 def test_clocks_that_began_apart_are_brought_together(offset, shift):
     assert apart(offset, 1000.0) == shift
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from quillstep.wirehost import decode
-from quillstep.wirehost.host import Host, Planner
+from quillstep.simulator import decode
+from quillstep.simulator.host import Host, Planner
 
 START = "start i=pilot/{} randomSeed=5 novel=1 lanes.count=1 lanes.0.name=save lanes.0.aim=750 odd.key=x"
 LIST = "manifest bank=0 membersList=1\nitem endpoint=7 regionPart=a availability=in_service part=1.5 new=2"
@@ -15,7 +15,7 @@
 
 
 def run(*lines):
-    command = [sys.executable, "-m", "quillstep.wirehost"]
+    command = [sys.executable, "-m", "quillstep.simulator"]
     text = "".join(f"{line}\n" for line in lines)
     return subprocess.run(command, input=text, capture_output=True, text=True)
 
