--- a/quillstep/bench/crash.py
+++ b/quillstep/bench/crash.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from quillstep.store import Store, StoreTrouble
-from quillstep.store.records import Entry, HoldRow, PinRow, VersionRow, number_key, numbers_of
+from quillstep.store import Store, StoreError
+from quillstep.store.records import AcknowledgedRow, Entry, PinRow, VersionRow, number_key, numbers_of
 
 COMMITS, PROXIES = 6, 3
 ROWS = PROXIES + 2
@@ -30,7 +30,7 @@
 
 def commit_of(number: int) -> list[Entry]:
     row = VersionRow(f"v{number}", 0, f"v{number - 1}", "module", "", 1000.0, "e", number, [(1, 10.0)], [(0, 5.0, 1)])
-    held = [Entry("holds", f"p{at}".encode(), HoldRow(f"p{at}", "e", number, 0.0)) for at in range(PROXIES)]
+    held = [Entry("holds", f"p{at}".encode(), AcknowledgedRow(f"p{at}", "e", number, 0.0)) for at in range(PROXIES)]
     pin = Entry("pins", number_key(0), PinRow(0, row.name, "op", 0.0))
     return [Entry("versions", number_key(0, number), row), *held, pin]
 
@@ -96,7 +96,7 @@
             before = store.last_number("versions", number_key(0))
             store.retain(2000.0, KEPT, 1e12, 0)
             store.close()
-        except StoreTrouble as trouble:
+        except StoreError as trouble:
             found["fault"] = str(trouble)
         if found["fault"]:
             found["fault"] = f"kill {found['kills']} at point {kill_at}: {found['fault']}"
--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from quillstep.bench.streams import day_of
-from quillstep.config.records import DayRecord
+from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, judge, longest_channel
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service
@@ -62,7 +62,7 @@
 def measure(name: str, proxies: int, exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
     """One arm at one size."""
     base = day_of(proxies, exchanges_per_s, seconds, 1).model_dump()
-    day = DayRecord.model_validate({**base, **ARMS[name], "name": f"{name} {proxies}"})
+    day = ScenarioSettings.model_validate({**base, **ARMS[name], "name": f"{name} {proxies}"})
     arm = play_arm(day, folder / f"{name.replace(' ', '-')}-{proxies}")
     evidence = arm.evidence()
     # Joins apart from the rest.
--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, day_of
-from quillstep.config.records import DayRecord
+from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, judge, longest_channel
 from quillstep.testbed.scenarios.runner import Arm, play_arm
 from quillstep.testbed.scenarios.service_quality import service
@@ -26,7 +26,7 @@
 }
 
 
-def scaled_day(proxies: int, way: str, exchanges_per_s: float, spans: int, more: dict[str, Any]) -> DayRecord:
+def scaled_day(proxies: int, way: str, exchanges_per_s: float, spans: int, more: dict[str, Any]) -> ScenarioSettings:
     """Spans with and without reports in turn, drains in each; the channel grows with the fleet."""
     seconds = SPAN_S * spans
     base = day_of(proxies, exchanges_per_s, seconds, 1).model_dump()
@@ -44,14 +44,14 @@
         what = "reports_cut" if span % 2 else "reports_heavy"
         base["troubles"].append({"at_s": SPAN_S * span, "for_s": SPAN_S, "what": what, "count": proxies})
     lines = max(3900.0, LINES_A_PROXY * proxies)
-    base["fleet"]["channel"].update(lines_per_s=lines, lines_waiting_most=lines * 1.8)
-    base["limits"].update(connections_most=max(2048, 2 * proxies), news_most=max(4096, 4 * proxies))
+    base["fleet"]["channel"].update(lines_per_s=lines, max_queued_lines=lines * 1.8)
+    base["limits"].update(max_connections=max(2048, 2 * proxies), max_queued_events=max(4096, 4 * proxies))
     base["proxy_processes"] = max(1, min(4, proxies // 32))
     base["warm_up_s"] = 6.0 + proxies / 60.0
     base["reports"] = {**WAYS[way], **more}
     if way == "processes":
         base["reports"]["listen"] = ["127.0.0.1:0"] * max(1, round(proxies / 500.0))
-    return DayRecord.model_validate({**base, "name": f"{proxies} by {way}"})
+    return ScenarioSettings.model_validate({**base, "name": f"{proxies} by {way}"})
 
 
 def acknowledged(evidence: Evidence, begin_ms: float) -> tuple[list[float], list[float], list[float], list[float]]:
@@ -109,7 +109,7 @@
     seconds = SPAN_S * spans
     cpu = word.get("cpu_s", {})
     readers = {name: sum(parts.values()) for name, parts in cpu.items() if isinstance(parts, dict)}
-    limit = day.fleet.channel.lines_waiting_most
+    limit = day.fleet.channel.max_queued_lines
     row = {
         "proxies": proxies, "by": way, "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
         "reports_per_s": round(word.get("reports", 0) / (seconds / 2.0 + day.warm_up_s), 1),
--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from quillstep.bench.streams import day_of
-from quillstep.config.records import DayRecord
+from quillstep.config.scenario import ScenarioSettings
 from quillstep.recording import lives, read_life
 from quillstep.replay.faithful import Replay
 from quillstep.replay.recorded_day import read_daybook
@@ -35,9 +35,9 @@
 }
 
 
-def small_day(kind: str) -> DayRecord:
+def small_day(kind: str) -> ScenarioSettings:
     """Twelve endpoints, twelve proxies, two pilots, one kind of trouble."""
-    return DayRecord.model_validate({
+    return ScenarioSettings.model_validate({
         "name": kind, "seed": 41, "seconds": SECONDS, "proxies": 12, "pilots": 2, "exchanges_per_s": 220.0,
         "fleet": {
             "zones": ["norte", "sur"],
@@ -112,7 +112,7 @@
     plain = day_of(proxies, exchanges_per_s, seconds, 1)
     used = {}
     for capture in (False, True):
-        day = DayRecord.model_validate({**plain.model_dump(), "capture": capture})
+        day = ScenarioSettings.model_validate({**plain.model_dump(), "capture": capture})
         arm = play_arm(day, folder / f"cost-{capture}")
         used[capture] = arm.cpu_s / arm.took_s
     return {
@@ -123,7 +123,9 @@
 
 def run(proxies: int, exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
     """The large day first, then five small ones side by side."""
-    large = DayRecord.model_validate({**day_of(proxies, exchanges_per_s, seconds, 1).model_dump(), "capture": True})
+    large = ScenarioSettings.model_validate(
+        {**day_of(proxies, exchanges_per_s, seconds, 1).model_dump(), "capture": True}
+    )
 
     def played(kind: str) -> Path:
         return play_arm(small_day(kind), folder / kind.replace(" ", "-")).folder
--- a/quillstep/bench/sampling.py
+++ b/quillstep/bench/sampling.py
@@ -4,11 +4,12 @@
 import random
 from typing import Any
 
-from quillstep.config.records import ClassRecord, FleetRecord, ReportsRecord
-from quillstep.load_reports.aggregator import MESSAGE_WORK, Gatherer
+from quillstep.config.controller import LoadReportSettings
+from quillstep.config.fleet import ClassSettings, FleetSettings
+from quillstep.load_reports.aggregator import MESSAGE_WORK, ReportAggregator
 from quillstep.load_reports.sampling import Sampler
 from quillstep.load_reports.upstream_stats import Row
-from quillstep.load_reports.validation import Account, Told
+from quillstep.load_reports.validation import ReportAccount, Told
 
 USUAL_MS = 1000.0
 TRIES_A_S = 2.0  # of the mean proxy at the mean endpoint
@@ -21,12 +22,14 @@
     alone predicts: sqrt((groups - 1) x sum of squares over the rest) / total.
     """
     chance = random.Random(seed)
-    kind = ClassRecord(name="one", agreed_ms=400.0, cut_off_ms=1200.0, credit=1.0, semantics="safe", work_ms=20.0)
-    gatherer = Gatherer(ReportsRecord(work_per_s=1e12), FleetRecord(zones=["a"], classes=[kind]))
+    kind = ClassSettings(
+        name="one", latency_objective_ms=400.0, deadline_ms=1200.0, priority_weight=1.0, semantics="safe", work_ms=20.0
+    )
+    gatherer = ReportAggregator(LoadReportSettings(rows_per_s=1e12), FleetSettings(zones=["a"], classes=[kind]))
     sampler = Sampler(work_per_s, USUAL_MS, seed)
     sizes = [chance.expovariate(1.0) + 0.05 for _ in range(proxies)]
     for proxy in range(proxies):
-        gatherer.joined(Account(proxy, "a", "", USUAL_MS, USUAL_MS), str(proxy))
+        gatherer.joined(ReportAccount(proxy, "a", "", USUAL_MS, USUAL_MS), str(proxy))
         sampler.joined(proxy, 0.0)
     errors: list[float] = []
     stated: list[float] = []
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -16,11 +16,12 @@
 
 from quillstep.bench import crash as killing
 from quillstep.bench.streams import day_of
-from quillstep.config.records import DayRecord, StoreRecord
+from quillstep.config.controller import StoreSettings
+from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import judge, longest_channel, slowest_drain
 from quillstep.routing.resources import LINE, content
 from quillstep.store import Store
-from quillstep.store.records import Entry, VersionRow, Wish, number_key
+from quillstep.store.records import Entry, OperatorCommand, VersionRow, number_key
 from quillstep.testbed.scenarios.plan import plan
 from quillstep.testbed.scenarios.runner import Arm, now_ms, play_arm
 from quillstep.testbed.scenarios.service_quality import service
@@ -30,7 +31,7 @@
 SETTLE_S = 60.0
 SLOW_PART, SLOW = 4, 4.0  # one endpoint in so many is slower by this
 KILL_S, DOWN_S, AFTER_S = 20.0, 1.5, 24.0  # the last reaches beyond the trust in what stood
-TRUST_MS = StoreRecord().trust_ms
+TRUST_MS = StoreSettings().recovery_trust_ms
 RIGHT = 1.25  # the slow ones' part of all weights, over what it was, from which down a table is right again
 
 
@@ -85,7 +86,7 @@
     channel = day.fleet.channel.model_copy(update={"lines_per_s": 3900.0 * scale, "lines_waiting_most": 7000.0 * scale})
     day = day.model_copy(update={
         "fleet": day.fleet.model_copy(update={"channel": channel}), "troubles": [],
-        "store": StoreRecord(folder="store"),
+        "store": StoreSettings(folder="store"),
     })  # fmt: skip
     arm = Arm(day, plan(day), "learnt", folder)
     row: dict[str, Any] = {"what": "rollback", "proxies": proxies}
@@ -114,7 +115,7 @@
         wanted[name(key)] = content(key, ("127.0.0.1", arm.ports[endpoint], weight)).version
     before = sum(row["what"] == "send" for row in arm.evidence().sent)
     begun = now_ms()
-    store.write([Entry("wishes", number_key(time.time_ns()), Wish("rollback", [(0, kind)], "bench", 0.0))])
+    store.write([Entry("wishes", number_key(time.time_ns()), OperatorCommand("rollback", [(0, kind)], "bench", 0.0))])
     ended = Watched(arm).until(wanted, proxies, SETTLE_S)
     sent = [row for row in arm.evidence().sent if row["what"] == "send"][before:]
     return {
@@ -123,11 +124,11 @@
     }  # fmt: skip
 
 
-def crash_day(trust_ms: float, seed: int) -> DayRecord:
+def crash_day(recovery_trust_ms: float, seed: int) -> ScenarioSettings:
     """Slow endpoints that a pilot has learnt, its crash, and drains while it comes back."""
     base = day_of(32, 150.0, KILL_S + DOWN_S + AFTER_S + 4.0, 1).model_dump()
     for row in base["fleet"]["classes"]:
-        row.update(agreed_ms=400.0, cut_off_ms=1500.0)
+        row.update(latency_objective_ms=400.0, deadline_ms=1500.0)
     base["endpoints"] = [{**base["endpoints"][0], "each_zone": 4}]
     count = 16 // SLOW_PART
     last = KILL_S + DOWN_S + AFTER_S + 4.0
@@ -136,13 +137,13 @@
         {"at_s": KILL_S, "for_s": DOWN_S, "what": "pilot_kill", "count": 1},
         {"at_s": KILL_S + DOWN_S + 2.0, "for_s": 4.0, "what": "drain", "count": 1},
     ]
-    base["store"] = {"folder": "store", "trust_ms": trust_ms}
-    return DayRecord.model_validate({**base, "name": f"crash, trust {trust_ms:g}", "seed": seed})
+    base["store"] = {"folder": "store", "trust_ms": recovery_trust_ms}
+    return ScenarioSettings.model_validate({**base, "name": f"crash, trust {recovery_trust_ms:g}", "seed": seed})
 
 
-def crash(trust_ms: float, seed: int, folder: Path) -> dict[str, Any]:
+def crash(recovery_trust_ms: float, seed: int, folder: Path) -> dict[str, Any]:
     """One arm: service before and after, how soon the table is right again, what had to be sent."""
-    day = crash_day(trust_ms, seed)
+    day = crash_day(recovery_trust_ms, seed)
     arm = play_arm(day, folder)
     evidence = arm.evidence()
     killed = arm.begin_ms + KILL_S * 1000.0
@@ -154,7 +155,7 @@
     }
     sent = [row for row in evidence.sent if row["what"] == "send" and back <= row["at"] < until]
     return {
-        "what": "crash", "arm": "store" if trust_ms else "without", "seed": seed,
+        "what": "crash", "arm": "store" if recovery_trust_ms else "without", "seed": seed,
         "rules_broken": len(judge(evidence)), "breaks": [found._asdict() for found in judge(evidence)[:3]],
         **{f"service_{when}": service(day.fleet, rows)["service"] for when, rows in parts.items()},
         "right_again_ms": right_again(arm, killed), "lines_after": sum(row["lines"] for row in sent),
@@ -196,7 +197,7 @@
     """One day with and without a store: CPU of the pilot, commits, drains."""
     rows = []
     for kept in ("", "store"):
-        day = day_of(proxies, 3.0 * proxies, seconds, 1).model_copy(update={"store": StoreRecord(folder=kept)})
+        day = day_of(proxies, 3.0 * proxies, seconds, 1).model_copy(update={"store": StoreSettings(folder=kept)})
         arm = play_arm(day, folder / f"cost-{kept or 'none'}")
         evidence = arm.evidence()
         rows.append({
--- a/quillstep/bench/streams.py
+++ b/quillstep/bench/streams.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from quillstep.config.records import DayRecord
+from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, judge, longest_channel, slowest_drain
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service
@@ -18,10 +18,10 @@
 TIMES = {"agreed_ms": 1200.0, "cut_off_ms": 3000.0, "late_credit": 0.2}
 
 
-def day_of(proxies: int, exchanges_per_s: float, seconds: float, pilots: int) -> DayRecord:
+def day_of(proxies: int, exchanges_per_s: float, seconds: float, pilots: int) -> ScenarioSettings:
     """A plain day at one size: three drains and a return, the rest is traffic."""
     drains = [{"at_s": at, "for_s": 4.0, "what": "drain", "count": 1} for at in (seconds * k / 5 for k in (1, 2, 3))]
-    return DayRecord.model_validate({
+    return ScenarioSettings.model_validate({
         "name": f"{proxies} proxies", "seed": 5, "seconds": seconds, "proxies": proxies, "pilots": pilots,
         "warm_up_s": 4.0 + 24000.0 / 3900.0 * proxies / 262.0 / pilots * 2.5,
         "proxy_processes": max(1, min(4, proxies // 16)), "exchanges_per_s": exchanges_per_s,
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from quillstep.bench.streams import day_of
-from quillstep.config.records import DayRecord
+from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, judge
 from quillstep.model_checking.runner import prove
 from quillstep.testbed.scenarios.runner import Arm, play_arm
@@ -24,7 +24,7 @@
 MATCH_MS = 8000.0  # within which a lost response must be told, or its stream has been ended
 
 
-def traced_day(proxies: int, exchanges_per_s: float, seconds: float) -> DayRecord:
+def traced_day(proxies: int, exchanges_per_s: float, seconds: float) -> ScenarioSettings:
     """The day of `bench streams`, with all that makes orders late or lost."""
     base = day_of(proxies, exchanges_per_s, seconds, 1).model_dump()
     few = max(2, proxies // 20)
@@ -38,15 +38,15 @@
         {"at_s": 6.0 * part, "for_s": 3.0 * part, "what": "proxy_slow_lines", "count": few, "factor": SLOW_LINE_MS},
         {"at_s": 7.0 * part, "for_s": 1.0, "what": "proxy_loses", "count": few, "factor": 1},
     ]
-    return DayRecord.model_validate({**base, "name": f"traced, {proxies} proxies"})
+    return ScenarioSettings.model_validate({**base, "name": f"traced, {proxies} proxies"})
 
 
-def slow_day(proxies: int, spreads: bool) -> DayRecord:
+def slow_day(proxies: int, splits_updates: bool) -> ScenarioSettings:
     """Proxies that apply a line in 3 ms and move between two pilots, each of which learns slots of its own."""
     base = day_of(proxies, 3.0 * proxies, 16.0, 2).model_dump()
     for row in base["fleet"]["classes"]:
-        row.update(agreed_ms=400.0, cut_off_ms=1500.0)
-    base["limits"]["spreads"] = spreads
+        row.update(latency_objective_ms=400.0, deadline_ms=1500.0)
+    base["limits"]["spreads"] = splits_updates
     base["fleet"]["proxies"]["line_ms"] = SLOW_LINE_MS
     base["warm_up_s"] += 4.0
     base["troubles"] = [
@@ -54,7 +54,7 @@
         {"at_s": 5.0, "for_s": 4.0, "what": "drain", "count": 2},
         {"at_s": 9.0, "for_s": 2.0, "what": "proxy_cut", "count": proxies // 2},
     ]
-    return DayRecord.model_validate({**base, "name": f"slow lines, {proxies} proxies"})
+    return ScenarioSettings.model_validate({**base, "name": f"slow lines, {proxies} proxies"})
 
 
 def judged(evidence: Evidence) -> dict[str, Any]:
@@ -92,7 +92,7 @@
     return len(spans), orphans
 
 
-def measure(day: DayRecord, name: str, folder: Path) -> dict[str, Any]:
+def measure(day: ScenarioSettings, name: str, folder: Path) -> dict[str, Any]:
     """One arm of the traced day."""
     record, spans = ARMS[name]
     arm = play_arm(day.model_copy(update={"record": record, "spans": spans}), folder)
@@ -116,15 +116,15 @@
     return row
 
 
-def spread(proxies: int, spreads: bool, folder: Path) -> dict[str, Any]:
+def spread(proxies: int, splits_updates: bool, folder: Path) -> dict[str, Any]:
     """One arm of the slow day: how long proxies stood still at once."""
-    day = slow_day(proxies, spreads)
+    day = slow_day(proxies, splits_updates)
     arm = play_arm(day, folder)
     evidence = arm.evidence()
     stood = sorted(row.get("stood", 0.0) for row in evidence.applied if row["at"] >= arm.begin_ms)
     breaks = judge(evidence)
     return {
-        "arm": "spread" if spreads else "all at once", "rules_broken": len(breaks),
+        "arm": "spread" if splits_updates else "all at once", "rules_broken": len(breaks),
         "breaks": [found._asdict() for found in breaks[:5]],
         "stood_still_most_ms": round(stood[-1], 1), "stood_still_p99_ms": round(stood[int(0.99 * len(stood))], 1),
         "exchange_p99_ms": took(evidence, 0.99), "service": service(day.fleet, evidence.exchanges)["service"],
--- a/quillstep/cli/main.py
+++ b/quillstep/cli/main.py
@@ -13,8 +13,10 @@
 from rich.table import Table
 
 from quillstep.cli.store import store, tables
-from quillstep.config.cue import Fault
-from quillstep.config.records import DayRecord, PilotRecord, changed, load
+from quillstep.config.controller import ControllerSettings
+from quillstep.config.cue import ConfigError
+from quillstep.config.loading import changed, load
+from quillstep.config.scenario import ScenarioSettings
 from quillstep.logging import configure_logging
 
 
@@ -30,7 +32,7 @@
 def checked(kind: type, path: str) -> Any:
     try:
         return load(kind, path)
-    except Fault as fault:
+    except ConfigError as fault:
         click.echo(f"quillstep: {fault}", err=True)
         sys.exit(2)
 
@@ -40,24 +42,24 @@
 @click.option("--with-parent", is_flag=True, help="End when standard input does.")
 def pilot(settings: str, with_parent: bool) -> None:
     """Run one pilot until it is told to stop."""
-    record = checked(PilotRecord, settings)
-    from quillstep.controller.service import Pilot
-    from quillstep.files.disk import Refused
-    from quillstep.store import StoreTrouble
+    record = checked(ControllerSettings, settings)
+    from quillstep.controller.service import Controller
+    from quillstep.files.disk import UnusableFileError
+    from quillstep.store import StoreError
     from quillstep.store.writer import opened
 
     kept = None
     try:
         kept = opened(record.store) if record.store.folder else None
-    except StoreTrouble as trouble:
+    except StoreError as trouble:
         if trouble.kind == "newer":
             click.echo(f"quillstep: {settings}: store.folder: {trouble}", err=True)
             sys.exit(2)
         structlog.get_logger("store").error("store left out", kind=trouble.kind, reason=str(trouble))
         record = record.model_copy(update={"store": record.store.model_copy(update={"folder": ""})})
     try:
-        running = Pilot(record, kept)
-    except Refused as trouble:
+        running = Controller(record, kept)
+    except UnusableFileError as trouble:
         click.echo(f"quillstep: {settings}: files.root: {trouble}", err=True)
         sys.exit(2)
     except OSError as trouble:
@@ -92,12 +94,12 @@
 
     The last line of standard output is one JSON object.
     """
-    record = checked(DayRecord, script)
+    record = checked(ScenarioSettings, script)
     if seed is not None:
         changes = (*changes, f"seed={seed}")
     try:
         record = changed(record, changes_of(changes))
-    except Fault as fault:
+    except ConfigError as fault:
         click.echo(f"quillstep: {fault}", err=True)
         sys.exit(2)
     from quillstep.testbed.scenarios.child_processes import ChildError
@@ -133,11 +135,11 @@
 
 
 def lives_of(folder: str) -> Any:
-    from quillstep.recording import BadBlock, lives
+    from quillstep.recording import CorruptBlockError, lives
 
     try:
         found = lives(Path(folder))
-    except BadBlock as trouble:
+    except CorruptBlockError as trouble:
         click.echo(f"quillstep: {trouble}", err=True)
         sys.exit(1)
     if not found:
@@ -214,12 +216,12 @@
 @click.argument("out", type=click.Path())
 def capture_keep(folder: str, out: str) -> None:
     """What replays need of a played arm, and no more: captures, the fleet, the exchanges."""
-    from quillstep.recording import BadBlock
+    from quillstep.recording import CorruptBlockError
     from quillstep.replay.recorded_day import keep
 
     try:
         click.echo(f"{out}: {keep(Path(folder), Path(out))} exchanges")
-    except (OSError, BadBlock) as trouble:
+    except (OSError, CorruptBlockError) as trouble:
         click.echo(f"quillstep: {trouble}", err=True)
         sys.exit(2)
 
@@ -259,23 +261,23 @@
 
 
 def changes_of(texts: tuple[str, ...]) -> dict[str, Any]:
-    from quillstep.config.records import parse_changes
+    from quillstep.config.loading import parse_changes
 
     try:
         return parse_changes(texts)
-    except Fault as fault:
+    except ConfigError as fault:
         click.echo(f"quillstep: {fault}", err=True)
         sys.exit(2)
 
 
 def daybook_of(folder: str) -> Any:
-    from quillstep.recording import BadBlock
+    from quillstep.recording import CorruptBlockError
     from quillstep.replay.recorded_day import read_daybook
 
     configure_logging("auto", "error")
     try:
         return read_daybook(Path(folder))
-    except (OSError, BadBlock) as trouble:
+    except (OSError, CorruptBlockError) as trouble:
         click.echo(f"quillstep: {trouble}", err=True)
         sys.exit(2)
 
@@ -312,7 +314,7 @@
     book = daybook_of(folder)
     try:
         found = compare_days(book, changes_of(against), changes_of(changes), seeds)
-    except Fault as fault:
+    except ConfigError as fault:
         click.echo(f"quillstep: {fault}", err=True)
         sys.exit(2)
     show_comparison(folder, found)
@@ -365,7 +367,7 @@
     changes = [changes_of((f"{path}={value}",)) for value in values.split(",") if value]
     try:
         rows = run(daybook_of(folder), changes, seeds)
-    except Fault as fault:
+    except ConfigError as fault:
         click.echo(f"quillstep: {fault}", err=True)
         sys.exit(2)
     table = Table(title=f"{folder}: {path}")
@@ -573,7 +575,7 @@
 @click.argument("path", type=click.Path())
 def check(kind: str, path: str) -> None:
     """Check a settings file and say what is wrong with it."""
-    checked({"pilot": PilotRecord, "day": DayRecord}[kind], path)
+    checked({"pilot": ControllerSettings, "day": ScenarioSettings}[kind], path)
     click.echo(f"{path}: a sound {kind} record")
 
 
--- a/quillstep/cli/store.py
+++ b/quillstep/cli/store.py
@@ -14,11 +14,12 @@
 from rich.console import Console
 from rich.table import Table
 
-from quillstep.config.cue import Fault
-from quillstep.config.records import PilotRecord, load
+from quillstep.config.controller import ControllerSettings
+from quillstep.config.cue import ConfigError
+from quillstep.config.loading import load
 from quillstep.routing.resources import TABLES, terms_of
-from quillstep.store import Store, StoreTrouble
-from quillstep.store.records import Entry, VersionRow, Wish, number_key
+from quillstep.store import Store, StoreError
+from quillstep.store.records import Entry, OperatorCommand, VersionRow, number_key
 
 TAKEN_S = 5.0  # that a running pilot is given to take an order
 LOOK_S = 0.05
@@ -34,16 +35,16 @@
 
     def __init__(self, path: str, write: bool = False) -> None:
         try:
-            self.record = load(PilotRecord, path)
-        except Fault as fault:
+            self.record = load(ControllerSettings, path)
+        except ConfigError as fault:
             fail(fault)
         if not self.record.store.folder:
             fail(f"{path}: store.folder: found nothing, expected a folder")
         fleet = self.record.fleet
-        self.terms = terms_of(fleet.zones, any(row.home_only for row in fleet.classes))
+        self.terms = terms_of(fleet.zones, any(row.home_zone_only for row in fleet.classes))
         try:
-            self.store = Store(self.record.store.folder, self.record.store.size_most_bytes, write=write)
-        except StoreTrouble as trouble:
+            self.store = Store(self.record.store.folder, self.record.store.max_size_bytes, write=write)
+        except StoreError as trouble:
             fail(trouble)
         click.get_current_context().call_on_close(self.store.close)
 
@@ -65,13 +66,13 @@
     def rows(self, part: str) -> list[tuple[bytes, Any]]:
         try:
             return self.store.rows(part)
-        except StoreTrouble as trouble:
+        except StoreError as trouble:
             fail(trouble)
 
     def versions(self, table: int) -> list[VersionRow]:
         try:
             return self.store.versions(table)
-        except StoreTrouble as trouble:
+        except StoreError as trouble:
             fail(trouble)
 
     def version(self, table: int, name: str) -> VersionRow:
@@ -101,14 +102,14 @@
     def ask(self, kind: str, targets: list[tuple[int, str]]) -> dict[str, Any]:
         """Write an operator's order down, and wait a little for a running pilot to take it."""
         key = number_key(time.time_ns())
-        wish = Wish(kind, targets, getpass.getuser(), time.time() * 1000.0)
+        wish = OperatorCommand(kind, targets, getpass.getuser(), time.time() * 1000.0)
         try:
             self.store.write([Entry("wishes", key, wish)])
             until = time.monotonic() + TAKEN_S
             while time.monotonic() < until and any(found == key for found, _ in self.store.rows("wishes")):
                 time.sleep(LOOK_S)
             taken = all(found != key for found, _ in self.store.rows("wishes"))
-        except StoreTrouble as trouble:
+        except StoreError as trouble:
             fail(trouble)
         return {"asked": kind, "targets": [[table % TABLES, name] for table, name in targets], "taken": taken}
 
@@ -274,7 +275,7 @@
         fail(f"{folder}: no store there")
     try:
         found = Store(folder, size, write=write)
-    except StoreTrouble as trouble:
+    except StoreError as trouble:
         fail(trouble)
     click.get_current_context().call_on_close(found.close)
     return found
@@ -286,7 +287,7 @@
     """Read all of it; status 1 if anything does not fit its checksum."""
     try:
         found = opened(folder).check()
-    except StoreTrouble as trouble:
+    except StoreError as trouble:
         found = {"bad": [str(trouble)]}
     say(found)
     sys.exit(1 if found["bad"] else 0)
@@ -301,7 +302,7 @@
         fail(f"{to}: it is there already")
     try:
         opened(folder).compact(Path(to))
-    except (StoreTrouble, OSError) as trouble:
+    except (StoreError, OSError) as trouble:
         fail(trouble)
     sizes = [sum(path.stat().st_size for path in Path(each).glob("data.mdb")) for each in (folder, to)]
     say({"bytes_before": sizes[0], "bytes_after": sizes[1]})
@@ -319,7 +320,7 @@
                 out.write(msgspec.json.encode(line) + b"\n")
                 count += 1
             out.write(msgspec.json.encode({"rows": count}) + b"\n")  # an export without its last line is torn
-    except (OSError, StoreTrouble) as trouble:
+    except (OSError, StoreError) as trouble:
         fail(trouble)
     say({"rows": count})
 
@@ -339,5 +340,5 @@
 
     try:
         say({"rows": opened(folder, write=True).take_in(lines())})
-    except (ValueError, StoreTrouble, zstandard.ZstdError) as trouble:  # a line that does not decode is a ValueError
+    except (ValueError, StoreError, zstandard.ZstdError) as trouble:  # a line that does not decode is a ValueError
         fail(trouble)
--- a/quillstep/config/cue.py
+++ b/quillstep/config/cue.py
@@ -64,7 +64,7 @@
 }
 
 
-class Fault(Exception):
+class ConfigError(Exception):
     """Settings that do not check; the text names file, line, path, what was found and what was expected."""
 
     def __init__(self, file: str, line: int, path: str, found: str, expected: str) -> None:
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True)
 class Origin:
-    """Where each path of a file was written: `line(path)` for a path such as `fleet.classes.0.credit`."""
+    """Where each path of a file was written: `line(path)` for a path such as `fleet.classes.0.priority_weight`."""
 
     file: str
     lines: dict[str, int]
@@ -127,7 +127,7 @@
 
 
 def read(path: str | Path) -> tuple[dict[str, Any], Origin]:
-    """A file as plain values and the lines they stand on.  Raises `Fault`, and OSError where it can't be read."""
+    """A file as plain values and the lines they stand on.  Raises `ConfigError`, and OSError where it can't be read."""
     return read_text(Path(path).read_text(encoding="utf-8"), str(path))
 
 
@@ -136,11 +136,11 @@
     try:
         tree = _grammar().parse(text)
     except UnexpectedToken as trouble:
-        raise Fault(file, trouble.line, "", f"{trouble.token!s}" or "the end", _hopes(trouble)) from None
+        raise ConfigError(file, trouble.line, "", f"{trouble.token!s}" or "the end", _hopes(trouble)) from None
     except UnexpectedCharacters as trouble:
-        raise Fault(file, trouble.line, "", text[trouble.pos_in_stream :][:1], "a value or a name") from None
+        raise ConfigError(file, trouble.line, "", text[trouble.pos_in_stream :][:1], "a value or a name") from None
     except UnexpectedInput:
-        raise Fault(file, text.count("\n") + 1, "", "the end", "the rest of a record") from None
+        raise ConfigError(file, text.count("\n") + 1, "", "the end", "the rest of a record") from None
     reader = _Reader(file)
     node = reader.members(tree.children, [], 1, "")
     origin = Origin(file, {})
@@ -171,8 +171,8 @@
         self.file = file
         self.open: set[int] = set()  # references being followed, to tell a circle
 
-    def fault(self, line: int, path: str, found: str, expected: str) -> Fault:
-        return Fault(self.file, line, path, found, expected)
+    def fault(self, line: int, path: str, found: str, expected: str) -> ConfigError:
+        return ConfigError(self.file, line, path, found, expected)
 
     def members(self, children: list, scopes: list[dict], line: int, path: str) -> Node:
         raw: dict[str, list[Tree]] = {}
@@ -312,13 +312,13 @@
         left_default = any(default for default, _ in left)
         right_default = any(default for default, _ in right)
         kept: list[tuple[bool, Node]] = []
-        troubles: list[Fault] = []
+        troubles: list[ConfigError] = []
         for first, a in left:
             for second, b in right:
                 try:
                     chosen = (first or not left_default) and (second or not right_default)
                     kept.append((chosen and (left_default or right_default), self.unify(a, b, path)))
-                except Fault as trouble:
+                except ConfigError as trouble:
                     troubles.append(trouble)
         if not kept:
             given, asked = (one, two) if one.known or one.record is not None else (two, one)
--- /dev/null
+++ b/quillstep/config/loading.py
@@ -0,0 +1,176 @@
+"""Reads settings files into checked records, changes single settings, and checks that values fit each other."""
+
+import json
+from pathlib import Path
+from typing import Any, TypeVar
+
+from pydantic import ValidationError
+
+from quillstep.config.base import Settings
+from quillstep.config.controller import LoadReportSettings
+from quillstep.config.cue import ConfigError, Origin, read, shown
+from quillstep.config.fleet import ClassSettings, FleetSettings
+from quillstep.config.scenario import FaultSettings
+
+MIN_QUEUED_S = 0.5  # of the channel's rate that must fit in its queue
+
+S = TypeVar("S", bound=Settings)
+
+
+def load(kind: type[S], path: str | Path) -> S:
+    """Reads a settings file into a checked record.
+
+    Raises:
+        ConfigError: the file is missing, unreadable, or does not check.
+    """
+    try:
+        found, origin = read(path)
+    except (OSError, UnicodeDecodeError) as error:
+        raise ConfigError(str(path), 0, "", type(error).__name__, "a readable UTF-8 file") from error
+    return check(kind, found, origin)
+
+
+def check(kind: type[S], found: dict[str, Any], origin: Origin) -> S:
+    """Makes a record of plain values under their names in files.
+
+    Raises:
+        ConfigError: the first value that is wrong, with its place in the file.
+    """
+    try:
+        record = kind.model_validate(found, by_alias=True, by_name=False)
+    except ValidationError as error:
+        first = error.errors(include_url=False)[0]
+        path = ".".join(str(part) for part in first["loc"])
+        is_missing = first["type"] == "missing"
+        what = "nothing" if is_missing else _brief(first["input"])
+        raise ConfigError(origin.file, origin.line(path), path, what, _expected(first)) from error
+    _check_consistency(record, origin)
+    return record
+
+
+def check_older(kind: type[S], plain: dict[str, Any]) -> S:
+    """A record that an older version wrote: fields that no longer exist are left out; the rest must check."""
+    try:
+        return kind.model_validate(plain, by_alias=True, by_name=False)
+    except ValidationError as error:
+        unknown = [each["loc"] for each in error.errors() if each["type"] == "extra_forbidden"]
+        if not unknown:
+            raise
+    kept = json.loads(json.dumps(plain))
+    for *parents, last in unknown:
+        at = kept
+        for name in parents:
+            at = at[name]
+        del at[last]
+    return check_older(kind, kept)
+
+
+def _brief(value: Any) -> str:
+    return shown(value) if not isinstance(value, dict | list) else f"a {type(value).__name__}"
+
+
+def _expected(first: Any) -> str:
+    if first["type"] == "missing":
+        return "a value"
+    if first["type"] == "extra_forbidden":
+        return "no such field here"
+    text = str(first["msg"]).replace("Input should be ", "").replace("String should", "a text that should")
+    return text[0].lower() + text[1:]
+
+
+def _check_consistency(record: Settings, origin: Origin) -> None:
+    """Checks what no single field shows: that values fit each other."""
+    fleet = getattr(record, "fleet", record)
+    if not isinstance(fleet, FleetSettings):
+        return
+    prefix = "fleet." if fleet is not record else ""
+    _check_classes(fleet.classes, prefix, origin)
+    _check_channel(fleet, prefix, origin)
+    zones = set(fleet.zones)
+    for at, fault in enumerate(getattr(record, "faults", [])):
+        _check_fault(fault, f"troubles.{at}", fleet, origin)
+    reports = getattr(record, "reports", None)
+    if reports is not None:
+        _check_report_addresses(reports, origin)
+    zone = getattr(record, "zone", "")
+    if zone and zone not in zones:
+        _wrong(origin, "zone", shown(zone), "one of " + ", ".join(sorted(zones)))
+
+
+def _check_classes(classes: list[ClassSettings], prefix: str, origin: Origin) -> None:
+    names: set[str] = set()
+    for at, row in enumerate(classes):
+        path = f"{prefix}classes.{at}"
+        if row.name in names:
+            _wrong(origin, f"{path}.name", shown(row.name), "a name that no other class has")
+        names.add(row.name)
+        if row.deadline_ms < row.latency_objective_ms:
+            expected = f"at least {row.latency_objective_ms:g}, agreed_ms"
+            _wrong(origin, f"{path}.cut_off_ms", f"{row.deadline_ms:g}", expected)
+        if row.semantics == "keyed" and not (row.idempotency_scope and row.idempotency_window_ms):
+            _wrong(origin, path, "a keyed class without them", "scope and window_ms")
+
+
+def _check_channel(fleet: FleetSettings, prefix: str, origin: Origin) -> None:
+    queued, least = fleet.channel.max_queued_lines, fleet.channel.lines_per_s * MIN_QUEUED_S
+    if queued < least:
+        expected = f"{least:g} or more, half a second"
+        _wrong(origin, f"{prefix}channel.lines_waiting_most", f"{queued:g}", expected)
+
+
+def _check_fault(fault: FaultSettings, path: str, fleet: FleetSettings, origin: Origin) -> None:
+    if fault.zone and fault.zone not in fleet.zones:
+        _wrong(origin, f"{path}.zone", shown(fault.zone), "one of " + ", ".join(sorted(set(fleet.zones))))
+    class_names = {row.name for row in fleet.classes}
+    names_unknown_class = bool(fault.class_name) and fault.class_name not in class_names
+    if (fault.what == "tighten") != bool(fault.class_name) or names_unknown_class:
+        _wrong(origin, f"{path}.kind", shown(fault.class_name), "a class with `tighten`, nothing else")
+
+
+def _check_report_addresses(reports: LoadReportSettings, origin: Origin) -> None:
+    if (reports.by == "processes") != bool(reports.listen):
+        found = f"{len(reports.listen)} with by: {shown(reports.by)}"
+        _wrong(origin, "reports.listen", found, 'one address a process with by: "processes", else none')
+
+
+def _wrong(origin: Origin, path: str, found: str, expected: str) -> None:
+    raise ConfigError(origin.file, origin.line(path), path, found, expected)
+
+
+def changed(record: S, change: dict[str, Any]) -> S:
+    """A record with some paths set, by their names in files.
+
+    Raises:
+        ConfigError: a path does not exist or a value does not check.
+    """
+    plain = record.model_dump()
+    for path, value in change.items():
+        at: Any = plain
+        *parents, last = path.split(".")
+        for name in parents:
+            if isinstance(at, list):
+                at = at[int(name)] if name.isdigit() and int(name) < len(at) else None
+            else:
+                at = at.get(name) if isinstance(at, dict) else None
+        if not isinstance(at, dict) or last not in at:
+            raise ConfigError("--set", 1, path, "no such setting", "a path of the record")
+        at[last] = value
+    return check(type(record), plain, Origin("--set", {}))
+
+
+def parse_changes(texts: tuple[str, ...] | list[str]) -> dict[str, Any]:
+    """Reads `path=value` texts; values are JSON where they read as such.
+
+    Raises:
+        ConfigError: a text without a value.
+    """
+    change: dict[str, Any] = {}
+    for each in texts:
+        path, equals, value = each.partition("=")
+        if not equals:
+            raise ConfigError("--set", 1, path, "no value", "path=value")
+        try:
+            change[path] = json.loads(value)
+        except ValueError:
+            change[path] = value
+    return change
--- a/quillstep/config/start_settings.py
+++ b/quillstep/config/start_settings.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from quillstep.planner.messages import ClassFacts, StartFacts
+from quillstep.planner.messages import ClassConfig, PlannerConfig
 
 
 def number(found: dict[str, str], key: str, absent: float = 0.0, to: Callable = float) -> float:
@@ -35,45 +35,45 @@
     return found.get(key, "") in ("1", "true")
 
 
-def start_facts(found: dict[str, str]) -> tuple[StartFacts, list[str]]:
+def planner_config_of_start(found: dict[str, str]) -> tuple[PlannerConfig, list[str]]:
     """The settings of a `start` in our words, and the wire's names of the classes by their places."""
     places = range(whole(found, "lanes.count"))
-    home_only = found.get("specifics.homeOnly", "").split(",")
+    home_zone_only = found.get("specifics.homeOnly", "").split(",")
     classes = []
     for place in places:
         lane = f"lanes.{place}."
         classes.append(
-            ClassFacts(
-                agreed_ms=ms(found, lane + "aim"),
-                credit=number(found, lane + "worth"),
+            ClassConfig(
+                latency_objective_ms=ms(found, lane + "aim"),
+                priority_weight=number(found, lane + "worth"),
                 semantics=found.get(lane + "semantics", "unsafe"),
-                scope=found.get(lane + "keyScope", ""),
-                window_ms=ms(found, lane + "repeatWindow"),
-                home_only=place < len(home_only) and home_only[place] in ("1", "true"),
+                idempotency_scope=found.get(lane + "keyScope", ""),
+                idempotency_window_ms=ms(found, lane + "repeatWindow"),
+                home_zone_only=place < len(home_zone_only) and home_zone_only[place] in ("1", "true"),
             )
         )
-    facts = StartFacts(
+    facts = PlannerConfig(
         classes=classes,
         zones=[zone for zone in found.get("zones", "").split(",") if zone],
         slices=whole(found, "specifics.slices"),
-        list_on_request=found.get("discovery") == "on_request",
-        may_probe=yes(found, "allowed.probing"),
-        load_by_probe=found.get("stats.how") == "probe",
+        watches_on_request=found.get("discovery") == "on_request",
+        health_checks_allowed=yes(found, "allowed.probing"),
+        load_from_health_checks=found.get("stats.how") == "probe",
         admission=found.get("specifics.admission", "none"),
-        base_mode=whole(found, "specifics.baseMode"),
-        try_factor=number(found, "specifics.tryFactor"),
-        ejects=whole(found, "specifics.ejects"),
-        standing=whole(found, "specifics.standing"),
-        report_every_ms=ms(found, "specifics.reportEvery"),
-        channel_rate=number(found, "specifics.channelRate"),
+        default_retry_policy=whole(found, "specifics.baseMode"),
+        attempt_timeout_factor=number(found, "specifics.tryFactor"),
+        local_ejection_failures=whole(found, "specifics.ejects"),
+        initial_table_size=whole(found, "specifics.standing"),
+        report_interval_ms=ms(found, "specifics.reportEvery"),
+        channel_lines_per_s=number(found, "specifics.channelRate"),
         lines_per_message=number(found, "specifics.perMessage"),
-        lines_waiting_most=number(found, "specifics.mostWaiting"),
-        messages_most=whole(found, "specifics.pushesAllowed"),
-        messages_over_ms=ms(found, "specifics.messagesOver"),
-        order_late_most_ms=ms(found, "specifics.lateMost"),
+        max_queued_lines=number(found, "specifics.mostWaiting"),
+        max_messages=whole(found, "specifics.pushesAllowed"),
+        message_window_ms=ms(found, "specifics.messagesOver"),
+        max_update_delay_ms=ms(found, "specifics.lateMost"),
         drain_grace_ms=ms(found, "rules.stopSendingWithin"),
-        start_capacity=number(found, "rules.startCapacity"),
-        warm_after_ms=ms(found, "rules.warmAfter"),
-        fall_multiple=number(found, "rules.fallMultiple"),
+        initial_capacity=number(found, "rules.startCapacity"),
+        warm_up_ms=ms(found, "rules.warmAfter"),
+        overload_multiple=number(found, "rules.fallMultiple"),
     )
     return facts, [found.get(f"lanes.{place}.name", "") for place in places]
--- a/quillstep/controller/control_intervals.py
+++ b/quillstep/controller/control_intervals.py
@@ -3,15 +3,15 @@
 import heapq
 from typing import Any
 
-from quillstep.planner.messages import Incoming, Orders
+from quillstep.planner.messages import Observations, PlannerOutput
 
 
-class Rounds:
-    """Gathers news for `gather_ms` from the first of it on, and calls the module once with all of it."""
+class ControlIntervals:
+    """Gathers news for `batch_window_ms` from the first of it on, and calls the module once with all of it."""
 
-    def __init__(self, planner: Any, gather_ms: float) -> None:
-        self.planner, self.gather_ms = planner, gather_ms
-        self.incoming = Incoming(0.0)
+    def __init__(self, planner: Any, batch_window_ms: float) -> None:
+        self.planner, self.batch_window_ms = planner, batch_window_ms
+        self.incoming = Observations(0.0)
         self.news_ms: float | None = None  # when the first news since the last round came
         self.wakes: list[tuple[float, int]] = []
         self.count = 0
@@ -25,16 +25,16 @@
 
     def due_ms(self) -> float:
         due = self.wakes[0][0] if self.wakes else float("inf")
-        return due if self.news_ms is None else min(due, self.news_ms + self.gather_ms)
+        return due if self.news_ms is None else min(due, self.news_ms + self.batch_window_ms)
 
-    def begin(self, now_ms: float) -> Incoming:
+    def begin(self, now_ms: float) -> Observations:
         """All that came in, for a round at this time; what comes from now on is the next one's."""
         while self.wakes and self.wakes[0][0] <= now_ms:
             heapq.heappop(self.wakes)
-        incoming, self.incoming, self.news_ms = self.incoming, Incoming(0.0), None
+        incoming, self.incoming, self.news_ms = self.incoming, Observations(0.0), None
         incoming.now_ms = now_ms
         return incoming
 
-    def call(self, incoming: Incoming, orders: Orders) -> None:
-        self.planner.round(incoming, orders)
+    def call(self, incoming: Observations, orders: PlannerOutput) -> None:
+        self.planner.run_interval(incoming, orders)
         self.count += 1
--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -9,23 +9,30 @@
 
 import structlog
 
-from quillstep.config.records import PilotRecord, start_facts
+from quillstep.config.controller import ControllerSettings
+from quillstep.config.planner_config import planner_config
 from quillstep.controller.baselines import EvenPlanner, ListedPlanner
-from quillstep.controller.control_intervals import Rounds
-from quillstep.controller.plain_stats import PlainIntake
-from quillstep.controller.update_channel import Channel
-from quillstep.load_reports.aggregator import Asked, Gatherer
-from quillstep.load_reports.collector import INTAKE_PART, Intake
-from quillstep.load_reports.validation import Account, Told
-from quillstep.planner.messages import Incoming
+from quillstep.controller.control_intervals import ControlIntervals
+from quillstep.controller.plain_stats import PlainStats
+from quillstep.controller.update_channel import UpdateChannel
+from quillstep.load_reports.aggregator import Asked, ReportAggregator
+from quillstep.load_reports.collector import INTAKE_PART, ReportCollector
+from quillstep.load_reports.validation import ReportAccount, Told
+from quillstep.planner.messages import (
+    EndpointEntry,
+    EndpointListUpdate,
+    HealthCheckResult,
+    Observations,
+    ProxyStreamEvent,
+)
 from quillstep.planner.planner import Planner
-from quillstep.routing import Push, Tables
+from quillstep.routing import ProxyUpdate, Tables
 from quillstep.routing.ack_latency import STALL_PART
-from quillstep.routing.recovery import trust_ms
+from quillstep.routing.recovery import recovery_trust_ms
 from quillstep.routing.resources import terms_of
-from quillstep.routing.retry_policies import Ways, allowed_way
-from quillstep.routing.rollout_gate import Gate
-from quillstep.routing.versions import Book, Version, version_of
+from quillstep.routing.retry_policies import RetryPolicies, allowed_way
+from quillstep.routing.rollout_gate import RolloutGate
+from quillstep.routing.versions import Version, VersionedTables, version_of
 
 PLANNERS: dict[str, Any] = {"learnt": Planner, "even": EvenPlanner, "listed": ListedPlanner}
 ORDERS_KEPT = 4096  # whose times are remembered
@@ -39,41 +46,47 @@
     """There is no store."""
 
 
-class Core:
+class ControllerCore:
     """Gathers news, calls the module once a round with all of it, and lets pushes leave the channel."""
 
-    def __init__(self, record: PilotRecord) -> None:
+    def __init__(self, record: ControllerSettings) -> None:
         self.record = record
-        self.facts = start_facts(record.fleet)
+        self.facts = planner_config(record.fleet)
         channel, proxies = record.fleet.channel, record.fleet.proxies
-        self.planner = PLANNERS[record.decides](self.facts, record.seed)
-        self.next_round = Rounds(self.planner, record.gather_ms)
+        self.planner = PLANNERS[record.planner_kind](self.facts, record.seed)
+        self.next_round = ControlIntervals(self.planner, record.batch_window_ms)
         classes = record.fleet.classes
-        self.ways = Ways([allowed_way(row.semantics) for row in classes], [row.cut_off_ms for row in classes])
-        stall_ms = STALL_PART * min(row.agreed_ms for row in classes) if record.limits.spreads else 0.0
+        self.ways = RetryPolicies([allowed_way(row.semantics) for row in classes], [row.deadline_ms for row in classes])
+        stall_ms = (
+            STALL_PART * min(row.latency_objective_ms for row in classes) if record.limits.splits_updates else 0.0
+        )
         self.tables = Tables(
-            len(classes), proxies.admission, proxies.base_tries, channel.lines_per_message, ways=self.ways,
-            late_most_ms=channel.late_most_ms, stall_ms=stall_ms,
-            messages_most=channel.messages_most, messages_over_ms=channel.messages_over_ms,
+            len(classes), proxies.admission, proxies.default_retry_policy, channel.lines_per_message, ways=self.ways,
+            max_ack_delay_ms=channel.max_ack_delay_ms, stall_ms=stall_ms,
+            max_messages=channel.max_messages, message_window_ms=channel.message_window_ms,
         )  # fmt: skip
         knobs = record.gate
-        gate = Gate(knobs.moves_most, knobs.moves_over_ms, self.ways.allowed) if knobs.on else None
+        gate = RolloutGate(knobs.max_moved_share, knobs.move_window_ms, self.ways.allowed) if knobs.enabled else None
         self.versions: list[Version] = []  # that have come to stand, and are to be stored
-        self.book = Book(self.tables, gate, self.versions.append if record.store.folder else forget)
+        self.book = VersionedTables(self.tables, gate, self.versions.append if record.store.folder else forget)
         self.granted: list[tuple[str, str, list[Version]]] = []  # operators' wishes: key, kind, versions or tables
         self.durable = 0.0 if record.store.folder else float("inf")  # orders up to this one are stored
-        self.unstored: deque[tuple[Push, float]] = deque()  # pushes that have left the channel and wait for the store
+        self.unstored: deque[tuple[ProxyUpdate, float]] = (
+            deque()
+        )  # pushes that have left the channel and wait for the store
         self.urgent: deque[int] = deque(maxlen=URGENT_KEPT)  # orders that wait for no store
         self.late_stores = 0  # pushes that left before they were durable
         self.catch_up_ms = 0.0  # when tables that wait are looked at next
         self.told_held: dict[tuple[int, str, int, int], float] = {}  # what the gate kept, and when it was told
-        self.terms = terms_of(record.fleet.zones, any(row.home_only for row in classes))
+        self.terms = terms_of(record.fleet.zones, any(row.home_zone_only for row in classes))
         self.started: dict[int, float] = {}  # when each listed endpoint started, 0: long ago
-        self.channel = Channel(channel.lines_per_s)
-        self.plain = PlainIntake(INTAKE_PART * proxies.report_every_ms)
-        self.intake = Intake(record)
+        self.channel = UpdateChannel(channel.lines_per_s)
+        self.plain = PlainStats(INTAKE_PART * proxies.report_interval_ms)
+        self.intake = ReportCollector(record)
         self.by_inbox = record.reports.by == "inbox"
-        self.gatherer = Gatherer(record.reports, record.fleet)  # of reports that come with the news, as files do
+        self.gatherer = ReportAggregator(
+            record.reports, record.fleet
+        )  # of reports that come with the news, as files do
         self.asked: list[Asked] = []  # what proxies are to be asked for
         self.moves: list[tuple] = []  # what other gatherers are to be told: joins, leaves, addresses
         self.places = {row.name: place for place, row in enumerate(record.fleet.classes)}
@@ -93,7 +106,7 @@
     # news
 
     @property
-    def incoming(self) -> Incoming:
+    def incoming(self) -> Observations:
         return self.next_round.incoming
 
     @property
@@ -103,7 +116,7 @@
     def heard(self, now_ms: float) -> None:
         self.next_round.heard(now_ms)
 
-    def roster(self, kind: str, entries: list[tuple], addresses: dict[int, tuple[str, int]]) -> None:
+    def roster(self, kind: str, entries: list[EndpointEntry], addresses: dict[int, tuple[str, int]]) -> None:
         """News of the list; entries as the interface has them."""
         for endpoint, (host, port) in addresses.items():
             self.endpoints[host, port] = endpoint
@@ -112,9 +125,9 @@
             self.gatherer.listed(self.endpoints)
             self.moves.append(("listed", [[host, port, number] for number, (host, port) in addresses.items()]))
         for entry in entries:
-            self.states[entry[0]], self.started[entry[0]] = entry[2], entry[4]
+            self.states[entry.endpoint], self.started[entry.endpoint] = entry.state, entry.started_ms
         self.listed = self.listed or kind != "error"
-        self.incoming.lists.append((kind, entries))
+        self.incoming.endpoint_lists.append(EndpointListUpdate(kind, entries))
 
     def join(
         self, node: str, zone: str, usual: float, held: dict, fresh: bool, front: Any = None, life: str = ""
@@ -128,12 +141,12 @@
         self.zones[proxy] = zone
         self.fronts[proxy] = front
         self.tables.join(proxy, zone, held)
-        self.ways.join(proxy, fresh, self.record.fleet.proxies.base_tries)
-        usual_ms = self.record.fleet.proxies.report_every_ms
-        self.gatherer.joined(Account(proxy, zone, life, usual_ms, usual_ms), node)
+        self.ways.join(proxy, fresh, self.record.fleet.proxies.default_retry_policy)
+        usual_ms = self.record.fleet.proxies.report_interval_ms
+        self.gatherer.joined(ReportAccount(proxy, zone, life, usual_ms, usual_ms), node)
         self.intake.joined(proxy, self.now_ms)
         self.moves.append(("joined", node, proxy, zone, life))
-        self.incoming.streams.append((proxy, True, zone, usual, fresh))
+        self.incoming.proxy_streams.append(ProxyStreamEvent(proxy, True, zone, usual, fresh))
         self.heard(self.now_ms)
         return proxy
 
@@ -146,7 +159,7 @@
         self.gatherer.left(node)
         self.intake.left(proxy)
         self.moves.append(("left", node))
-        self.incoming.streams.append((proxy, False, "", 0.0, False))
+        self.incoming.proxy_streams.append(ProxyStreamEvent(proxy, False))
         self.heard(self.now_ms)
 
     def proxy_of(self, node: str) -> int | None:
@@ -173,7 +186,7 @@
         self.intake.take(found, self.now_ms)
 
     def probed(self, endpoint: int, answered: bool, took_ms: float, load: dict[str, float]) -> None:
-        self.incoming.probes.append((endpoint, answered, took_ms, load))
+        self.incoming.health_checks.append(HealthCheckResult(endpoint, answered, took_ms, load))
         self.heard(self.now_ms)
 
     # time
@@ -188,7 +201,7 @@
             self.intake.take(self.gatherer.hand_over(now_ms), now_ms)
         self.ask(self.intake.plan(now_ms) if not self.by_inbox else [])
         if receipts := self.tables.receipts():
-            self.incoming.receipts += receipts
+            self.incoming.acks += receipts
             self.heard(now_ms)
         if self.listed and self.due_ms() <= now_ms:
             self.round(now_ms)
@@ -200,8 +213,8 @@
     def let_go(self, now_ms: float) -> None:
         """Release what has left the channel and is durable; drains and deaths wait for no disk, nothing waits long."""
         self.unstored.extend((push, now_ms) for push in self.channel.leave(now_ms))
-        wait_ms = self.record.store.wait_most_ms
-        kept: deque[tuple[Push, float]] = deque()
+        wait_ms = self.record.store.max_durability_wait_ms
+        kept: deque[tuple[ProxyUpdate, float]] = deque()
         while self.unstored:
             push, since_ms = self.unstored.popleft()
             stored = push.number <= self.durable or push.number in self.urgent
@@ -216,9 +229,9 @@
     def catch_up(self, now_ms: float) -> None:
         """An order of the book's own: what operators or the gate kept apart moves on, as the channel has room."""
         channel = self.record.fleet.channel
-        gap_ms = channel.messages_over_ms / channel.messages_most if channel.messages_most else 0.0
+        gap_ms = channel.message_window_ms / channel.max_messages if channel.max_messages else 0.0
         self.catch_up_ms = now_ms + max(CATCH_UP_MS, gap_ms)
-        room = CATCH_UP_PART * channel.lines_waiting_most - self.channel.waiting
+        room = CATCH_UP_PART * channel.max_queued_lines - self.channel.waiting
         self.look(now_ms)
         self.tables.begin()
         self.ordered[self.tables.number] = now_ms
@@ -229,13 +242,13 @@
     def look(self, now_ms: float) -> None:
         """What the book and the gate go by."""
         rules = self.record.fleet.rules
-        warm_ms = rules.warm_after_ms
+        warm_ms = rules.warm_up_ms
         self.tables.cold = {e: at for e, at in self.started.items() if at and now_ms - at < warm_ms}
         self.book.now_ms = now_ms
         self.book.seen.started = self.started
         self.book.expire()
         self.book.seen.ready = {endpoint for endpoint, state in self.states.items() if state == "in_service"}
-        low = rules.start_capacity
+        low = rules.initial_capacity
         self.book.seen.part = {
             e: low + (1.0 - low) * max(0.0, now_ms - at) / warm_ms for e, at in self.tables.cold.items()
         }
@@ -258,7 +271,9 @@
                 self.book.remember(version_of(told))
             knobs = self.record.store
             self.book.now_ms = self.now_ms
-            self.book.recover(wall_ms, lambda age_ms: trust_ms(age_ms, knobs.trust_ms, knobs.trust_age_ms))
+            self.book.recover(
+                wall_ms, lambda age_ms: recovery_trust_ms(age_ms, knobs.recovery_trust_ms, knobs.max_recovery_age_ms)
+            )
             for told, cause, who in more:
                 self.book.pin(version_of(told)._replace(cause=cause, who=who))
                 self.log.info("table pinned", table=told[1] - self.terms, version=told[0], by=who, cause=cause)
@@ -312,15 +327,15 @@
         if self.book.waits():
             due = min(due, self.catch_up_ms)
         if self.unstored:
-            due = min(due, self.unstored[0][1] + self.record.store.wait_most_ms)
+            due = min(due, self.unstored[0][1] + self.record.store.max_durability_wait_ms)
         return due if self.by_inbox else min(due, self.intake.plan_ms())
 
     def round(self, now_ms: float) -> None:
         incoming = self.next_round.begin(now_ms)
         intake = self.plain if self.by_inbox else self.intake
         if intake.due_ms() <= now_ms:
-            incoming.sums, incoming.arrivals = intake.hand_over(now_ms)
-            incoming.arrivals = [row for row in incoming.arrivals if row[1] in self.zones]
+            incoming.upstream_stats, incoming.downstream_stats = intake.hand_over(now_ms)
+            incoming.downstream_stats = [row for row in incoming.downstream_stats if row.proxy in self.zones]
         self.tables.begin()
         self.look(now_ms)
         for endpoint, host, port in self.placed:
@@ -330,7 +345,7 @@
         self.ordered.pop(self.tables.number - ORDERS_KEPT, None)
         if self.orders is not None:
             self.orders = []
-        self.next_round.call(incoming, Writer(self) if self.orders is None else KeepingWriter(self, self.orders))
+        self.next_round.call(incoming, CoreOutput(self) if self.orders is None else RecordingOutput(self, self.orders))
         self.book.flush()
         self.channel.put(self.tables.commit(), now_ms)
         self.tell_held(now_ms)
@@ -339,16 +354,16 @@
         return self.ordered.get(number, self.now_ms)
 
 
-class Writer:
-    """The `Orders` of the interface: into the tables, the prober, the wakes and the log."""
+class CoreOutput:
+    """The `PlannerOutput` of the interface: into the tables, the prober, the wakes and the log."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: ControllerCore) -> None:
         self.core = core
 
-    def line(self, table: int, endpoint: int, weight: float) -> None:
+    def set_weight(self, table: int, endpoint: int, weight: float) -> None:
         self.core.book.line(self.core.terms + table, endpoint, weight)
 
-    def withdraw(self, endpoint: int, out: bool) -> None:
+    def set_ejected(self, endpoint: int, out: bool) -> None:
         core = self.core
         status = "draining" if core.states.get(endpoint) == "terminating" else "lost"
         core.tables.withdraw(endpoint, out, status)
@@ -358,42 +373,56 @@
         said = "endpoint withdrawn" if out else "endpoint let back"
         core.log.info(said, endpoint=endpoint, address=where, status=status if out else "ready")
 
-    def bind(self, proxy: int, table: int, classes: Iterable[int]) -> None:
+    def assign_table(self, proxy: int, table: int, classes: Iterable[int]) -> None:
         self.core.book.flush(self.core.terms + table)
         self.core.tables.bind(proxy, self.core.terms + table, classes)
 
-    def level(self, table: int, classes: Iterable[int], allowed: float, tries: int) -> None:
+    def set_admission(self, table: int, classes: Iterable[int], allowed: float, tries: int) -> None:
         self.core.book.level(self.core.terms + table, classes, allowed, tries)
 
-    def probe(self, endpoint: int) -> None:
+    def request_health_check(self, endpoint: int) -> None:
         if endpoint in self.core.tables.addresses:
             self.core.probes.append((endpoint, *self.core.tables.addresses[endpoint]))
 
-    def receipt(self, serial: int) -> None:
+    def request_ack(self, serial: int) -> None:
         self.core.tables.receipt(serial)
 
-    def watch_list(self) -> None:
+    def watch_endpoints(self) -> None:
         """Nothing to do: the roster's stream is dialled anew by itself, and brings what was missed."""
 
-    def wake(self, token: int, at_ms: float) -> None:
+    def set_timer(self, token: int, at_ms: float) -> None:
         self.core.next_round.wake(token, at_ms)
 
-    def note(self, text: str) -> None:
+    def log_note(self, text: str) -> None:
         self.core.log.info("note", reason=text)
 
 
-class KeepingWriter:
+# Names of what the planner writes, in recordings and in the store's journal.
+RECORDED_NAMES = {
+    "set_weight": "line",
+    "set_ejected": "withdraw",
+    "assign_table": "bind",
+    "set_admission": "level",
+    "request_health_check": "probe",
+    "request_ack": "receipt",
+    "watch_endpoints": "watch_list",
+    "set_timer": "wake",
+    "log_note": "note",
+}
+
+
+class RecordingOutput:
     """Keeps each order as a plain list, and passes it on."""
 
-    def __init__(self, core: Core, kept: list[list[Any]]) -> None:
-        self.writer, self.kept = Writer(core), kept
+    def __init__(self, core: ControllerCore, kept: list[list[Any]]) -> None:
+        self.writer, self.kept = CoreOutput(core), kept
 
     def __getattr__(self, name: str) -> Any:
         order = getattr(self.writer, name)
 
         def write(*arguments: Any) -> None:
             plain = [list(each) if isinstance(each, range | tuple) else each for each in arguments]
-            self.kept.append([name, *plain])
+            self.kept.append([RECORDED_NAMES[name], *plain])
             order(*arguments)
 
         return write
--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -9,26 +9,26 @@
 
 import structlog
 
-from quillstep.config.records import PilotRecord
-from quillstep.controller.core import Core
+from quillstep.config.controller import ControllerSettings
+from quillstep.controller.core import ControllerCore
 from quillstep.files.front import FileFront
 from quillstep.xds.front import XdsFront
 
 WAITS_SHOWN = 8  # proxies that one line of the log names
 
 
-class Decider:
+class DecisionLoop:
     """Core and fronts of one pilot.  `put` is where a file front's threads hand their news over."""
 
     def __init__(
         self,
-        record: PilotRecord,
+        record: ControllerSettings,
         epoch: str,
         tap: Callable[..., None],
         put: Callable[[tuple], None],
         disk: Any = None,
     ) -> None:
-        self.core = Core(record)
+        self.core = ControllerCore(record)
         ordered = self.core.ordered_ms
         self.streams = XdsFront(record, self.core.tables, self.core, epoch, ordered, tap)
         self.fronts: list[Any] = [self.streams]
--- a/quillstep/controller/discovery_client.py
+++ b/quillstep/controller/discovery_client.py
@@ -9,6 +9,7 @@
 from envoy.config.endpoint.v3 import endpoint_components_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
+from quillstep.planner.messages import EndpointEntry
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.resources import LEDS
 from quillstep.xds.server import DELTA
@@ -19,7 +20,7 @@
 STATES = {health_check_pb2.HEALTHY: "in_service", health_check_pb2.UNKNOWN: "in_service"}
 
 
-def entry_of(line: endpoint_components_pb2.LbEndpoint, offset_ms: float) -> tuple[tuple, tuple[str, int]]:
+def entry_of(line: endpoint_components_pb2.LbEndpoint, offset_ms: float) -> tuple[EndpointEntry, tuple[str, int]]:
     """A resource as the interface's entry, and the endpoint's address.
 
     Metadata under `quillstep` gives `id` and `zone`, and `started_ms` (wall clock; absent: long ago).
@@ -31,7 +32,7 @@
     state = STATES.get(line.health_status, "terminating" if draining else "terminated")
     weight = float(line.load_balancing_weight.value) / 100.0 if line.HasField("load_balancing_weight") else 1.0
     address = line.endpoint.address.socket_address
-    entry = (
+    entry = EndpointEntry(
         int(fields["id"].number_value),
         fields["zone"].string_value,
         state,
@@ -41,12 +42,12 @@
     return entry, (address.address, address.port_value)
 
 
-class RosterClient:
+class DiscoveryClient:
     """Keeps a stream to the roster; `put` is given ("roster", kind, entries, addresses)."""
 
     def __init__(self, address: str, name: str, zone: str, offset_ms: float, put: Callable[[tuple], None]) -> None:
         self.address, self.name, self.zone, self.offset_ms, self.put = address, name, zone, offset_ms, put
-        self.known: dict[str, tuple] = {}  # resource name to its newest entry
+        self.known: dict[str, EndpointEntry] = {}  # resource name to its newest entry
         self.versions: dict[str, str] = {}
         self.log = structlog.get_logger("roster")
         threading.Thread(target=self.run, daemon=True).start()
@@ -93,10 +94,10 @@
             self.known[resource.name] = entry
             self.versions[resource.name] = resource.version
             entries.append(entry)
-            addresses[entry[0]] = address
+            addresses[entry.endpoint] = address
         for name in response.removed_resources:
             self.versions.pop(name, None)
             if name in self.known:
                 entry = self.known.pop(name)
-                entries.append((entry[0], entry[1], "terminated", entry[3], entry[4]))
+                entries.append(entry._replace(state="terminated"))
         self.put(("roster", "complete" if first else "partial", entries, addresses))
--- a/quillstep/controller/event_codec.py
+++ b/quillstep/controller/event_codec.py
@@ -6,10 +6,10 @@
 
 from quillstep.files.front import Hello, Parked
 from quillstep.recording.format import Record
-from quillstep.routing import Content
+from quillstep.routing import Resource
 
 
-class Teller:
+class EventCodec:
     """Writes news as records; peers get numbers as they come."""
 
     def __init__(self) -> None:
@@ -47,5 +47,5 @@
     if isinstance(told, str):
         return told
     hello, newest, holds, contents = told
-    made = {tuple(key): Content(version, tuple(what)) for key, version, what in contents}
+    made = {tuple(key): Resource(version, tuple(what)) for key, version, what in contents}
     return Parked(msgspec.convert(hello, Hello), newest, holds, made)
--- a/quillstep/controller/event_queue.py
+++ b/quillstep/controller/event_queue.py
@@ -11,17 +11,17 @@
 Entry = tuple[float, tuple]  # when it came, what it is
 
 
-class Lanes:
-    """`news_most` and `sums_most` entries at most; a put blocks while its lane is full."""
+class EventQueue:
+    """`max_queued_events` and `sums_most` entries at most; a put blocks while its lane is full."""
 
-    def __init__(self, news_most: int, sums_most: int) -> None:
+    def __init__(self, max_queued_events: int, sums_most: int) -> None:
         self.lock = threading.Lock()
         self.some = threading.Condition(self.lock)
         self.room = threading.Condition(self.lock)
         self.news: deque[Entry] = deque()
         self.sums: deque[Entry] = deque()
         self.added: dict[Hashable, Entry] = {}  # what came while the lane of news was full, added up by its key
-        self.most = {id(self.news): news_most, id(self.sums): sums_most}
+        self.most = {id(self.news): max_queued_events, id(self.sums): sums_most}
 
     def put(self, entry: Entry) -> None:
         self.enter(self.news, entry)
@@ -54,10 +54,10 @@
                 if left <= 0 or not self.some.wait(left):
                     return
 
-    def take(self, news_most: int) -> list[Entry]:
+    def take(self, max_queued_events: int) -> list[Entry]:
         """News up to so many, and after them one entry of sums."""
         with self.lock:
-            found = [self.news.popleft() for _ in range(min(news_most, len(self.news)))]
+            found = [self.news.popleft() for _ in range(min(max_queued_events, len(self.news)))]
             if self.added and not self.news:
                 found += self.added.values()
                 self.added = {}
--- a/quillstep/controller/health_checker.py
+++ b/quillstep/controller/health_checker.py
@@ -66,7 +66,7 @@
     return answer.status == 200, load_of(raw.decode("latin-1"))
 
 
-class Prober:
+class HealthChecker:
     """Asks endpoints; `put` is given ("probe", endpoint, answered, took_ms, load).  What finds no room is dropped."""
 
     def __init__(self, threads: int, timeout_ms: float, put: Callable[[tuple], None], path: str = "/health") -> None:
--- a/quillstep/controller/plain_stats.py
+++ b/quillstep/controller/plain_stats.py
@@ -5,6 +5,8 @@
 
 from dataclasses import dataclass, field
 
+from quillstep.planner.messages import DownstreamStats, UpstreamStats
+
 
 @dataclass(slots=True)
 class Sum:
@@ -16,14 +18,14 @@
     load: dict[str, float] = field(default_factory=dict)
 
 
-class PlainIntake:
+class PlainStats:
     """Sums by zone and endpoint, handed over once a period, as one figure each; arrivals as they come."""
 
     def __init__(self, period_ms: float) -> None:
         self.period_ms = period_ms
         self.since_ms: float | None = None
         self.sums: dict[tuple[str, int], Sum] = {}
-        self.arrivals: list[tuple] = []
+        self.arrivals: list[DownstreamStats] = []
 
     def tried(self, zone: str, endpoint: int, tries: int, failed: int, good_ms: float, load: dict[str, float]) -> None:
         row = self.sums.get((zone, endpoint))
@@ -35,7 +37,7 @@
         row.load.update(load)
 
     def arrived(self, place: int, proxy: int, arrived: int, unanswered: int, covers_ms: float) -> None:
-        self.arrivals.append((place, proxy, arrived, unanswered, covers_ms))
+        self.arrivals.append(DownstreamStats(place, proxy, arrived, unanswered, covers_ms))
 
     def due_ms(self) -> float:
         """When what has gathered is to be handed over; never while there is nothing."""
@@ -43,11 +45,11 @@
             return float("inf")
         return (self.since_ms or 0.0) + self.period_ms
 
-    def hand_over(self, now_ms: float) -> tuple[list[tuple], list[tuple]]:
+    def hand_over(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]]:
         """Sums and arrivals in the interface's shape; starts anew."""
         covers = self.period_ms if self.since_ms is None else now_ms - self.since_ms
         sums = [
-            (endpoint, s.tries, s.failed, s.good_ms / max(1, s.tries - s.failed), covers, s.load)
+            UpstreamStats(endpoint, s.tries, s.failed, s.good_ms / max(1, s.tries - s.failed), covers, s.load)
             for (_, endpoint), s in self.sums.items()
         ]
         arrivals = self.arrivals
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -10,17 +10,17 @@
 import structlog
 from hdrh.histogram import HdrHistogram
 
-from quillstep.config.records import PilotRecord
-from quillstep.controller.decision_loop import Decider
-from quillstep.controller.discovery_client import RosterClient
-from quillstep.controller.event_codec import Teller
-from quillstep.controller.event_queue import Lanes
-from quillstep.controller.health_checker import Prober
+from quillstep.config.controller import ControllerSettings
+from quillstep.controller.decision_loop import DecisionLoop
+from quillstep.controller.discovery_client import DiscoveryClient
+from quillstep.controller.event_codec import EventCodec
+from quillstep.controller.event_queue import EventQueue
+from quillstep.controller.health_checker import HealthChecker
 from quillstep.load_reports.reader_pool import Processes
 from quillstep.load_reports.reader_thread import ThreadReader
-from quillstep.recording.writer import Capture
+from quillstep.recording.writer import RecordingWriter
 from quillstep.store import Store
-from quillstep.store.writer import Keeper
+from quillstep.store.writer import StoreWriter
 from quillstep.xds.peer import STACK_BYTES
 from quillstep.xds.server import Server
 
@@ -53,21 +53,21 @@
             self.lines = []
 
 
-class Pilot:
+class Controller:
     """Wires decider, prober, roster and capture together; `run` is the deciding thread."""
 
-    def __init__(self, record: PilotRecord, store: Store | None = None) -> None:
+    def __init__(self, record: ControllerSettings, store: Store | None = None) -> None:
         threading.stack_size(STACK_BYTES)
         sys.setswitchinterval(SWITCH_S)
         self.record = record
-        self.lanes = Lanes(record.limits.news_most, SUMS_MOST)
-        self.socket_record = SocketRecord(record.record)
+        self.lanes = EventQueue(record.limits.max_queued_events, SUMS_MOST)
+        self.socket_record = SocketRecord(record.socket_record)
         self.epoch = f"{record.name}-{os.getpid()}"
-        self.decider = Decider(record, self.epoch, self.tap, self.put)
+        self.decider = DecisionLoop(record, self.epoch, self.tap, self.put)
         self.core = self.decider.core
-        self.capture: Capture | None = None
-        self.teller = Teller()
-        self.keeper = Keeper(record.store, store, self.epoch, self.put) if store else None
+        self.capture: RecordingWriter | None = None
+        self.teller = EventCodec()
+        self.keeper = StoreWriter(record.store, store, self.epoch, self.put) if store else None
         self.kept_number = 0  # the last order that the store has been given
         self.orders_sent: dict[tuple[str, str], int] = {}  # by proxy and nonce, without a word yet
         self.holds: dict[str, int] = {}  # the order that each proxy acknowledged last, not stored yet
@@ -75,7 +75,7 @@
         if store or record.capture.folder:
             self.core.orders = []
         if record.capture.folder:
-            self.capture = Capture(
+            self.capture = RecordingWriter(
                 record.capture.folder,
                 record.name,
                 self.epoch,
@@ -86,7 +86,7 @@
         if record.spans.file:
             from quillstep.tracing.spans import Spans  # only who wants spans needs the library for them
 
-            self.spans = Spans(record.spans.file, record.spans.part, record.spans.most_per_s, record.name)
+            self.spans = Spans(record.spans.file, record.spans.sampled_share, record.spans.max_spans_per_s, record.name)
         self.reader: ThreadReader | None = None
         self.processes: Processes | None = None
         if record.reports.by == "thread":
@@ -96,7 +96,7 @@
             self.processes.start()
         self.server = Server(record.listen, record.limits, self.put, self.reader)
         self.decider.streams.server = self.server
-        self.prober = Prober(record.fleet.probes.at_once, record.fleet.probes.timeout_ms, self.put)
+        self.prober = HealthChecker(record.fleet.probes.max_concurrent, record.fleet.probes.timeout_ms, self.put)
         self.stopping = False
         self.late = HdrHistogram(1, LATE_MOST, 2)  # of rounds behind the time they were due, tenths of a millisecond
         self.said_ms = 0.0
@@ -129,7 +129,7 @@
         elif what == "ack" and (order := self.orders_sent.pop((fields["proxy"], fields["nonce"]), 0)):
             self.holds[fields["proxy"]] = order
 
-    def keep(self, keeper: Keeper, now: float) -> None:
+    def keep(self, keeper: StoreWriter, now: float) -> None:
         """Hand the store what this turn brought: versions, pins, the order; once a while what proxies hold."""
         wall_ms = time.time() * 1000.0
         entries = [keeper.version(version, wall_ms) for version in self.core.versions]
@@ -162,7 +162,9 @@
             threading.Thread(target=self.reader.run, daemon=True).start()
         if self.decider.files:
             self.decider.files.start()
-        self.roster = RosterClient(self.record.roster, self.record.name, self.record.zone, offset_ms, self.put)
+        self.roster = DiscoveryClient(
+            self.record.discovery_address, self.record.name, self.record.zone, offset_ms, self.put
+        )
         self.log.info("pilot ready", pilot=self.record.name, address=self.server.address)
         while not self.stopping:
             self.turn()
--- a/quillstep/controller/update_channel.py
+++ b/quillstep/controller/update_channel.py
@@ -2,20 +2,20 @@
 
 from collections import deque
 
-from quillstep.routing import Push
+from quillstep.routing import ProxyUpdate
 
 
-class Channel:
+class UpdateChannel:
     """Waiting pushes, first in first out; times are milliseconds."""
 
     def __init__(self, lines_per_s: float) -> None:
         self.lines_per_ms = lines_per_s / 1000.0
-        self.queue: deque[Push] = deque()
+        self.queue: deque[ProxyUpdate] = deque()
         self.waiting = 0.0  # lines, the head included
         self.most = 0.0
         self.ready_ms = 0.0  # when the head has been sent in full
 
-    def put(self, pushes: list[Push], now_ms: float) -> None:
+    def put(self, pushes: list[ProxyUpdate], now_ms: float) -> None:
         if not pushes:
             return
         if not self.queue:
@@ -24,7 +24,7 @@
         self.waiting += sum(push.lines for push in pushes)
         self.most = max(self.most, self.waiting)
 
-    def leave(self, now_ms: float) -> list[Push]:
+    def leave(self, now_ms: float) -> list[ProxyUpdate]:
         """The pushes that have left by now, in sequence."""
         left = []
         while self.queue and self.ready_ms <= now_ms:
--- a/quillstep/files/disk.py
+++ b/quillstep/files/disk.py
@@ -35,7 +35,7 @@
 STEPS = ("objects", "directory", "links", "manifest", "renamed", "synced", "symlink", "swapped", "cleared")
 
 
-class Refused(Exception):
+class UnusableFileError(Exception):
     """A path that this pilot will not write to; the text says which and why."""
 
 
@@ -51,11 +51,11 @@
         held = os.open(name, DIRECTORY, dir_fd=at)
     except OSError as trouble:
         if trouble.errno in (errno.ELOOP, errno.ENOTDIR):
-            raise Refused(f"{name} is a link or no directory") from None
+            raise UnusableFileError(f"{name} is a link or no directory") from None
         raise
     try:
         check(os.fstat(held), name)
-    except Refused:
+    except UnusableFileError:
         os.close(held)
         raise
     return held
@@ -63,9 +63,9 @@
 
 def check(found: os.stat_result, name: str) -> None:
     if found.st_mode & stat.S_IWOTH:
-        raise Refused(f"{name} may be written by everybody (mode {stat.S_IMODE(found.st_mode):o})")
+        raise UnusableFileError(f"{name} may be written by everybody (mode {stat.S_IMODE(found.st_mode):o})")
     if found.st_uid not in (os.geteuid(), 0):
-        raise Refused(f"{name} belongs to user {found.st_uid}")
+        raise UnusableFileError(f"{name} belongs to user {found.st_uid}")
 
 
 def ensure_directory(name: str, at: int) -> int:
@@ -88,7 +88,7 @@
         except BlockingIOError:
             os.close(self.lock)
             os.close(self.fd)
-            raise Refused(f"{root} is written by another pilot") from None
+            raise UnusableFileError(f"{root} is written by another pilot") from None
         self.objects = ensure_directory(".objects", self.fd)
         self.known: set[str] = set(os.listdir(self.objects))
         for name in [name for name in self.known if name.startswith("new-")]:
@@ -135,13 +135,13 @@
         except FileNotFoundError:
             return None
         except OSError as trouble:
-            raise Refused(f"{path}: {trouble.strerror}") from None
+            raise UnusableFileError(f"{path}: {trouble.strerror}") from None
         finally:
             os.close(at)
         try:
             found = os.fstat(held)
             if not stat.S_ISREG(found.st_mode) or found.st_size > most:
-                raise Refused(f"{path} is no file of at most {most} bytes")
+                raise UnusableFileError(f"{path} is no file of at most {most} bytes")
             return os.read(held, most), stamp(found)
         finally:
             os.close(held)
@@ -169,7 +169,7 @@
         return [name for name in self.names(proxy, "load") if name.endswith(".pb") and NAME.fullmatch(name)]
 
     def drop_report(self, proxy: str, name: str) -> None:
-        with contextlib.suppress(OSError, Refused):
+        with contextlib.suppress(OSError, UnusableFileError):
             at = self.inside(proxy, "load")
             try:
                 os.unlink(name, dir_fd=at)
@@ -306,7 +306,7 @@
                 return None
             told = msgspec.json.decode(found[0], type=Manifest)
             files = {name: self.read(name, *where, most=16 * 2**20) for name in told.files}
-        except (Refused, msgspec.DecodeError, OSError):
+        except (UnusableFileError, msgspec.DecodeError, OSError):
             return None
         if any(file is None for file in files.values()):
             return None
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -15,11 +15,11 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.config.records import PilotRecord
-from quillstep.files.disk import Disk, Refused, read_ack, safe_name
+from quillstep.config.controller import ControllerSettings
+from quillstep.files.disk import Disk, UnusableFileError, read_ack, safe_name
 from quillstep.files.generation_files import Packed, Packer, contents_of, manifest
 from quillstep.files.lane import Generation, Lane
-from quillstep.routing import Content, Key, Tables
+from quillstep.routing import Key, Resource, Tables
 from quillstep.xds import resources
 from quillstep.xds.front import warn_overdue, warn_refused
 from quillstep.xds.load_stats import Hooks, read_report
@@ -47,7 +47,7 @@
     hello: Hello
     newest: int
     holds: int
-    contents: dict[Key, Content]
+    contents: dict[Key, Resource]
 
 
 class Job(NamedTuple):
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        record: PilotRecord,
+        record: ControllerSettings,
         tables: Tables,
         hooks: Hooks,
         epoch: str,
@@ -80,7 +80,7 @@
         self.ordered_ms, self.tap, self.put = ordered_ms, tap, put
         self.facts = record.files
         self.disk = disk or Disk(record.files.root, record.files.fsync)
-        encoder = resources.Encoder(record.fleet.classes, record.fleet.proxies.try_factor)
+        encoder = resources.Encoder(record.fleet.classes, record.fleet.proxies.attempt_timeout_factor)
         self.packer = Packer(encoder, record.files.form, record.files.shards)
         self.lanes: dict[str, Lane] = {}  # by directory
         self.directories: dict[int, str] = {}
@@ -110,9 +110,9 @@
         """Tell of what proxies have written; what can't be read is said once for each state of it."""
         seen: dict[tuple[str, str], Any] = {}
         alive = 0.0
-        while not self.stopping.wait(self.facts.poll_ms / 1000.0):
+        while not self.stopping.wait(self.facts.poll_interval_ms / 1000.0):
             try:
-                if time.monotonic() * 1000.0 - alive > ALIVE_PART * self.facts.silent_ms:
+                if time.monotonic() * 1000.0 - alive > ALIVE_PART * self.facts.idle_timeout_ms:
                     self.disk.alive()
                     alive = time.monotonic() * 1000.0
                 for proxy in self.disk.proxies():
@@ -153,7 +153,7 @@
                     if found:
                         self.put(("files", "load", proxy, found[0], 0.0))
                 seen[proxy, "load"] = self.disk.stamp(proxy, "load")
-        except (Refused, OSError) as trouble:
+        except (UnusableFileError, OSError) as trouble:
             self.once(seen, proxy, str(trouble))
 
     def park(self, directory: str, data: bytes) -> Parked | str:
@@ -224,7 +224,7 @@
         """Do one job's part; a failure is its answer."""
         try:
             step(job)
-        except (OSError, Refused) as found:
+        except (OSError, UnusableFileError) as found:
             self.say_written(job, str(found) or type(found).__name__)
             return False
         return True
@@ -243,7 +243,7 @@
         if kind == "hello":
             self.hello(what, data, more, now_ms)
             return
-        if what not in self.lanes and what in self.parked and (kind != "ack" or more < self.facts.silent_ms):
+        if what not in self.lanes and what in self.parked and (kind != "ack" or more < self.facts.idle_timeout_ms):
             self.join(what, self.parked[what], now_ms)  # it was silent, and is there again
         lane = self.lanes.get(what)
         if lane is None:
@@ -259,7 +259,7 @@
             self.log.warning("hello refused", proxy=directory, reason=parked)
             return
         self.parked[directory] = parked
-        if age_ms < self.facts.silent_ms:  # an older one is joined when it gives a sign of life
+        if age_ms < self.facts.idle_timeout_ms:  # an older one is joined when it gives a sign of life
             self.join(directory, parked, now_ms)
 
     def join(self, directory: str, parked: Parked, now_ms: float) -> None:
@@ -338,7 +338,7 @@
         here = self.lanes.get(job.directory) is lane
         if trouble:
             ledger = self.tables.ledgers.get(lane.proxy) if here else None
-            lane.failed(ledger, generation.number, now_ms, self.facts.retry_ms)
+            lane.failed(ledger, generation.number, now_ms, self.facts.retry_backoff_ms)
             self.log.error(
                 "generation not written",
                 proxy=self.nodes[lane.proxy],
@@ -376,7 +376,7 @@
                 self.waits[proxy] = max(now_ms + 1.0, look_ms)
             elif now_ms < lane.retry_ms:
                 self.waits[proxy] = lane.retry_ms
-        if now_ms - self.tended_ms > 0.25 * self.facts.silent_ms:
+        if now_ms - self.tended_ms > 0.25 * self.facts.idle_timeout_ms:
             self.tended_ms = now_ms
             self.tend(now_ms)
 
@@ -396,12 +396,12 @@
             node = self.nodes[lane.proxy]
             warn_overdue(self.tables, lane.proxy, node, self.record, self.warned, now_ms, self.log)
             oldest = self.tables.ledgers[lane.proxy].oldest_flight_ms()
-            most = self.record.limits.unacknowledged_ms
-            if now_ms - lane.heard_ms > self.facts.silent_ms:
-                self.leave(directory, f"no word from it for {self.facts.silent_ms:g} ms", now_ms)
+            most = self.record.limits.ack_timeout_ms
+            if now_ms - lane.heard_ms > self.facts.idle_timeout_ms:
+                self.leave(directory, f"no word from it for {self.facts.idle_timeout_ms:g} ms", now_ms)
             elif oldest is not None and not lane.writing and now_ms - oldest > most:
                 self.leave(directory, f"no acknowledgement within {most:g} ms", now_ms)
 
     def next_ms(self) -> float:
         waits = min(self.waits.values(), default=float("inf"))
-        return min(waits, self.tended_ms + 0.25 * self.facts.silent_ms)
+        return min(waits, self.tended_ms + 0.25 * self.facts.idle_timeout_ms)
--- a/quillstep/files/generation_files.py
+++ b/quillstep/files/generation_files.py
@@ -12,7 +12,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import json_format
 
-from quillstep.routing import Content, Key
+from quillstep.routing import Key, Resource
 from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE
 from quillstep.xds import resources
 
@@ -54,15 +54,15 @@
         stem = f"leds-table-{key[1]}-{key[2] % self.shards:02x}" if key[0] == LINE else NAMES[key[0]]
         return stem + SUFFIX[self.form]
 
-    def files(self, contents: dict[Key, Content]) -> list[Packed]:
+    def files(self, contents: dict[Key, Resource]) -> list[Packed]:
         """All files of a set, in the sequence of their names."""
-        groups: dict[str, list[tuple[Key, Content]]] = {}
+        groups: dict[str, list[tuple[Key, Resource]]] = {}
         for key, content in contents.items():
             if key[0] in NAMES or key[0] == LINE:
                 groups.setdefault(self.place(key), []).append((key, content))
         return [self.pack(name, sorted(groups[name], key=lambda row: row[0])) for name in sorted(groups)]
 
-    def pack(self, name: str, rows: list[tuple[Key, Content]]) -> Packed:
+    def pack(self, name: str, rows: list[tuple[Key, Resource]]) -> Packed:
         at = (name, tuple((key, content.version) for key, content in rows))
         made = self.made.get(at)
         if made is None:
@@ -103,9 +103,9 @@
     return msgspec.json.encode(Manifest(origin, number, order, ordered_ms, digests))
 
 
-def contents_of(files: dict[str, bytes]) -> dict[Key, Content]:
+def contents_of(files: dict[str, bytes]) -> dict[Key, Resource]:
     """A generation read back: what a proxy that holds it holds.  Raises ValueError."""
-    found: dict[Key, Content] = {}
+    found: dict[Key, Resource] = {}
     for name, data in files.items():
         response = decode(name, data)
         for packed in response.resources:
@@ -113,5 +113,5 @@
             if not packed.Unpack(wrapped):
                 raise ValueError(f"{name}: a resource without its wrapping")
             key = resources.key_of(response.type_url, wrapped.name)
-            found[key] = Content(wrapped.version, (RAW, wrapped.resource.SerializeToString()))
+            found[key] = Resource(wrapped.version, (RAW, wrapped.resource.SerializeToString()))
     return found
--- a/quillstep/files/lane.py
+++ b/quillstep/files/lane.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from quillstep.files.generation_files import RAW
-from quillstep.routing import Change, Content, Key, Ledger, Refusal, Tables
+from quillstep.routing import Change, Key, Nack, ProxyState, Resource, Tables
 from quillstep.routing.resources import POOL, ROUTES
 
 
@@ -16,7 +16,7 @@
 
     number: int
     order: int
-    contents: dict[Key, Content]
+    contents: dict[Key, Resource]
     changed: int
     removed: int
 
@@ -25,20 +25,20 @@
     """What an acknowledgement came to."""
 
     acknowledged: list[Change]
-    refusal: Refusal | None
+    refusal: Nack | None
     trouble: str  # what is wrong with it; empty if nothing
 
 
 class Lane:
     """The generations of one proxy; `number` of the newest, `accepted` of the newest it holds by its own word."""
 
-    def __init__(self, proxy: int, last: int, accepted: dict[Key, Content]) -> None:
+    def __init__(self, proxy: int, last: int, accepted: dict[Key, Resource]) -> None:
         self.proxy = proxy
         self.number = last  # generations on disk go on counting from here
         self.accepted_number = last
         self.accepted = accepted
         self.newest = dict(accepted)
-        self.sets: dict[int, dict[Key, Content]] = {last: dict(accepted)}  # of generations that may be accepted
+        self.sets: dict[int, dict[Key, Resource]] = {last: dict(accepted)}  # of generations that may be accepted
         self.refused_number = 0
         self.writing = False
         self.retry_ms = 0.0
@@ -70,8 +70,8 @@
         return Generation(self.number, order, made, len(changes) - removed, removed)
 
     def complete(
-        self, tables: Tables, base: dict[Key, Content], changes: list[Change]
-    ) -> tuple[dict[Key, Content], list[Change]]:
+        self, tables: Tables, base: dict[Key, Resource], changes: list[Change]
+    ) -> tuple[dict[Key, Resource], list[Change]]:
         """A set and its changes with what the proxy holds from elsewhere (a stream, another pilot).
 
         Only its versions are known of that; where another version is wanted by now, that goes early.
@@ -91,7 +91,7 @@
         return base, changes
 
     @staticmethod
-    def fit(made: dict[Key, Content], changes: list[Change]) -> tuple[dict[Key, Content], list[Change]]:
+    def fit(made: dict[Key, Resource], changes: list[Change]) -> tuple[dict[Key, Resource], list[Change]]:
         """A set with the changes in it; changes that would leave routes to a table that is not there are left out.
 
         Parts of a refused set are tried by themselves, and a part may hold routes without their table.
@@ -110,7 +110,7 @@
     def written(self) -> None:
         self.writing, self.fails = False, 0
 
-    def failed(self, ledger: Ledger | None, number: int, now_ms: float, retry_ms: float) -> None:
+    def failed(self, ledger: ProxyState | None, number: int, now_ms: float, retry_ms: float) -> None:
         """A generation that could not be written never left; it is tried again with what is newest then."""
         self.writing = False
         self.sets.pop(number, None)
--- a/quillstep/invariants/checks.py
+++ b/quillstep/invariants/checks.py
@@ -36,7 +36,7 @@
     """A joined proxy had no line to pick for a class for longer than allowed, while one was listed and warm."""
     joined, listed, excused = evidence.joined(), evidence.listed(), evidence.excused()
     rules = evidence.fleet.rules
-    home_only = {row.name for row in evidence.fleet.classes if row.home_only}
+    home_zone_only = {row.name for row in evidence.fleet.classes if row.home_zone_only}
     since: dict[tuple[str, str], float] = {}
     spans: list[tuple[str, str, float, float]] = []
     for row in evidence.bare:
@@ -47,23 +47,23 @@
             spans.append((*key, since.pop(key), row["at"]))
     spans += [(*key, at, evidence.end_ms) for key, at in since.items()]
     for proxy, name, begin, end in spans:
-        zone = evidence.homes.get(proxy) if name in home_only else None
+        zone = evidence.homes.get(proxy) if name in home_zone_only else None
         for up, down, pilot in joined.get(proxy, ()):
             a, b = max(begin, up), min(end, down)
-            if b - a <= rules.bare_ms or any(s < b and e > a for s, e in excused.get(proxy, ())):
+            if b - a <= rules.no_endpoint_grace_ms or any(s < b and e > a for s, e in excused.get(proxy, ())):
                 continue
             for (told, endpoint), history in listed.items():
                 if told != pilot or (zone and evidence.zones.get(endpoint) != zone):
                     continue
-                if ready(history, a, rules.warm_after_ms) and ready(history, b, rules.warm_after_ms):
+                if ready(history, a, rules.warm_up_ms) and ready(history, b, rules.warm_up_ms):
                     text = f"no line to pick for {name} for {b - a:.0f} ms, {endpoint} listed ready and warm"
-                    yield Break(BARE, a + rules.bare_ms, text, proxy, endpoint)
+                    yield Break(BARE, a + rules.no_endpoint_grace_ms, text, proxy, endpoint)
                     break
 
 
-def ready(history: Any, at: float, warm_after_ms: float) -> bool:
+def ready(history: Any, at: float, warm_up_ms: float) -> bool:
     found = history.at(at)
-    return bool(found and found[0] == "in_service" and (not found[1] or at - found[1] >= warm_after_ms))
+    return bool(found and found[0] == "in_service" and (not found[1] or at - found[1] >= warm_up_ms))
 
 
 def ran_twice(evidence: Evidence) -> Iterator[Break]:
@@ -80,8 +80,8 @@
             if may_have_run:
                 endpoint = evidence.addresses.get(address, 0)
                 zone = evidence.zones.get(endpoint, "")
-                in_time = sent - may_have_run[0] <= kind.window_ms
-                in_group = kind.scope == "all" or zone == may_have_run[1]
+                in_time = sent - may_have_run[0] <= kind.idempotency_window_ms
+                in_group = kind.idempotency_scope == "all" or zone == may_have_run[1]
                 if sent >= unsafe_from or not in_time or not in_group:
                     text = f"{kind.name} sent again {sent - may_have_run[0]:.0f} ms after a try that may have run"
                     yield Break(TWICE, sent, text, row["proxy"], endpoint, row["exchange"])
@@ -142,16 +142,16 @@
         span: deque[tuple[float, float, bool]] = deque()
         for row in work[endpoint]:
             age = row["at"] - begun
-            if not 0.0 <= age < rules.warm_after_ms:
+            if not 0.0 <= age < rules.warm_up_ms:
                 continue
             span.append((row["at"], row["work"], knew(joined, listed, row, begun, rules.drain_grace_ms)))
-            while span[0][0] < row["at"] - rules.tip_after_ms:
+            while span[0][0] < row["at"] - rules.overload_window_ms:
                 span.popleft()
-            part = rules.start_capacity + (1.0 - rules.start_capacity) * age / rules.warm_after_ms
-            budget = rules.fall_multiple * part * size * rules.tip_after_ms
+            part = rules.initial_capacity + (1.0 - rules.initial_capacity) * age / rules.warm_up_ms
+            budget = rules.overload_multiple * part * size * rules.overload_window_ms
             pushed = sum(each[1] for each in span)
             if pushed > SLACK * budget and sum(each[1] for each in span if each[2]) >= KNOWING * pushed:
-                text = f"{pushed:.0f} ms of work within {rules.tip_after_ms:.0f} ms, {budget:.0f} allowed"
+                text = f"{pushed:.0f} ms of work within {rules.overload_window_ms:.0f} ms, {budget:.0f} allowed"
                 yield Break(COLD, row["at"], text, row["proxy"], endpoint, row["exchange"])
                 break
 
@@ -171,20 +171,20 @@
     channel = evidence.fleet.channel
     for pilot, messages in messages_of(evidence).items():
         most, at = longest(messages)
-        if most > channel.lines_waiting_most:
-            text = f"{most:.0f} lines waited at {pilot}, {channel.lines_waiting_most:.0f} allowed"
+        if most > channel.max_queued_lines:
+            text = f"{most:.0f} lines waited at {pilot}, {channel.max_queued_lines:.0f} allowed"
             yield Break(QUEUE, at, text)
-        if not channel.messages_most:
+        if not channel.max_messages:
             continue
         by_proxy: dict[str, deque[float]] = defaultdict(deque)
         for _, sent, _, proxy in sorted(messages, key=lambda message: message[1]):
             held = by_proxy[proxy]
             held.append(sent)
-            while held[0] <= sent - channel.messages_over_ms:
+            while held[0] <= sent - channel.message_window_ms:
                 held.popleft()
-            if len(held) > channel.messages_most:
-                text = f"{len(held)} messages within {channel.messages_over_ms:.0f} ms from {pilot}"
-                yield Break(QUEUE, sent, f"{text}, {channel.messages_most} allowed", proxy)
+            if len(held) > channel.max_messages:
+                text = f"{len(held)} messages within {channel.message_window_ms:.0f} ms from {pilot}"
+                yield Break(QUEUE, sent, f"{text}, {channel.max_messages} allowed", proxy)
                 held.clear()
 
 
--- a/quillstep/invariants/evidence.py
+++ b/quillstep/invariants/evidence.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from quillstep.config.records import FleetRecord
+from quillstep.config.fleet import FleetSettings
 
 
 @dataclass(slots=True)
 class Evidence:
     """Rows as they were written, by who wrote them; `pilots` names the address each pilot listened on."""
 
-    fleet: FleetRecord
+    fleet: FleetSettings
     addresses: dict[str, int] = field(default_factory=dict)  # host:port to endpoint
     zones: dict[int, str] = field(default_factory=dict)  # of endpoints
     sizes: dict[int, float] = field(default_factory=dict)  # cores x speed of endpoints
--- a/quillstep/load_reports/aggregator.py
+++ b/quillstep/load_reports/aggregator.py
@@ -7,10 +7,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from quillstep.config.records import FleetRecord, ReportsRecord
+from quillstep.config.controller import LoadReportSettings
+from quillstep.config.fleet import FleetSettings
 from quillstep.load_reports.aging import HALVES, horizon_ms, weight
 from quillstep.load_reports.upstream_stats import Folded, Report, Window, fold
-from quillstep.load_reports.validation import Account, Told, counted, sound
+from quillstep.load_reports.validation import ReportAccount, Told, counted, sound
 
 MESSAGE_WORK = 40.0  # rows that reading one message costs as much as; measured, see docs/reports.md
 ROW_BYTES = 60.0  # about the least that a row takes
@@ -36,22 +37,22 @@
     return MESSAGE_WORK + size / ROW_BYTES
 
 
-class Gatherer:
+class ReportAggregator:
     """Accounts of all joined proxies by name, the window that gathers, and the work it may do."""
 
-    def __init__(self, facts: ReportsRecord, fleet: FleetRecord) -> None:
+    def __init__(self, facts: LoadReportSettings, fleet: FleetSettings) -> None:
         self.facts = facts
-        self.usual_ms = fleet.proxies.report_every_ms
-        self.cut_off_ms = max(row.cut_off_ms for row in fleet.classes)
+        self.usual_ms = fleet.proxies.report_interval_ms
+        self.deadline_ms = max(row.deadline_ms for row in fleet.classes)
         self.places = {row.name: place for place, row in enumerate(fleet.classes)}
         self.endpoints: dict[tuple[str, int], int] = {}
-        self.accounts: dict[str, Account] = {}
-        self.gone: dict[str, Account] = {}  # of proxies that left
+        self.accounts: dict[str, ReportAccount] = {}
+        self.gone: dict[str, ReportAccount] = {}  # of proxies that left
         self.names: dict[int, str] = {}
         self.newest: dict[tuple[str, int], float] = {}
         self.carried: dict[tuple[str, int], float] = {}  # tries that wait for fresh news of their endpoint
         self.window = Window()
-        self.window_work = facts.work_per_s * facts.window_ms / 1000.0
+        self.window_work = facts.rows_per_s * facts.window_ms / 1000.0
         self.work = self.window_work  # that may be done now
         self.work_ms: float | None = None
         self.done = 0.0  # work since the last hand-over
@@ -65,7 +66,7 @@
     def listed(self, addresses: dict[tuple[str, int], int]) -> None:
         self.endpoints.update(addresses)
 
-    def joined(self, account: Account, name: str) -> None:
+    def joined(self, account: ReportAccount, name: str) -> None:
         """A proxy's reports count here from now on; what was met in this very life of it before is remembered."""
         before = self.gone.pop(name, None)
         if before is not None and before.life == account.life:
@@ -84,7 +85,7 @@
         if len(self.gone) > GONE_MOST:
             del self.gone[next(iter(self.gone))]
 
-    def release(self, name: str) -> Account | None:
+    def release(self, name: str) -> ReportAccount | None:
         """Forget a proxy here; what is remembered of it goes to whoever reads its reports next."""
         self.left(name)
         return self.gone.pop(name, None)
@@ -108,7 +109,7 @@
             self.work_ms = now_ms
         self.work = min(
             max(self.window_work, self.work),
-            self.work + (now_ms - self.work_ms) * self.facts.work_per_s / 1000.0,
+            self.work + (now_ms - self.work_ms) * self.facts.rows_per_s / 1000.0,
         )
         self.work_ms = now_ms
         return self.work
@@ -123,7 +124,7 @@
             return later
         cost = min(work_of(size), self.window_work)
         if self.room(now_ms) + 1e-6 < cost:
-            return now_ms + (cost - self.work) * 1000.0 / self.facts.work_per_s
+            return now_ms + (cost - self.work) * 1000.0 / self.facts.rows_per_s
         return 0.0
 
     def spend(self, size: int) -> float:
@@ -140,7 +141,7 @@
             self.count("no stream stands")  # its reports are void until its stream stands
             return
         account.allowed -= 1.0
-        reason, struck = sound(told, account, self.cut_off_ms, self.facts.rows_most)
+        reason, struck = sound(told, account, self.deadline_ms, self.facts.max_rows)
         if struck:
             self.complain(name, f"{struck} rows struck out: absurd, or more than can be", now_ms)
         if told.unlisted:
@@ -206,4 +207,4 @@
         return found
 
 
-__all__ = ["Asked", "Gatherer", "work_of"]
+__all__ = ["Asked", "ReportAggregator", "work_of"]
--- a/quillstep/load_reports/collector.py
+++ b/quillstep/load_reports/collector.py
@@ -11,10 +11,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-from quillstep.config.records import PilotRecord
+from quillstep.config.controller import ControllerSettings
 from quillstep.load_reports.aggregator import Asked
 from quillstep.load_reports.sampling import Sampler
 from quillstep.load_reports.upstream_stats import ENOUGH, ONE_MOST
+from quillstep.planner.messages import DownstreamStats, UpstreamStats
 
 INTAKE_PART = 0.5  # of the report period between two hand-overs to the module
 LATENCY_DIGITS = 2
@@ -22,12 +23,12 @@
 KEEPS = 0.7  # of what is known of a proxy's arrivals, for the bound on its word
 
 
-class Intake:
+class ReportCollector:
     """Between the gatherers and the module: `take` what one handed over, `hand_over` once a period."""
 
-    def __init__(self, record: PilotRecord) -> None:
+    def __init__(self, record: ControllerSettings) -> None:
         fleet, facts = record.fleet, record.reports
-        self.usual_ms = fleet.proxies.report_every_ms
+        self.usual_ms = fleet.proxies.report_interval_ms
         self.period_ms = INTAKE_PART * self.usual_ms
         self.ageing = facts.ageing
         self.classes = len(fleet.classes)
@@ -39,10 +40,10 @@
         self.told: dict[tuple[int, int], float] = {}  # until when arrivals were told, by class place and proxy
         self.carried: dict[tuple[str, int], float] = {}  # tries that wait for fresh news of their endpoint
         self.rates: dict[int, float] = {}  # exchanges a second by proxy, for the bound on one's word
-        work = facts.work_per_s * max(1, len(facts.listen))
+        work = facts.rows_per_s * max(1, len(facts.listen))
         self.sampler = Sampler(work, self.usual_ms, record.seed) if facts.sampling else None
-        self.window_work = facts.work_per_s * facts.window_ms / 1000.0
-        self.longest_ms = max(row.cut_off_ms for row in fleet.classes) * 10.0
+        self.window_work = facts.rows_per_s * facts.window_ms / 1000.0
+        self.longest_ms = max(row.deadline_ms for row in fleet.classes) * 10.0
         self.latency: dict[tuple[str, int], HdrHistogram] = {}
         self.stats: defaultdict[str, float] = defaultdict(float)
         self.void: Counter[str] = Counter()
@@ -131,8 +132,8 @@
             return float("inf")
         return max(self.first_ms, self.since_ms + self.period_ms)
 
-    def hand_over(self, now_ms: float) -> tuple[list[tuple], list[tuple]]:
-        """Sums and arrivals in the interface's shape; starts anew."""
+    def hand_over(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]]:
+        """The statistics since the last call, for the planner."""
         sums = [merged(key[1], rows, self.carried.pop(key, 0.0)) for key, rows in sorted(self.sums.items())]
         most = self.bound()
         arrivals = []
@@ -143,7 +144,7 @@
                 scale = most / self.rates[proxy]
                 self.bounded.add(proxy)
             if covers_ms > 0.0:
-                arrivals.append((place, proxy, arrived * scale, unanswered * scale, covers_ms))
+                arrivals.append(DownstreamStats(place, proxy, arrived * scale, unanswered * scale, covers_ms))
         self.sums, self.arrivals, self.since_ms = {}, {}, now_ms
         return sums, arrivals
 
@@ -181,7 +182,7 @@
         return found
 
 
-def merged(endpoint: int, rows: list[list[Any]], carried: float) -> tuple:
+def merged(endpoint: int, rows: list[list[Any]], carried: float) -> UpstreamStats:
     """The rows of one endpoint and zone as one sum of the interface, with tries that older rows told of."""
     good, failed, good_ms, weight, load = (math.fsum(row[at] for row in rows) for at in range(2, 7))
     if carried and good + failed:
@@ -190,7 +191,8 @@
     begin = min(row[8] - row[7] for row in rows)
     end = max(row[8] for row in rows)
     told = {"util": load / weight} if weight else {}
-    return endpoint, good + failed, failed, good_ms / max(good, 1e-9) if good else 0.0, end - begin, told
+    mean_ms = good_ms / max(good, 1e-9) if good else 0.0
+    return UpstreamStats(endpoint, good + failed, failed, mean_ms, end - begin, told)
 
 
-__all__ = ["Intake"]
+__all__ = ["ReportCollector"]
--- a/quillstep/load_reports/ownership.py
+++ b/quillstep/load_reports/ownership.py
@@ -19,7 +19,7 @@
     life: str
 
 
-class Places:
+class ReportOwnership:
     """Who is joined, whose reports count where, what of a proxy is remembered nowhere now."""
 
     def __init__(self, usual_ms: float, kept_most: int = 4096) -> None:
--- a/quillstep/load_reports/reader_pool.py
+++ b/quillstep/load_reports/reader_pool.py
@@ -15,10 +15,10 @@
 
 import structlog
 
-from quillstep.config.records import PilotRecord
+from quillstep.config.controller import ControllerSettings
 from quillstep.load_reports.aggregator import Asked
 from quillstep.load_reports.framing import Frames, framed
-from quillstep.load_reports.ownership import Places, Telling
+from quillstep.load_reports.ownership import ReportOwnership, Telling
 
 CHUNK = 256 * 1024
 READY_S = 30.0
@@ -28,9 +28,9 @@
 class Processes:
     """All reading processes of one pilot.  `put` takes a window of sums and may block."""
 
-    def __init__(self, record: PilotRecord, put: Callable[[tuple], None]) -> None:
+    def __init__(self, record: ControllerSettings, put: Callable[[tuple], None]) -> None:
         self.record, self.put = record, put
-        self.places = Places(record.fleet.proxies.report_every_ms)
+        self.places = ReportOwnership(record.fleet.proxies.report_interval_ms)
         self.lock = threading.Lock()
         self.addresses = list(record.reports.listen)
         self.says: list[queue.SimpleQueue[bytes | None]] = [queue.SimpleQueue() for _ in self.addresses]
--- a/quillstep/load_reports/reader_process.py
+++ b/quillstep/load_reports/reader_process.py
@@ -13,14 +13,15 @@
 import msgspec
 import structlog
 
-from quillstep.config.records import FleetRecord, LimitsRecord, ReportsRecord
-from quillstep.load_reports.aggregator import Asked, Gatherer
+from quillstep.config.controller import LimitSettings, LoadReportSettings
+from quillstep.config.fleet import FleetSettings
+from quillstep.load_reports.aggregator import Asked, ReportAggregator
 from quillstep.load_reports.framing import Frames, framed
 from quillstep.load_reports.reader_session import Desk
 from quillstep.load_reports.reader_thread import say
-from quillstep.load_reports.validation import Account
+from quillstep.load_reports.validation import ReportAccount
 from quillstep.logging import configure_logging
-from quillstep.net.poller import Poller, Served, now_ms
+from quillstep.net.poller import Connection, Poller, now_ms
 from quillstep.xds.grpc import UNIMPLEMENTED
 from quillstep.xds.http2 import GrpcConnection
 from quillstep.xds.server import LOAD
@@ -32,16 +33,16 @@
 class ReadingProcess:
     """All streams of one reading process."""
 
-    def __init__(self, listen: str, facts: ReportsRecord, fleet: FleetRecord, limits: LimitsRecord) -> None:
-        self.usual_ms = fleet.proxies.report_every_ms
-        self.desk = Desk(Gatherer(facts, fleet))
+    def __init__(self, listen: str, facts: LoadReportSettings, fleet: FleetSettings, limits: LimitSettings) -> None:
+        self.usual_ms = fleet.proxies.report_interval_ms
+        self.desk = Desk(ReportAggregator(facts, fleet))
         self.poller = Poller(
-            listen, limits, lambda: GrpcConnection(False, facts.message_most_bytes, limits.headers_most_bytes),
+            listen, limits, lambda: GrpcConnection(False, facts.max_message_bytes, limits.max_headers_bytes),
             self.event, self.closed,
-            silent_ms=limits.silent_ms + LONGEST * self.usual_ms, passed=self.work,
+            idle_timeout_ms=limits.idle_timeout_ms + LONGEST * self.usual_ms, passed=self.work,
         )  # fmt: skip
         self.poller.listen_to(0, self.told)
-        self.streams: dict[Served, set[int]] = {}
+        self.streams: dict[Connection, set[int]] = {}
         self.input = Frames()
         self.cpu_s = {"parse": 0.0, "fold": 0.0}
         self.log = structlog.get_logger("reports")
@@ -79,12 +80,12 @@
 
     def joined(self, name: str, proxy: int, zone: str, life: str, kept: dict[str, Any] | None) -> None:
         if kept is not None:
-            self.desk.gatherer.gone[name] = msgspec.convert(kept, Account)
-        self.desk.joined(Account(proxy, zone, life, self.usual_ms, self.usual_ms), name)
+            self.desk.gatherer.gone[name] = msgspec.convert(kept, ReportAccount)
+        self.desk.joined(ReportAccount(proxy, zone, life, self.usual_ms, self.usual_ms), name)
 
     # streams
 
-    def event(self, peer: Served, event: tuple) -> None:
+    def event(self, peer: Connection, event: tuple) -> None:
         kind, stream = event[0], event[1]
         held = self.streams.setdefault(peer, set())
         if kind == "open":
@@ -105,7 +106,7 @@
             held.discard(stream)
             self.desk.ended((peer, stream))
 
-    def closed(self, peer: Served, reason: str) -> None:
+    def closed(self, peer: Connection, reason: str) -> None:
         streams = self.streams.pop(peer, set())
         if not streams:
             self.log.warning("connection ended", reason=reason)
@@ -157,9 +158,9 @@
     configure_logging("auto", "info")
     process = ReadingProcess(
         listen,
-        ReportsRecord.model_validate(facts),
-        FleetRecord.model_validate(fleet),
-        LimitsRecord.model_validate(limits),
+        LoadReportSettings.model_validate(facts),
+        FleetSettings.model_validate(fleet),
+        LimitSettings.model_validate(limits),
     )
     process.input = frames
     process.hear(opening[1:])  # what came right behind it
--- a/quillstep/load_reports/reader_session.py
+++ b/quillstep/load_reports/reader_session.py
@@ -11,8 +11,8 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.load_reports.aggregator import Asked, Gatherer
-from quillstep.load_reports.validation import Account
+from quillstep.load_reports.aggregator import Asked, ReportAggregator
+from quillstep.load_reports.validation import ReportAccount
 from quillstep.xds.grpc import INVALID_ARGUMENT, PERMISSION_DENIED, UNAVAILABLE
 from quillstep.xds.load_stats import life_of, load_request, read_report
 
@@ -44,7 +44,7 @@
 class Desk:
     """Reads for one gatherer."""
 
-    def __init__(self, gatherer: Gatherer) -> None:
+    def __init__(self, gatherer: ReportAggregator) -> None:
         self.gatherer = gatherer
         self.lines: dict[Any, Line] = {}
         self.at: dict[str, Any] = {}  # the stream that has each name
@@ -78,7 +78,7 @@
 
     # what the pilot tells
 
-    def joined(self, account: Account, name: str) -> None:
+    def joined(self, account: ReportAccount, name: str) -> None:
         self.gatherer.joined(account, name)
         key = self.at.get(name)
         if key is None:
@@ -94,7 +94,7 @@
         if name in self.at:
             self.ask_anew(self.at[name], self.gatherer.accounts[name])
 
-    def ask_anew(self, key: Any, account: Account) -> None:
+    def ask_anew(self, key: Any, account: ReportAccount) -> None:
         self.outcome.sends.append((key, load_request(account.period_ms, account.full)))
 
     def refuse(self, key: Any) -> None:
--- a/quillstep/load_reports/reader_thread.py
+++ b/quillstep/load_reports/reader_thread.py
@@ -7,10 +7,11 @@
 
 import structlog
 
-from quillstep.config.records import FleetRecord, ReportsRecord
-from quillstep.load_reports.aggregator import Asked, Gatherer
+from quillstep.config.controller import LoadReportSettings
+from quillstep.config.fleet import FleetSettings
+from quillstep.load_reports.aggregator import Asked, ReportAggregator
 from quillstep.load_reports.reader_session import Desk
-from quillstep.load_reports.validation import Account
+from quillstep.load_reports.validation import ReportAccount
 from quillstep.net.poller import now_ms
 from quillstep.xds.server import Peer
 
@@ -23,11 +24,11 @@
     What waits is bounded by the streams' flow control: a peer gets room for more as its messages are read.
     """
 
-    def __init__(self, facts: ReportsRecord, fleet: FleetRecord, put: Callable[[tuple], None]) -> None:
-        self.message_most = facts.message_most_bytes
-        self.desk = Desk(Gatherer(facts, fleet))
+    def __init__(self, facts: LoadReportSettings, fleet: FleetSettings, put: Callable[[tuple], None]) -> None:
+        self.message_most = facts.max_message_bytes
+        self.desk = Desk(ReportAggregator(facts, fleet))
         self.put = put
-        self.usual_ms = fleet.proxies.report_every_ms
+        self.usual_ms = fleet.proxies.report_interval_ms
         self.came: queue.SimpleQueue[tuple] = queue.SimpleQueue()
         self.log = structlog.get_logger("reports")
 
@@ -72,7 +73,7 @@
             desk.message(key, data, now_ms())
         elif kind == "joined":
             name, proxy, zone, life = rest
-            desk.joined(Account(proxy, zone, life, self.usual_ms, self.usual_ms), name)
+            desk.joined(ReportAccount(proxy, zone, life, self.usual_ms, self.usual_ms), name)
         elif kind == "left":
             desk.gatherer.left(*rest)
         elif kind == "listed":
@@ -98,7 +99,7 @@
         return due_ms
 
 
-def say(log: Any, gatherer: Gatherer) -> None:
+def say(log: Any, gatherer: ReportAggregator) -> None:
     """Say what was wrong with whose reports."""
     for name, text in gatherer.complaints:
         log.warning("load report doubted", proxy=name, reason=text)
--- a/quillstep/load_reports/validation.py
+++ b/quillstep/load_reports/validation.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Account:
+class ReportAccount:
     """What is remembered of one joined proxy's reports."""
 
     number: int
@@ -85,7 +85,7 @@
         return 0.0
 
 
-def sound(told: Told, account: Account, cut_off_ms: float, rows_most: int) -> tuple[str, int]:
+def sound(told: Told, account: ReportAccount, deadline_ms: float, max_rows: int) -> tuple[str, int]:
     """Strike out what is absurd; returns why all is void (or ""), and how many rows were struck."""
     if not 0.0 < told.covers_ms <= 86_400_000.0:
         return "a cover that is none", 0
@@ -99,7 +99,7 @@
         arrived += came
         if not (0 <= came <= most and 0 <= unanswered <= came + account.came + SPARE_TRIES):
             return "absurd arrivals", 0
-    if len(told.rows) > rows_most:
+    if len(told.rows) > max_rows:
         struck, told.rows = len(told.rows), []
         return "", struck
     kept: list[Row] = []
@@ -107,7 +107,7 @@
     for row in told.rows:
         _, good, failed, good_ms, load = row
         # Written so that a NaN fails too.
-        if 0 <= good <= most and 0 <= failed <= most and 0.0 <= good_ms <= good * TOOK_MOST * cut_off_ms:
+        if 0 <= good <= most and 0 <= failed <= most and 0.0 <= good_ms <= good * TOOK_MOST * deadline_ms:
             tries += good + failed
             if load is not None and not 0.0 <= load <= LOAD_MOST:
                 row = (*row[:4], None)
@@ -117,11 +117,11 @@
     if told.numbered and tries > TRIES_MOST * account.came + SPARE_TRIES:
         struck, kept = len(told.rows), []
     told.rows = kept
-    told.took = [row for row in told.took if 0 <= row[1] <= most and 0.0 <= row[2] <= row[1] * TOOK_MOST * cut_off_ms]
+    told.took = [row for row in told.took if 0 <= row[1] <= most and 0.0 <= row[2] <= row[1] * TOOK_MOST * deadline_ms]
     return "", struck
 
 
-def counted(told: Told, account: Account, arrived_ms: float) -> Report | str:
+def counted(told: Told, account: ReportAccount, arrived_ms: float) -> Report | str:
     """The report as it counts: its age on our clock, its cover no more than the time that has passed.  A text says why
     it does not count at all."""
     # A proxy without numbers is known by what it sent: its times are such that no two reports are alike.
--- a/quillstep/model_checking/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -14,29 +14,30 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.config.records import ClassRecord, LimitsRecord
+from quillstep.config.controller import LimitSettings
+from quillstep.config.fleet import ClassSettings
 from quillstep.routing import Tables
 from quillstep.routing.resources import OUT
-from quillstep.routing.retry_policies import Ways
+from quillstep.routing.retry_policies import RetryPolicies
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RDS, WITHDRAWN, Encoder
 
 TICK_MS = 1000.0
 CLASSES = [
-    ClassRecord(name="save", agreed_ms=400.0, cut_off_ms=900.0, credit=1.0, semantics="unsafe"),
+    ClassSettings(name="save", latency_objective_ms=400.0, deadline_ms=900.0, priority_weight=1.0, semantics="unsafe"),
 ]
 LINES = (1, 2)  # endpoints
 PLAYED_MOST = 400  # steps from any state to its end
 
 
-class Pilot:
+class ModelController:
     """One pilot's tables, on the clock of its world."""
 
     def __init__(self, encoder: Encoder, make: Callable[..., Tables]) -> None:
         self.encoder = encoder
-        self.ways = Ways([1], [CLASSES[0].cut_off_ms])
-        self.tables = make(len(CLASSES), "rate", 0, 6.0, late_most_ms=600.0, ways=self.ways)
+        self.ways = RetryPolicies([1], [CLASSES[0].deadline_ms])
+        self.tables = make(len(CLASSES), "rate", 0, 6.0, max_ack_delay_ms=600.0, ways=self.ways)
         self.weights = dict.fromkeys(LINES, 10.0)
         self.out: set[int] = set()
         self.tries = 1
@@ -66,7 +67,7 @@
 class World:
     """One state."""
 
-    pilots: list[Pilot]
+    pilots: list[ModelController]
     owner: int = -1
     stream: DeltaStream | None = None
     held: dict[str, dict[str, str]] = field(default_factory=dict)  # the proxy's versions by type
@@ -234,7 +235,7 @@
         return (self.owner, held, down, up, *rows)
 
 
-LIMITS = LimitsRecord()
+LIMITS = LimitSettings()
 
 
 def ordered_ms(number: int) -> float:
@@ -249,18 +250,18 @@
     )
 
 
-def orders_of(pilot: Pilot) -> Iterator[tuple[str, Callable[[Pilot], None]]]:
+def orders_of(pilot: ModelController) -> Iterator[tuple[str, Callable[[ModelController], None]]]:
     """What a pilot may come to want: a line at another weight, an endpoint out or back, another way of trying."""
 
-    def weigh(p: Pilot) -> None:
+    def weigh(p: ModelController) -> None:
         p.weights[1] = 30.0 - p.weights[1]
         p.order(lambda t: t.line(0, 1, p.weights[1]))
 
-    def withdraw(p: Pilot) -> None:
+    def withdraw(p: ModelController) -> None:
         p.out ^= {2}
         p.order(lambda t: t.withdraw(2, 2 in p.out, "draining"))
 
-    def retry(p: Pilot) -> None:
+    def retry(p: ModelController) -> None:
         p.tries = 3 - p.tries
         p.order(lambda t: t.level(0, [0], 1e6, p.tries))
 
@@ -307,7 +308,7 @@
 def first(make: Callable[..., Tables], joined: bool) -> World:
     """A proxy that holds nothing and has no stream; or one that has joined the first pilot and holds all."""
     encoder = Encoder(CLASSES, 0.8)
-    world = World([Pilot(encoder, make) for _ in range(2)])
+    world = World([ModelController(encoder, make) for _ in range(2)])
     for pilot in world.pilots:
         pilot.begin()
     if joined:
--- a/quillstep/model_checking/fuzz.py
+++ b/quillstep/model_checking/fuzz.py
@@ -16,15 +16,15 @@
 from google.protobuf.message import DecodeError
 
 from quillstep.files.disk import read_ack
-from quillstep.model_checking.explore import CLASSES, LIMITS, Pilot, ordered_ms
+from quillstep.model_checking.explore import CLASSES, LIMITS, ModelController, ordered_ms
 from quillstep.routing import Tables
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.grpc import FramingError, Unframer
-from quillstep.xds.http2 import ConnectionBroken, GrpcConnection
+from quillstep.xds.http2 import GrpcConnection, ProtocolError
 from quillstep.xds.load_stats import read_report
 from quillstep.xds.resources import Encoder, key_of, name, type_url
 from quillstep.xds.sotw import SotwStream
-from quillstep.xds.stream import StreamFault
+from quillstep.xds.stream import StreamError
 
 MESSAGE_MOST = 4096
 FOLLOWED = ("quillstep", "h2", "hpack", "hyperframe")  # packages whose branches a fuzzer follows
@@ -55,7 +55,7 @@
     server.receive(client.pump())
     try:
         server.receive(data)
-    except ConnectionBroken:
+    except ProtocolError:
         return
     assert len(server.pump()) <= 64 * 1024 + 64 * len(data)
 
@@ -66,7 +66,7 @@
         (DeltaStream, discovery_pb2.DeltaDiscoveryRequest), (SotwStream, discovery_pb2.DiscoveryRequest)
     ]  # fmt: skip
     for kind, request in kinds:
-        pilot = Pilot(ENCODER, Tables)
+        pilot = ModelController(ENCODER, Tables)
         pilot.begin()
         stream = kind(pilot.tables, ENCODER, LIMITS, "e", ordered_ms)
         pilot.tables.join(0, "a", {})
@@ -79,11 +79,11 @@
             try:
                 said = request.FromString(data[at + 1 : at + 1 + size])
                 stream.request(said, now_ms)
-            except (DecodeError, StreamFault):
+            except (DecodeError, StreamError):
                 pass
             at, now_ms = at + 1 + size, now_ms + 100.0
             stream.pump(now_ms)
-        assert len(pilot.tables.ledgers[0].flights) <= LIMITS.in_flight_most + 5
+        assert len(pilot.tables.ledgers[0].flights) <= LIMITS.max_in_flight + 5
 
 
 def report(data: bytes) -> None:
--- a/quillstep/model_checking/mutants.py
+++ b/quillstep/model_checking/mutants.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from quillstep.routing import Change, Key, Ledger, Refusal, Tables
-from quillstep.routing.proxy_state import Flight
+from quillstep.routing import Change, Key, Nack, ProxyState, Tables
+from quillstep.routing.proxy_state import InFlightUpdate
 
 
 class HeldAtSending(Tables):
@@ -29,10 +29,10 @@
         return found
 
 
-class Forgiving(Ledger):
+class Forgiving(ProxyState):
     """A response that has no word, and never will, is not missed."""
 
-    def landed(self, nonce: str, now_ms: float) -> Flight | None:
+    def landed(self, nonce: str, now_ms: float) -> InFlightUpdate | None:
         return self.flights.pop(nonce, None)
 
 
@@ -45,13 +45,13 @@
 class RefusedForGood(Tables):
     """A withdrawal that was refused is set apart like anything else."""
 
-    def refuse(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Refusal | None:
+    def refuse(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Nack | None:
         found = super().refuse(proxy, nonce, reason, now_ms, whole)
         self.ledgers[proxy].again.clear()
         return found
 
 
-class Hasty(Ledger):
+class Hasty(ProxyState):
     """Nothing waits for anything."""
 
     def too_early(self, change: Change, wants: Callable[[Key], bool]) -> bool:
@@ -71,7 +71,7 @@
         super().__init__(*facts, **more)
         self.last: dict[Key, str] = {}
 
-    def join(self, proxy: int, zone: str, held: Any) -> Ledger:
+    def join(self, proxy: int, zone: str, held: Any) -> ProxyState:
         return super().join(proxy, zone, self.last or held)
 
     def holds(self, proxy: int, held: Any) -> None:
--- a/quillstep/net/poller.py
+++ b/quillstep/net/poller.py
@@ -32,12 +32,12 @@
 Event = tuple
 
 
-class ConnectionBroken(Exception):
+class ProtocolError(Exception):
     """The peer broke the protocol; the connection can't go on.  The text is for the log."""
 
 
 class Codec(Protocol):
-    """One connection's protocol without I/O; not safe for threads, its `Served` holds a lock.
+    """One connection's protocol without I/O; not safe for threads, its `Connection` holds a lock.
 
     `receive` raises ConnectionBroken.  Until `started` a connection counts as a stranger's.
     """
@@ -56,28 +56,28 @@
     """What one connection may cost."""
 
     @property
-    def unsent_most_bytes(self) -> int: ...
+    def max_unsent_bytes(self) -> int: ...
     @property
-    def connections_most(self) -> int: ...
+    def max_connections(self) -> int: ...
     @property
-    def strangers_most(self) -> int: ...
+    def max_unregistered(self) -> int: ...
     @property
     def messages_per_s(self) -> float: ...
     @property
-    def handshake_ms(self) -> float: ...
+    def handshake_timeout_ms(self) -> float: ...
     @property
-    def write_ms(self) -> float: ...
+    def write_timeout_ms(self) -> float: ...
     @property
-    def silent_ms(self) -> float: ...
+    def idle_timeout_ms(self) -> float: ...
     @property
-    def ping_ms(self) -> float: ...
+    def ping_interval_ms(self) -> float: ...
 
 
 def now_ms() -> float:
     return time.monotonic() * 1000.0
 
 
-class Served:
+class Connection:
     """One connection.  `send`, `with_connection`, `unsent`, `stop` may be called from any thread and never block."""
 
     def __init__(self, poller: "Poller", sock: socket.socket, codec: Any, order: int) -> None:
@@ -106,7 +106,7 @@
             if self.stopping or self.gone:
                 return False
             self.codec.send(stream, message)
-            over = self.unsent() > self.poller.limits.unsent_most_bytes + 2 * len(message)
+            over = self.unsent() > self.poller.limits.max_unsent_bytes + 2 * len(message)
         if over:
             self.stop("it reads more slowly than its bound allows")
         self.poller.touch(self)
@@ -144,24 +144,24 @@
         listen: str,
         limits: Limits,
         codec: Callable[[], Codec],
-        sink: Callable[[Served, Event], None],
-        closed: Callable[[Served, str], None],
+        sink: Callable[[Connection, Event], None],
+        closed: Callable[[Connection, str], None],
         *,
-        silent_ms: float,
+        idle_timeout_ms: float,
         passed: Callable[[], float] | None = None,
     ) -> None:
         self.limits, self.sink, self.closed, self.passed = limits, sink, closed, passed
-        self.codec, self.silent_ms = codec, silent_ms
+        self.codec, self.idle_timeout_ms = codec, idle_timeout_ms
         host, _, port = listen.rpartition(":")
         self.listener = socket.create_server((host.strip("[]"), int(port)), backlog=1024)
         self.address = "{}:{}".format(*self.listener.getsockname()[:2])
         self.poll = select.poll()
         self.listener.settimeout(0)  # several wait at once; the accepted ones block
-        self.peers: dict[int, Served] = {}
-        self.strangers: dict[int, Served] = {}  # those of them that have not started, oldest first
+        self.peers: dict[int, Connection] = {}
+        self.strangers: dict[int, Connection] = {}  # those of them that have not started, oldest first
         # Other descriptors; False from one of these ends the poller.
         self.inputs: dict[int, Callable[[], bool]] = {}
-        self.touched: deque[Served] = deque()
+        self.touched: deque[Connection] = deque()
         self.waker, woken = os.pipe()
         os.set_blocking(self.waker, False)
         os.set_blocking(woken, False)
@@ -179,7 +179,7 @@
     def listen_to(self, descriptor: int, take: Callable[[], bool]) -> None:
         self.inputs[descriptor] = take
 
-    def touch(self, peer: Served) -> None:
+    def touch(self, peer: Connection) -> None:
         """Have the poller's thread look at a peer."""
         if not peer.touched:
             peer.touched = True
@@ -256,15 +256,15 @@
     def take_in(self, sock: socket.socket) -> None:
         limits = self.limits
         sock.settimeout(None)
-        if len(self.peers) >= limits.connections_most and not self.give_up_a_stranger():
+        if len(self.peers) >= limits.max_connections and not self.give_up_a_stranger():
             self.refuse("too many connections")
             sock.close()
             return
-        while len(self.strangers) >= limits.strangers_most:
+        while len(self.strangers) >= limits.max_unregistered:
             self.give_up_a_stranger()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.accepted += 1
-        peer = Served(self, sock, self.codec(), self.accepted)
+        peer = Connection(self, sock, self.codec(), self.accepted)
         self.peers[sock.fileno()] = self.strangers[sock.fileno()] = peer
         self.poll.register(sock, READ)
         self.look_at(peer)
@@ -286,7 +286,7 @@
                 return True
         return False
 
-    def give_up(self, stranger: Served, reason: str) -> bool:
+    def give_up(self, stranger: Connection, reason: str) -> bool:
         """End a connection that has not started, after a last look at what it has sent; False if that starts it.
 
         Found in reading: after a pause of the process its time was over while its start waited to be read.
@@ -300,12 +300,12 @@
         self.finish(stranger, reason)
         return True
 
-    def settle(self, peer: Served) -> None:
+    def settle(self, peer: Connection) -> None:
         """One that has started is no stranger any more."""
         if peer.started:
             self.strangers.pop(peer.sock.fileno(), None)
 
-    def serve(self, peer: Served, events: int) -> None:
+    def serve(self, peer: Connection, events: int) -> None:
         """Read what has come, hand it on, write what there is room for."""
         if events & (READ | ENDED):
             try:
@@ -316,7 +316,7 @@
                 self.take(peer, data)
             except BlockingIOError:
                 pass
-            except ConnectionBroken as trouble:
+            except ProtocolError as trouble:
                 self.say_goodbye(peer)
                 self.finish(peer, str(trouble))
                 return
@@ -329,12 +329,12 @@
         if not peer.gone:
             self.look_at(peer)
 
-    def fail(self, peer: Served, trouble: Exception) -> None:
+    def fail(self, peer: Connection, trouble: Exception) -> None:
         """A fault of ours while a connection was served: it ends that one, with its traceback, and not the thread."""
         self.log.error("a connection met a fault of ours", exc_info=trouble)
         self.finish(peer, f"{type(trouble).__name__}: {trouble}")
 
-    def take(self, peer: Served, data: bytes) -> None:
+    def take(self, peer: Connection, data: bytes) -> None:
         peer.heard_ms = now_ms()
         with peer.lock:
             events = peer.codec.receive(data)
@@ -351,7 +351,7 @@
             if not peer.gone:
                 self.look_at(peer)
 
-    def look_at(self, peer: Served) -> None:
+    def look_at(self, peer: Connection) -> None:
         """Write what there is room for; poll it for what it may do; end it if it is to end."""
         try:
             with peer.lock:
@@ -368,13 +368,13 @@
             self.finish(peer, peer.stopping)
             return
         # One that asks for more answers than it reads is read no further, until its time to take them is over.
-        waits = peer.holds or peer.budget < 0 or len(peer.out) > self.limits.unsent_most_bytes
+        waits = peer.holds or peer.budget < 0 or len(peer.out) > self.limits.max_unsent_bytes
         wanted = (0 if waits else READ) | (WRITE if peer.out else 0)
         if wanted != peer.polled:
             peer.polled = wanted
             self.poll.modify(peer.sock, wanted)
 
-    def write(self, peer: Served) -> None:
+    def write(self, peer: Connection) -> None:
         """Raises OSError."""
         if not peer.polled & WRITE:
             peer.written_ms = now_ms()
@@ -387,12 +387,12 @@
             pass
 
     @staticmethod
-    def say_goodbye(peer: Served) -> None:
+    def say_goodbye(peer: Connection) -> None:
         """What the protocol has to say to one that broke it, if it still reads."""
         with peer.lock, contextlib.suppress(OSError):
             peer.sock.send(peer.codec.goodbye(), socket.MSG_DONTWAIT)
 
-    def finish(self, peer: Served, reason: str) -> None:
+    def finish(self, peer: Connection, reason: str) -> None:
         with peer.lock:
             if peer.gone:
                 return
@@ -418,13 +418,13 @@
             back = (now - peer.counted_ms) * limits.messages_per_s / 1000.0
             peer.budget = min(limits.messages_per_s, peer.budget + back)
             peer.counted_ms = now
-            if not peer.started and now - peer.begun_ms > limits.handshake_ms:
+            if not peer.started and now - peer.begun_ms > limits.handshake_timeout_ms:
                 self.give_up(peer, "no request came in time")
-            elif peer.out and now - peer.written_ms > limits.write_ms:
+            elif peer.out and now - peer.written_ms > limits.write_timeout_ms:
                 self.finish(peer, "it takes no bytes")
-            elif peer.started and not peer.holds and now - peer.heard_ms > self.silent_ms:
+            elif peer.started and not peer.holds and now - peer.heard_ms > self.idle_timeout_ms:
                 self.finish(peer, "it was silent for too long")
-            elif peer.started and now - max(peer.heard_ms, peer.pinged_ms) > limits.ping_ms:
+            elif peer.started and now - max(peer.heard_ms, peer.pinged_ms) > limits.ping_interval_ms:
                 peer.pinged_ms = now
                 with peer.lock:
                     peer.codec.ping()
@@ -433,4 +433,4 @@
                 self.look_at(peer)
 
 
-__all__ = ["Codec", "ConnectionBroken", "Event", "Limits", "Poller", "Served", "now_ms"]
+__all__ = ["Codec", "ProtocolError", "Event", "Limits", "Poller", "Connection", "now_ms"]
--- a/quillstep/planner/messages.py
+++ b/quillstep/planner/messages.py
@@ -1,102 +1,154 @@
-"""What a caller hands to the decision module, and what the module calls back.
+"""What a caller passes to the planner, and what the planner calls back.
 
-Times are milliseconds with fractions and ids are as the caller got them.  The caller makes one `Planner`
-(see `quillstep.planner.planner`) at each start and calls its `round` once for all that has come in since the last.
+Times are milliseconds with fractions, and ids are as the caller received them.  The caller makes one `Planner`
+(see `quillstep.planner.planner`) at each start and calls its `run_interval` once with all that was observed since the
+last call.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple, Protocol
+from typing import Any, Literal, NamedTuple, Protocol
 
-Id = Any  # an endpoint's, a number or a text
+EndpointId = Any  # a number or a text
+EndpointState = Literal["in_service", "terminating", "terminated"]
+EndpointListKind = Literal["partial", "complete", "persisted", "error"]
 
 
-class ClassFacts(NamedTuple):
-    """What the module reads of one class of exchange; its place in the list is its number."""
+class ClassConfig(NamedTuple):
+    """What the planner reads of one class of requests; its place in the list is its index."""
 
-    agreed_ms: float
-    credit: float
-    semantics: str  # safe, keyed or unsafe
-    scope: str  # the endpoints that drop a keyed repeat: all, zone or cell
-    window_ms: float  # how long they drop it
-    home_only: bool
+    latency_objective_ms: float
+    priority_weight: float
+    semantics: str  # safe, keyed (idempotent by a key) or unsafe
+    idempotency_scope: str  # the endpoints that recognise a repeated key: all, zone or cell
+    idempotency_window_ms: float  # how long they recognise it
+    home_zone_only: bool
 
 
 @dataclass(slots=True)
-class StartFacts:
-    """What holds from a start to the next; a figure that was not told is 0, empty or false."""
+class PlannerConfig:
+    """What holds from a start to the next; a figure that was not given is 0, empty or false."""
 
-    classes: list[ClassFacts] = field(default_factory=list)
+    classes: list[ClassConfig] = field(default_factory=list)
     zones: list[str] = field(default_factory=list)
     slices: int = 0
-    list_on_request: bool = False
-    may_probe: bool = False
-    load_by_probe: bool = False
+    watches_on_request: bool = False
+    health_checks_allowed: bool = False
+    load_from_health_checks: bool = False
     admission: str = "none"  # share, rate or none
-    base_mode: int = 0  # the further tries that proxies make where none are ordered
-    try_factor: float = 0.0
-    ejects: int = 0  # a proxy avoids an endpoint after this many of its own failures in a row; 0: never
-    standing: int = 0  # the most endpoints in the table that a proxy starts with
-    report_every_ms: float = 0.0
-    channel_rate: float = 0.0  # lines a second
+    default_retry_policy: int = 0  # what proxies follow where none is assigned
+    attempt_timeout_factor: float = 0.0  # of the latency objective, after which an attempt is retried
+    local_ejection_failures: int = 0  # own failures in a row after which a proxy avoids an endpoint; 0: never
+    initial_table_size: int = 0  # the most endpoints in the table that a proxy starts with
+    report_interval_ms: float = 0.0
+    channel_lines_per_s: float = 0.0
     lines_per_message: float = 0.0
-    lines_waiting_most: float = 0.0
-    messages_most: int = 0  # to one proxy, within messages_over_ms; 0: no limit
-    messages_over_ms: float = 0.0
-    order_late_most_ms: float = 0.0
+    max_queued_lines: float = 0.0
+    max_messages: int = 0  # to one proxy, within message_window_ms; 0: no limit
+    message_window_ms: float = 0.0
+    max_update_delay_ms: float = 0.0
     drain_grace_ms: float = 0.0
-    start_capacity: float = 0.0
-    warm_after_ms: float = 0.0
-    fall_multiple: float = 0.0
+    initial_capacity: float = 0.0  # the share of its capacity that an endpoint has at its start
+    warm_up_ms: float = 0.0
+    overload_multiple: float = 0.0  # times its present capacity, beyond which a warming endpoint fails
+
+
+class EndpointEntry(NamedTuple):
+    """One endpoint of an endpoint list."""
+
+    endpoint: EndpointId
+    zone: str
+    state: str  # an EndpointState
+    weight: float
+    started_ms: float
+
+
+class EndpointListUpdate(NamedTuple):
+    """An endpoint list, or a change of it; `error` has no entries."""
+
+    kind: str  # an EndpointListKind
+    entries: list[EndpointEntry]
+
+
+class ProxyStreamEvent(NamedTuple):
+    """A proxy's stream was opened or has ended; the last three fields only mean something where it was opened."""
+
+    proxy: int
+    is_open: bool
+    zone: str = ""
+    expected_requests_per_s: float = 0.0
+    is_fresh: bool = False  # it holds nothing from earlier updates
+
+
+class UpstreamStats(NamedTuple):
+    """What proxies met at one endpoint."""
+
+    endpoint: EndpointId
+    attempts: float
+    failures: float
+    mean_success_ms: float
+    window_ms: float
+    load: dict[str, float]  # the load report by metric
+
+
+class DownstreamStats(NamedTuple):
+    """What reached one proxy of one class."""
+
+    class_index: int
+    proxy: int
+    requests: float
+    unanswered: float
+    window_ms: float
+
+
+class HealthCheckResult(NamedTuple):
+    """The outcome of one health check."""
+
+    endpoint: EndpointId
+    is_healthy: bool
+    duration_ms: float
+    load: dict[str, float]
 
 
 @dataclass(slots=True)
-class Incoming:
-    """All that came in for one instance in one round, a list of plain tuples for each kind, in order."""
+class Observations:
+    """All that came in for one planner since its last control interval, each kind in the order of its arrival."""
 
     now_ms: float
-    # (kind, entries); kind is partial, complete, persisted or error; an entry is
-    # (endpoint, zone, state, weight, started_ms) with state in_service, terminating or terminated
-    lists: list[tuple] = field(default_factory=list)
-    # (proxy, joined, zone, usual exchanges a second, fresh: it holds no earlier orders); the last three only
-    # where it joined
-    streams: list[tuple] = field(default_factory=list)
-    # (endpoint, tries, failed, mean time of the good ones, covers_ms, load report by name)
-    sums: list[tuple] = field(default_factory=list)
-    # (class place, proxy, arrived, unanswered, covers_ms)
-    arrivals: list[tuple] = field(default_factory=list)
-    # (endpoint, answered, took_ms, load report by name)
-    probes: list[tuple] = field(default_factory=list)
-    # the number given with `Orders.receipt`, once for each proxy that answers
-    receipts: list[int] = field(default_factory=list)
+    endpoint_lists: list[EndpointListUpdate] = field(default_factory=list)
+    proxy_streams: list[ProxyStreamEvent] = field(default_factory=list)
+    upstream_stats: list[UpstreamStats] = field(default_factory=list)
+    downstream_stats: list[DownstreamStats] = field(default_factory=list)
+    health_checks: list[HealthCheckResult] = field(default_factory=list)
+    acks: list[int] = field(default_factory=list)  # the serial of `PlannerOutput.request_ack`, once for each proxy
 
 
-class Orders(Protocol):
-    """The writer that is passed in with each round; an order takes effect in the sequence written."""
+class PlannerOutput(Protocol):
+    """Where the planner writes; what is written takes effect in the sequence written."""
 
-    def line(self, table: int, endpoint: Id, weight: float) -> None:
-        """Give an endpoint this weight in a table; 0 takes it out."""
+    def set_weight(self, table: int, endpoint: EndpointId, weight: float) -> None:
+        """Sets an endpoint's weight in a table; 0 removes it."""
 
-    def withdraw(self, endpoint: Id, out: bool) -> None:
-        """Keep an endpoint out of all tables that joined proxies hold, whoever wrote them, or let it back."""
+    def set_ejected(self, endpoint: EndpointId, ejected: bool) -> None:
+        """Keeps an endpoint out of all tables that joined proxies hold, whoever wrote them, or restores it."""
 
-    def bind(self, proxy: int, table: int, classes: Iterable[int]) -> None:
-        """Put a joined proxy on a table for these classes."""
+    def assign_table(self, proxy: int, table: int, classes: Iterable[int]) -> None:
+        """Assigns a table to a joined proxy for these classes."""
 
-    def level(self, table: int, classes: Iterable[int], allowed: float, tries: int) -> None:
-        """Set what a table's proxies let in of these classes, and their way of trying again."""
+    def set_admission(self, table: int, classes: Iterable[int], limit: float, retry_policy: int) -> None:
+        """Sets what a table's proxies admit of these classes, and their retry policy."""
 
-    def probe(self, endpoint: Id) -> None:
-        """Ask for one health check."""
+    def request_health_check(self, endpoint: EndpointId) -> None:
+        """Requests one health check."""
 
-    def receipt(self, serial: int) -> None:
-        """Ask each proxy that this round's orders reach to answer with this number once it holds them."""
+    def request_ack(self, serial: int) -> None:
+        """Asks each proxy that this interval's updates reach to acknowledge with this number once it holds them."""
 
-    def watch_list(self) -> None:
-        """Ask for the list's changes from now on."""
+    def watch_endpoints(self) -> None:
+        """Requests the endpoint list's changes from now on."""
 
-    def wake(self, token: int, at_ms: float) -> None:
-        """Ask for a round at this time."""
+    def set_timer(self, token: int, at_ms: float) -> None:
+        """Requests a control interval at this time."""
 
-    def note(self, text: str) -> None:
-        """Add a line to the report."""
+    def log_note(self, text: str) -> None:
+        """Adds a line to the report."""
--- a/quillstep/planner/planner.py
+++ b/quillstep/planner/planner.py
@@ -1,6 +1,6 @@
 """The decisions of quillstep: which endpoints the proxies use, in what parts, and what they let in.
 
-Call: `Planner(facts, seed)` at each start, then `planner.round(incoming, orders)` once for all that came in.
+Call: `Planner(facts, seed)` at each start, then `planner.run_interval(incoming, orders)` once for all that came in.
 The interface (facts, incoming, orders) is in quillstep/interface.py; times are milliseconds, ids as given.
 
 The design (docs/design.md): a Q for each endpoint learns from a load-derived payoff each turn; Q x listed
@@ -20,7 +20,14 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from quillstep.planner.messages import ClassFacts, Incoming, Orders, StartFacts
+from quillstep.planner.messages import (
+    ClassConfig,
+    EndpointListUpdate,
+    Observations,
+    PlannerConfig,
+    PlannerOutput,
+    ProxyStreamEvent,
+)
 
 ALPHA, GAMMA = 0.15, 0.1  # the update's learning and discount rate
 TURN_MS = 1000.0  # the design's turn, and the window over which changes are gathered
@@ -58,12 +65,12 @@
     started_ms: float
     q: float | None = None  # None until first heard
     load: float | None = None  # the newest figure since the last turn
-    tries: int = 0  # since the last turn
-    failed: int = 0
+    tries: float = 0  # since the last turn
+    failed: float = 0
     good_ms: float = 0.0  # summed time of the good ones
     learnt_ms: float | None = None
     busy: float | None = None  # smoothed load
-    silent: int = 0  # tries failed since the last good one
+    silent: float = 0  # tries failed since the last good one
     bad_probes: int = 0  # in a row
     good_probes: int = 0
     out: bool = False
@@ -89,7 +96,7 @@
 
     tries: int
     calm_tries: int
-    credit_per_work: float
+    priority_per_work: float
     level: float
     part: float = 1.0  # the part of what arrives that was let in of late
     sent: dict[int, tuple[float, int]] = field(default_factory=dict)  # level and tries by table
@@ -98,7 +105,7 @@
 class Planner:
     """Decides for one pilot from a start to the next."""
 
-    def __init__(self, facts: StartFacts, seed: int) -> None:
+    def __init__(self, facts: PlannerConfig, seed: int) -> None:
         self.facts = facts
         self.draw = Random(seed).random
         self.endpoints: dict[int, Endpoint] = {}
@@ -118,40 +125,42 @@
         self.learnt_ms = self.counted_ms = 0.0
         # When a proxy went or came with another pilot's orders, when one came so; next wake; last push.
         self.moved_ms = self.joined_ms = self.wake_ms = self.pushed_ms = float("-inf")
-        self.room = facts.lines_waiting_most or float("inf")
+        self.room = facts.max_queued_lines or float("inf")
         # Lines that leave within the grace for drains, and that receipts lag behind; no limit where none is told.
-        self.grace = facts.drain_grace_ms * facts.channel_rate / 1000.0 or float("inf")
-        self.lag = facts.channel_rate * facts.order_late_most_ms / 1000.0 or float("inf")
+        self.grace = facts.drain_grace_ms * facts.channel_lines_per_s / 1000.0 or float("inf")
+        self.lag = facts.channel_lines_per_s * facts.max_update_delay_ms / 1000.0 or float("inf")
         self.written = self.left = 0.0  # lines that went into the channel, and that are taken to have left it
         self.proven = 0.0  # the last of these that a receipt has told of, at `counted_ms`
         self.serial = 0
         self.receipts: dict[int, list[float]] = {}  # lines written before, and a message, by serial
         self.urgent = self.ask = False  # news that can't wait for the turn; the list must be asked for again
 
-    def class_row(self, row: ClassFacts) -> ClassLevel:
+    def class_row(self, row: ClassConfig) -> ClassLevel:
         """After proof that a try never ran all may try again; after any failure where a repeat is safe."""
         # A keyed repeat must be dropped still after the wait, a stall of the proxy and the way of an order.
-        held_ms = (self.facts.try_factor + STALLS) * row.agreed_ms + self.facts.order_late_most_ms
-        shares_key = row.scope == "all" or (row.scope == "zone" and row.home_only)
-        keyed = row.semantics == "keyed" and shares_key and row.window_ms >= held_ms
+        held_ms = (
+            self.facts.attempt_timeout_factor + STALLS
+        ) * row.latency_objective_ms + self.facts.max_update_delay_ms
+        shares_key = row.idempotency_scope == "all" or (row.idempotency_scope == "zone" and row.home_zone_only)
+        keyed = row.semantics == "keyed" and shares_key and row.idempotency_window_ms >= held_ms
         calm_tries = 2 if row.semantics == "safe" or keyed else 1
-        return ClassLevel(1, calm_tries, row.credit / max(row.agreed_ms, 1.0), 1.0)
+        return ClassLevel(1, calm_tries, row.priority_weight / max(row.latency_objective_ms, 1.0), 1.0)
 
-    def round(self, incoming: Incoming, orders: Orders) -> None:
+    def run_interval(self, incoming: Observations, orders: PlannerOutput) -> None:
         """Take in what came and write what follows from it."""
         if self.facts.slices:
             return  # sites with slices are not decided here
         now = incoming.now_ms
         if self.turn_ms is None:
             self.turn_ms = now + TURN_MS * self.draw()
-            orders.wake(TURN, self.turn_ms)
-            if self.facts.list_on_request:
-                orders.watch_list()
+            orders.set_timer(TURN, self.turn_ms)
+            if self.facts.watches_on_request:
+                orders.watch_endpoints()
             self.learnt_ms, self.moved_ms, self.urgent = now, now, True
-        for kind, entries in incoming.lists:
-            self.take_list(kind, entries, now)
-        for proxy, joined, zone, usual, fresh in incoming.streams:
-            self.take_stream(proxy, joined, zone, usual, fresh, now)
+        for update in incoming.endpoint_lists:
+            self.take_list(update, now)
+        for stream in incoming.proxy_streams:
+            self.take_stream(stream, now)
         self.take_reports(incoming)
         due = now >= self.turn_ms
         if due:
@@ -162,24 +171,24 @@
             self.set_levels(now, due)
         if due:
             if self.ask:
-                orders.watch_list()
+                orders.watch_endpoints()
             self.ask, self.turn_ms = False, now + TURN_MS
-            orders.wake(TURN, self.turn_ms)
+            orders.set_timer(TURN, self.turn_ms)
         self.push(now, due, orders)
 
     # what came in
 
-    def take_list(self, kind: str, entries: list[tuple], now: float) -> None:
-        if kind == "error":
+    def take_list(self, update: EndpointListUpdate, now: float) -> None:
+        if update.kind == "error":
             self.ask = True  # at the next turn, not at once: a call that failed may have found it full
             return
-        if kind != "partial":
-            named = {entry[0] for entry in entries}
+        if update.kind != "partial":
+            named = {entry.endpoint for entry in update.entries}
             for endpoint, record in self.endpoints.items():
                 if endpoint not in named and record.gone_ms is None:
                     self.urgent |= record.ready
                     record.ready, record.gone_ms = False, now
-        for endpoint, zone, state, listed, started_ms in entries:
+        for endpoint, zone, state, listed, started_ms in update.entries:
             record = self.endpoints.get(endpoint)
             if record is None or started_ms > record.started_ms:
                 sent, withdrawn = (record.sent, record.withdrawn) if record else ({}, False)
@@ -191,40 +200,41 @@
             record.ready, record.listed = ready, listed
             record.gone_ms = now if state == "terminated" else None
 
-    def take_stream(self, proxy: int, joined: bool, zone: str, usual: float, fresh: bool, now: float) -> None:
-        if self.proxies.pop(proxy, None):
+    def take_stream(self, stream: ProxyStreamEvent, now: float) -> None:
+        if self.proxies.pop(stream.proxy, None):
             self.moved_ms = now
-        if joined:
-            self.proxies[proxy] = Proxy(zone, [usual / max(1, len(self.classes))] * len(self.classes))
-            if not fresh:
+        if stream.is_open:
+            usual = stream.expected_requests_per_s / max(1, len(self.classes))
+            self.proxies[stream.proxy] = Proxy(stream.zone, [usual] * len(self.classes))
+            if not stream.is_fresh:
                 self.joined_ms, self.moved_ms, self.urgent = now, now, True
 
-    def take_reports(self, incoming: Incoming) -> None:
-        for endpoint, tries, failed, mean_ms, _, report in incoming.sums:
-            if record := self.endpoints.get(endpoint):
-                record.tries += tries
-                record.failed += failed
-                record.silent = record.silent + failed if failed >= tries else 0
-                record.good_ms += mean_ms * (tries - failed)
-                record.load = report.get("util", record.load)
-        for endpoint, answered, _, report in incoming.probes:
-            if record := self.endpoints.get(endpoint):
+    def take_reports(self, incoming: Observations) -> None:
+        for stats in incoming.upstream_stats:
+            if record := self.endpoints.get(stats.endpoint):
+                record.tries += stats.attempts
+                record.failed += stats.failures
+                record.silent = record.silent + stats.failures if stats.failures >= stats.attempts else 0
+                record.good_ms += stats.mean_success_ms * (stats.attempts - stats.failures)
+                record.load = stats.load.get("util", record.load)
+        for result in incoming.health_checks:
+            if record := self.endpoints.get(result.endpoint):
                 # Else a full endpoint that falls silent would keep its last, lower figure.
-                record.load = report.get("util", record.load) if answered else 1.0
-                record.bad_probes = 0 if answered else record.bad_probes + 1
-                record.good_probes = record.good_probes + 1 if answered else 0
-        for serial in incoming.receipts:
+                record.load = result.load.get("util", record.load) if result.is_healthy else 1.0
+                record.bad_probes = 0 if result.is_healthy else record.bad_probes + 1
+                record.good_probes = record.good_probes + 1 if result.is_healthy else 0
+        for serial in incoming.acks:
             # Messages leave in order: so many receipts, so many messages and all that was written before.
             answered = self.receipts.get(serial, [0.0, 0.0])
             answered[0] += answered[1]
             if answered[0] > self.proven:
                 self.proven, self.counted_ms = min(self.written, answered[0]), incoming.now_ms
-        for place, proxy, arrived, _, covers_ms in incoming.arrivals:
-            record = self.proxies.get(proxy)
-            if record and covers_ms > 0:
-                step = 1.0 - KEEPS ** (covers_ms / TURN_MS)  # by its age
-                record.heard = True
-                record.arrives[place] += step * (arrived * 1000.0 / covers_ms - record.arrives[place])
+        for arrivals in incoming.downstream_stats:
+            proxy, place = self.proxies.get(arrivals.proxy), arrivals.class_index
+            if proxy and arrivals.window_ms > 0:
+                step = 1.0 - KEEPS ** (arrivals.window_ms / TURN_MS)  # by its age
+                proxy.heard = True
+                proxy.arrives[place] += step * (arrivals.requests * 1000.0 / arrivals.window_ms - proxy.arrives[place])
 
     # the design
 
@@ -240,7 +250,7 @@
     def measure(self, now: float) -> None:
         """What all sums since the last turn say of the whole fleet."""
         arrives = self.arrives()
-        work = sum(each * row.agreed_ms for each, row in zip(arrives, self.facts.classes, strict=True))
+        work = sum(each * row.latency_objective_ms for each, row in zip(arrives, self.facts.classes, strict=True))
         agreed = work / sum(arrives) if sum(arrives) else 0.0
         tries = spent = done = 0.0
         for record in self.endpoints.values():
@@ -280,10 +290,10 @@
 
     def capacity(self, record: Endpoint, now: float) -> float:
         """The part of its capacity that an endpoint surely has, by its age."""
-        if not record.started_ms or not self.facts.warm_after_ms:
+        if not record.started_ms or not self.facts.warm_up_ms:
             return 1.0
-        low = self.facts.start_capacity
-        return min(1.0, low + (1.0 - low) * max(0.0, now - record.started_ms) / self.facts.warm_after_ms)
+        low = self.facts.initial_capacity
+        return min(1.0, low + (1.0 - low) * max(0.0, now - record.started_ms) / self.facts.warm_up_ms)
 
     def weights(self, now: float, zone: str | None) -> dict[int, float]:
         """Q x listed weight for each usable endpoint, cold ones capped at their part of the mean."""
@@ -314,12 +324,12 @@
 
     # beside the design
 
-    def judge(self, now: float, orders: Orders) -> None:
+    def judge(self, now: float, orders: PlannerOutput) -> None:
         """Shut out what fails far more than its fellows and fails its probes; ask the probes due."""
         ready = {e: r for e, r in self.endpoints.items() if r.ready}
         room = int(len(ready) * OUT_MOST) - sum(record.out for record in ready.values())
         # Where those that answer are full too, it is overload and not a fault of the silent.
-        least = max(1, self.facts.ejects)
+        least = max(1, self.facts.local_ejection_failures)
         answering = [r.busy for r in ready.values() if r.silent < least and r.busy is not None]
         others = sum(answering) / len(answering) if answering else 1.0
         for endpoint, record in ready.items():
@@ -330,9 +340,11 @@
             elif not record.out and suspect and room > 0:
                 record.out, record.good_probes, self.urgent = True, 0, True
                 room -= 1
-                orders.note(f"{endpoint} is shut out: {record.silent} tries since its last good answer")
-            if self.facts.may_probe and (self.facts.load_by_probe or record.out or record.silent > 2):
-                orders.probe(endpoint)
+                orders.log_note(f"{endpoint} is shut out: {record.silent} tries since its last good answer")
+            if self.facts.health_checks_allowed and (
+                self.facts.load_from_health_checks or record.out or record.silent > 2
+            ):
+                orders.request_health_check(endpoint)
 
     def reached(self) -> list[Endpoint]:
         """The endpoints that our proxies can use, also where no more may be shut out.
@@ -344,7 +356,7 @@
 
     def lost(self, record: Endpoint) -> bool:
         """Sums suggest it, probes confirm it: as many failures in a row as a proxy bears, two bad probes."""
-        return record.silent >= max(1, self.facts.ejects) and record.bad_probes >= 2
+        return record.silent >= max(1, self.facts.local_ejection_failures) and record.bad_probes >= 2
 
     def set_levels(self, now: float, due: bool) -> None:
         """Move the part of the work that is let in, and share it out over classes and proxies."""
@@ -379,10 +391,10 @@
         # let in little by its first figures, and the little that came of it kept them low.
         if not self.unit or self.measures < SETTLE and self.strain < 0.95:
             self.fit = usable / (sum(r.listed or 1.0 for r in self.endpoints.values()) or 1.0)
-        loads = [each * row.agreed_ms for each, row in zip(first, self.facts.classes, strict=True)]
+        loads = [each * row.latency_objective_ms for each, row in zip(first, self.facts.classes, strict=True)]
         excess = (1.0 - self.fit) * sum(loads)
         moving = now - self.moved_ms < SETTLE * TURN_MS
-        for place in sorted(range(len(loads)), key=lambda at: self.classes[at].credit_per_work):
+        for place in sorted(range(len(loads)), key=lambda at: self.classes[at].priority_per_work):
             cut = min(excess, 0.9 * loads[place])
             excess -= cut
             row = self.classes[place]
@@ -425,14 +437,14 @@
 
     def tables(self) -> list[tuple[int, str | None, list[int]]]:
         """The tables in use: number, zone, classes.  Home-only classes need one a zone."""
-        homes = [place for place, row in enumerate(self.facts.classes) if row.home_only]
+        homes = [place for place, row in enumerate(self.facts.classes) if row.home_zone_only]
         shared = [place for place in range(len(self.classes)) if place not in homes]
         tables: list[tuple[int, str | None, list[int]]] = [(SHARED, None, shared)] if shared else []
         if homes:
             tables += [(1 + at, zone, homes) for at, zone in enumerate(self.facts.zones)]
         return tables
 
-    def push(self, now: float, due: bool, orders: Orders) -> None:
+    def push(self, now: float, due: bool, orders: PlannerOutput) -> None:
         """Drains, deaths and cold falls at once, joins as the channel has room, at the turn what moved most.
 
         Found at full size: the joins of a start alone overran the channel.  What waits there is what was
@@ -443,11 +455,11 @@
         facts = self.facts
         if self.left >= self.written:
             self.proven, self.counted_ms = self.written, now
-        drained = PACE * facts.channel_rate / 1000.0 * (now - self.counted_ms)
+        drained = PACE * facts.channel_lines_per_s / 1000.0 * (now - self.counted_ms)
         self.left = min(self.written, self.proven + drained)
         crowded = self.written - self.left > JOINS * self.room
         # Found as hee13f4: deaths told one by one each took a message, and none was left for the last.
-        gap = 1.2 * facts.messages_over_ms / facts.messages_most if facts.messages_most else 0.0
+        gap = 1.2 * facts.message_window_ms / facts.max_messages if facts.max_messages else 0.0
         before, seekers = self.written, self.seekers()
         messages = self.bind(seekers, True, orders)
         if (due or self.urgent) and not crowded and now >= self.pushed_ms + gap:
@@ -461,14 +473,14 @@
         waits = self.urgent or not all(proxy.bound for proxy in self.proxies.values())
         if waits and self.wake_ms <= now:
             self.wake_ms = now + 0.2 * TURN_MS
-            orders.wake(URGENT, self.wake_ms)
+            orders.set_timer(URGENT, self.wake_ms)
         if messages:
             self.written += messages
             self.serial = (self.serial + 1) % RECEIPTS
             self.receipts[self.serial] = [before, (self.written - before) / messages]
-            orders.receipt(self.serial)
+            orders.request_ack(self.serial)
 
-    def send(self, now: float, due: bool, pieces: bool, orders: Orders) -> int:
+    def send(self, now: float, due: bool, pieces: bool, orders: PlannerOutput) -> int:
         """Write the differences between what is wanted and what was sent; returns the messages they make.
 
         While `pieces` wait for the channel it takes no more than receipts lag behind.
@@ -503,10 +515,10 @@
             messages = max(messages, reached)
             lines += cost
             for table, want in moves.items():
-                orders.line(table, endpoint, want)
+                orders.set_weight(table, endpoint, want)
                 record.sent[table] = want
             if out != record.withdrawn:
-                orders.withdraw(endpoint, out)
+                orders.set_ejected(endpoint, out)
                 record.withdrawn = out
             if record.gone_ms is not None and not out:
                 del self.endpoints[endpoint]
@@ -545,12 +557,12 @@
         gone = record.gone_ms is not None and now - record.gone_ms >= FORGETS * TURN_MS
         return gone and record.withdrawn and all(proxy.bound for proxy in self.proxies.values())
 
-    def send_levels(self, table: int, classes: list[int], orders: Orders) -> int:
+    def send_levels(self, table: int, classes: list[int], orders: PlannerOutput) -> int:
         lines = 0
         for place, row in ((place, self.classes[place]) for place in classes):
             level, tries = row.sent.get(table, (0.0, -1))
             if row.tries != tries or abs(row.level - level) > RESEND * level:
-                orders.level(table, [place], row.level, row.tries)
+                orders.set_admission(table, [place], row.level, row.tries)
                 row.sent[table] = (row.level, row.tries)
                 lines += 1
         return lines
@@ -570,12 +582,12 @@
             return []
         return [number for number in unbound if self.bare(self.proxies[number], gone)]
 
-    def bind(self, numbers: list[int], pieces: bool, orders: Orders) -> int:
+    def bind(self, numbers: list[int], pieces: bool, orders: PlannerOutput) -> int:
         """Put joined proxies on the calendar, or on pieces of it; the others keep what they hold."""
         gone = {endpoint for endpoint, record in self.endpoints.items() if record.withdrawn}
         # What receipts lag behind at full pace, no more: a drain may have to wait behind it.
         window = min(JOINS * self.room, self.lag)
-        size, messages = self.facts.standing if pieces else len(self.endpoints), 0  # about what a join writes
+        size, messages = self.facts.initial_table_size if pieces else len(self.endpoints), 0  # about what a join writes
         for number in numbers:
             if self.left < self.written and self.written - self.left + size > window:
                 break
@@ -589,15 +601,15 @@
                 if pieces:
                     usable = [e for e in held if e not in gone]
                     usable = [e for e in usable if self.endpoints[e].ready] or usable
-                    step = max(1, len(usable) // max(1, self.facts.standing))
+                    step = max(1, len(usable) // max(1, self.facts.initial_table_size))
                     held = usable[number % step :: step]
                     for endpoint in (e for e in self.pieces.get(own, ()) if e not in held):
-                        orders.line(own, endpoint, 0)
+                        orders.set_weight(own, endpoint, 0)
                     for endpoint in held:
-                        orders.line(own, endpoint, self.endpoints[endpoint].sent[table])
+                        orders.set_weight(own, endpoint, self.endpoints[endpoint].sent[table])
                     self.pieces[own] = held
                     proxy.pieces.append(held)
-                orders.bind(number, own, classes)
+                orders.assign_table(number, own, classes)
                 self.written += 1 + len(classes) + len(held) + len(gone.intersection(held))
             self.written += self.facts.lines_per_message
             messages += 1
--- a/quillstep/platform/__main__.py
+++ b/quillstep/platform/__main__.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from quillstep.platform.service import LivePilot
+    from quillstep.platform.service import PlatformController
 
 FAULT = 70  # the status of a process that ends by a fault of ours
 
@@ -18,20 +18,20 @@
 
     def __init__(self) -> None:
         self.came: set[int] = set()
-        self.pilot: LivePilot | None = None
+        self.pilot: PlatformController | None = None
 
     def take(self, number: int, frame: FrameType | None) -> None:
         self.came.add(number)
         if self.pilot:
             tell(self.pilot, {number})
 
-    def hand_over(self, pilot: "LivePilot") -> None:
+    def hand_over(self, pilot: "PlatformController") -> None:
         """From now on to this pilot, and to it what came before."""
         self.pilot = pilot
         tell(pilot, self.came)
 
 
-def tell(pilot: "LivePilot", came: set[int]) -> None:
+def tell(pilot: "PlatformController", came: set[int]) -> None:
     if signal.SIGTERM in came:
         pilot.stops = True
     if signal.SIGHUP in came:
@@ -56,15 +56,15 @@
     signal.signal(signal.SIGHUP, signals.take)
     from quillstep.logging import configure_logging
     from quillstep.platform import configuration
-    from quillstep.platform.service import LivePilot
+    from quillstep.platform.service import PlatformController
 
     configure_logging("json", "info")
     threading.excepthook = end_with_thread
     try:
         found = configuration.read()
         facts = configuration.pilot_facts(found, os.environ[configuration.FILE])
-        pilot = LivePilot(found, facts)
-    except configuration.Fault as trouble:
+        pilot = PlatformController(found, facts)
+    except configuration.ConfigurationError as trouble:
         print(f"quillstep: {trouble}.", file=sys.stderr)
         return 1
     except OSError as trouble:
--- a/quillstep/platform/configuration.py
+++ b/quillstep/platform/configuration.py
@@ -1,6 +1,6 @@
 """The configuration that the platform hands a pilot: read, checked, and turned into what the pilot goes by.
 
-`Fault` is one sentence that names file, path, what was found and what was expected.
+`ConfigurationError` is one sentence that names file, path, what was found and what was expected.
 """
 
 import json
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from quillstep.config.start_settings import ms, start_facts, whole
-from quillstep.planner.messages import StartFacts
+from quillstep.config.start_settings import ms, planner_config_of_start, whole
+from quillstep.planner.messages import PlannerConfig
 from quillstep.platform.endpoint_list import address_of
 from quillstep.platform.protocol.validation import Known
 
@@ -23,11 +23,11 @@
 FILE, NAME, LISTEN, DISCOVERY = (f"BALANCER_{name}" for name in ("CONFIG", "NAME", "LISTEN", "DISCOVERY"))
 
 
-class Fault(Exception):
+class ConfigurationError(Exception):
     """What is wrong with the configuration, in one sentence."""
 
 
-class LimitsRecord(msgspec.Struct, frozen=True):
+class MachineLimits(msgspec.Struct, frozen=True):
     """What the machine gives."""
 
     cores: Annotated[float, msgspec.Meta(gt=0)] = 1.0
@@ -35,7 +35,7 @@
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024
 
 
-class ListRecord(msgspec.Struct, frozen=True):
+class KnownEndpoints(msgspec.Struct, frozen=True):
     """A list of endpoints as discovery words it; entries are checked one by one (`endpoints.py`)."""
 
     members: list[Any]
@@ -43,7 +43,7 @@
     complete: bool = True
 
 
-class PlatformRecord(msgspec.Struct, frozen=True):
+class PlatformConfiguration(msgspec.Struct, frozen=True):
     """The file; fields that are not named here are left alone."""
 
     name: Text
@@ -51,14 +51,14 @@
     discovery: Text
     settings: dict[str, Any]
     seed: Text
-    limits: LimitsRecord = LimitsRecord()
-    known: ListRecord = ListRecord([], 0)
+    limits: MachineLimits = MachineLimits()
+    known: KnownEndpoints = KnownEndpoints([], 0)
 
 
-class PilotFacts(msgspec.Struct, frozen=True):
+class ControllerConfig(msgspec.Struct, frozen=True):
     """What the settings say: to the module, of what may come in, and of probes and rounds."""
 
-    start: StartFacts
+    start: PlannerConfig
     classes: list[str]
     known: Known
     tick_ms: float
@@ -93,33 +93,33 @@
     return "" if value is None else str(value)
 
 
-def read(environment: Mapping[str, str] = os.environ) -> PlatformRecord:
+def read(environment: Mapping[str, str] = os.environ) -> PlatformConfiguration:
     """The configuration that the environment names; raises Fault."""
     path = environment.get(FILE, "")
     if not path:
-        raise Fault(f"{FILE} names no configuration file: its path was expected there")
+        raise ConfigurationError(f"{FILE} names no configuration file: its path was expected there")
     try:
         data = Path(path).read_bytes()
     except OSError as trouble:
-        raise Fault(f"{path}: it can't be read: {trouble.strerror or trouble}") from None
+        raise ConfigurationError(f"{path}: it can't be read: {trouble.strerror or trouble}") from None
     try:
         told = msgspec.json.decode(data)
     except (msgspec.DecodeError, RecursionError) as trouble:
-        raise Fault(f"{path}: JSON was expected, found what can't be read: {trouble}") from None
+        raise ConfigurationError(f"{path}: JSON was expected, found what can't be read: {trouble}") from None
     if isinstance(told, dict):
         for field, variable in (("name", NAME), ("listen", LISTEN), ("discovery", DISCOVERY)):
             if field not in told and environment.get(variable):
                 told[field] = environment[variable]
     try:
-        record = msgspec.convert(told, PlatformRecord)
+        record = msgspec.convert(told, PlatformConfiguration)
     except msgspec.ValidationError as trouble:
-        raise Fault(f"{path}: {trouble}{found(told, str(trouble))}") from None
+        raise ConfigurationError(f"{path}: {trouble}{found(told, str(trouble))}") from None
     for field in ("listen", "discovery"):
         try:
             address_of(getattr(record, field))
         except ValueError:
             what = f"Expected an address in figures with its port - at `$.{field}`"
-            raise Fault(f"{path}: {what}{found(told, what)}") from None
+            raise ConfigurationError(f"{path}: {what}{found(told, what)}") from None
     return record
 
 
@@ -133,7 +133,7 @@
     return f", found {json.dumps(told)[:60]}"
 
 
-def pilot_facts(record: PlatformRecord, path: str) -> PilotFacts:
+def pilot_facts(record: PlatformConfiguration, path: str) -> ControllerConfig:
     """The settings in the pilot's words; raises Fault."""
     zones = texts(record.settings.get("zones"), "names of zones", "$.settings.zones", path)
     lanes = record.settings.get("lanes")
@@ -141,34 +141,38 @@
     classes = texts(names, "a list of classes", "$.settings.lanes", path)
     try:
         settings = flat(record.settings)
-        start, _ = start_facts(settings)
+        start, _ = planner_config_of_start(settings)
         # As the file tells them: a name may hold what joins names and paths in a start.
         start.zones = zones
-        cut_off_ms = max(ms(settings, f"lanes.{place}.giveUp") for place in range(len(classes)))
+        deadline_ms = max(ms(settings, f"lanes.{place}.giveUp") for place in range(len(classes)))
         proxies = whole(settings, "specifics.dataPlaneSize")
         dial_ms, tick_ms = ms(settings, "allowed.dialTimeout"), ms(settings, "tick")
     except ValueError as trouble:
-        raise Fault(f"{path}: Expected a number, found {trouble} - at `$.settings`") from None
+        raise ConfigurationError(f"{path}: Expected a number, found {trouble} - at `$.settings`") from None
     except RecursionError:
-        raise Fault(f"{path}: Expected settings, found what is nested beyond sense - at `$.settings`") from None
+        raise ConfigurationError(
+            f"{path}: Expected settings, found what is nested beyond sense - at `$.settings`"
+        ) from None
     if proxies <= 0:
         at = "$.settings.specifics.dataPlaneSize"
-        raise Fault(f"{path}: Expected a number of proxies above 0, found {proxies or 'nothing'} - at `{at}`")
+        raise ConfigurationError(
+            f"{path}: Expected a number of proxies above 0, found {proxies or 'nothing'} - at `{at}`"
+        )
     known = Known(
-        proxies, frozenset(zones), {name: place for place, name in enumerate(classes)}, cut_off_ms or float("inf")
+        proxies, frozenset(zones), {name: place for place, name in enumerate(classes)}, deadline_ms or float("inf")
     )
-    return PilotFacts(
+    return ControllerConfig(
         start, classes, known, tick_ms, PROBE_DIALS * dial_ms or PROBE_MS,
-        "/status/load" if start.load_by_probe else "/health",
+        "/status/load" if start.load_from_health_checks else "/health",
     )  # fmt: skip
 
 
 def texts(told: Any, expected: str, at: str, path: str) -> list[str]:
     """Names, each once; raises Fault."""
     if not isinstance(told, list) or not told:
-        raise Fault(f"{path}: Expected {expected}, found nothing - at `{at}`")
+        raise ConfigurationError(f"{path}: Expected {expected}, found nothing - at `{at}`")
     if not all(type(name) is str and name for name in told) or len(set(told)) < len(told):
-        raise Fault(f"{path}: Expected {expected}, each a text and there once - at `{at}`")
+        raise ConfigurationError(f"{path}: Expected {expected}, each a text and there once - at `{at}`")
     return told
 
 
--- a/quillstep/platform/discovery_watch.py
+++ b/quillstep/platform/discovery_watch.py
@@ -19,7 +19,7 @@
 import structlog
 
 from quillstep.net.http import ask, dial, get, next_event
-from quillstep.platform.endpoint_list import News, Unreadable, address_of, read_list
+from quillstep.platform.endpoint_list import DiscoveryUpdate, MalformedListError, address_of, read_list
 
 EMPTY_MS = 2000.0  # between empty lines while nothing changes
 SILENT_MS = 2.1 * EMPTY_MS  # without a whole line: the watch is dead
@@ -39,11 +39,11 @@
     def feed(self, data: bytes) -> list[bytes]:
         *lines, self.rest = (self.rest + data).split(b"\n")
         if len(self.rest) > LINE_MOST:
-            raise Unreadable("a line that does not end")
+            raise MalformedListError("a line that does not end")
         return lines
 
 
-class Watch:
+class DiscoveryWatch:
     """Keeps a watch at one address; `move` sends it to another.  `put` is given ("list", news)."""
 
     def __init__(
@@ -84,7 +84,7 @@
             try:
                 self.follow(address)
                 why = "the answer ended"
-            except (OSError, Unreadable, h11.ProtocolError) as trouble:
+            except (OSError, MalformedListError, h11.ProtocolError) as trouble:
                 why = f"{type(trouble).__name__}: {trouble}"
             except Exception as trouble:  # a fault of ours with what came: the next dial may bring what we can read
                 why = f"{type(trouble).__name__}: {trouble}"
@@ -127,7 +127,7 @@
             event = next_event(sock, http, until)
             if isinstance(event, h11.Response):
                 if event.status_code != 200:
-                    raise Unreadable(f"status {event.status_code}")
+                    raise MalformedListError(f"status {event.status_code}")
             elif isinstance(event, h11.Data):
                 for line in lines.feed(bytes(event.data)):
                     until = time.monotonic() + SILENT_MS / 1000.0
@@ -148,7 +148,7 @@
         try:
             found = get(address_of(address), PATH, begun + DIAL_MS / 1000.0, LINE_MOST)
             news = read_list(decoded(found.body), self.offset_ms)
-        except (OSError, h11.ProtocolError, Unreadable):
+        except (OSError, h11.ProtocolError, MalformedListError):
             return  # discovery is down, or a look was spoilt: the watch goes on, its own silence tells
         # As new as what was read counts where something of that is owed.
         if found.status == 200 and news.revision >= self.seen + (not self.owed):
@@ -165,7 +165,7 @@
         elif news.whole or news.revision != self.held:  # else a look was quicker than the watch
             self.bring(news, news.whole or first)
 
-    def bring(self, news: News, holds_all: bool) -> None:
+    def bring(self, news: DiscoveryUpdate, holds_all: bool) -> None:
         """Hand a list on.  Entries that could not be read are owed until a list that holds them has come.
 
         Found in reading: the next good line moved the revision past a spoilt one, which was never asked for again.
@@ -187,7 +187,7 @@
     try:
         return msgspec.json.decode(data)
     except (msgspec.DecodeError, RecursionError):
-        raise Unreadable("what is no JSON") from None
+        raise MalformedListError("what is no JSON") from None
 
 
-__all__ = ["News", "Watch"]
+__all__ = ["DiscoveryUpdate", "DiscoveryWatch"]
--- a/quillstep/platform/endpoint_list.py
+++ b/quillstep/platform/endpoint_list.py
@@ -4,6 +4,8 @@
 import socket
 from typing import Any, NamedTuple
 
+from quillstep.planner.messages import EndpointEntry
+
 PHASES = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
 
 
@@ -11,28 +13,28 @@
 ADDRESS = re.compile(r"([0-9.]+|\[[0-9A-Fa-f:.]+\]):([0-9]{1,5})")
 
 
-class Unreadable(Exception):
+class MalformedListError(Exception):
     """What discovery sent is no list."""
 
 
-class News(NamedTuple):
+class DiscoveryUpdate(NamedTuple):
     """A list in the interface's words: kind, entries, and addresses by endpoint."""
 
     kind: str
-    entries: list[tuple]
+    entries: list[EndpointEntry]
     addresses: dict[str, tuple[str, int]]
     revision: int
     spoilt: list[str]  # why entries were left out
     whole: bool  # whether it was told as the whole list; with a spoilt entry its kind is partial all the same
 
 
-def read_list(told: Any, offset_ms: float, kind: str = "") -> News:
+def read_list(told: Any, offset_ms: float, kind: str = "") -> DiscoveryUpdate:
     """Raises Unreadable.  A spoilt entry is left out; a list with one is not whole: what it lacks is not gone."""
     revision = told.get("revision") if isinstance(told, dict) else None
     if type(revision) is not int or not 0 <= revision <= FIGURE_MOST:
-        raise Unreadable("a list without a revision")
+        raise MalformedListError("a list without a revision")
     if not isinstance(told.get("members"), list) or type(told.get("complete")) is not bool:
-        raise Unreadable("a list without its members, or that does not say whether it is complete")
+        raise MalformedListError("a list without its members, or that does not say whether it is complete")
     entries, addresses, spoilt = [], {}, []
     for member in told["members"]:
         try:
@@ -41,9 +43,9 @@
             spoilt.append(str(trouble))
             continue
         entries.append(entry)
-        addresses[entry[0]] = address
+        addresses[entry.endpoint] = address
     found = "complete" if told["complete"] and not spoilt else "partial"
-    return News(kind or found, entries, addresses, revision, spoilt, told["complete"])
+    return DiscoveryUpdate(kind or found, entries, addresses, revision, spoilt, told["complete"])
 
 
 def address_of(text: str) -> tuple[str, int]:
@@ -62,7 +64,7 @@
     return host, int(found[2])
 
 
-def read_entry(member: Any, offset_ms: float) -> tuple[tuple, tuple[str, int]]:
+def read_entry(member: Any, offset_ms: float) -> tuple[EndpointEntry, tuple[str, int]]:
     """(endpoint, zone, state, listed weight, started on the pilot's clock), and its address; raises ValueError."""
     if not isinstance(member, dict):
         raise ValueError("a member that is no object")
@@ -79,7 +81,7 @@
     for name, value in (("size", size), ("up_since_ms", up_ms)):
         if type(value) not in (int, float) or not 0 <= value <= FIGURE_MOST:
             raise ValueError(f"{name} is no number that it can be")
-    entry = (
+    entry = EndpointEntry(
         member["id"], member["locality"], PHASES[member["phase"]], float(size),
         up_ms + offset_ms if up_ms else 0.0,
     )  # fmt: skip
--- a/quillstep/platform/protocol/codec.py
+++ b/quillstep/platform/protocol/codec.py
@@ -18,11 +18,11 @@
 decode = msgspec.json.Decoder(dict[str, Any]).decode
 
 
-class Unreadable(Exception):
+class MalformedMessageError(Exception):
     """Nothing can be read any more; the text says why."""
 
 
-class FrameCodec:
+class MessageCodec:
     """One connection's reading and writing.  `stranger_most`: the longest message before it has `started`."""
 
     def __init__(self, stranger_most: int) -> None:
@@ -42,14 +42,14 @@
         def check(length: int, first: bytes) -> None:
             """A stranger's is judged before it is held; its first message may be followed at once by others."""
             if not 2 <= length <= (MESSAGE_MOST if self.started or events else self.stranger_most):
-                raise Unreadable(f"a message of {length} bytes")
+                raise MalformedMessageError(f"a message of {length} bytes")
             if first and first not in OPENS:
-                raise Unreadable(NO_OBJECT)
+                raise MalformedMessageError(NO_OBJECT)
 
         try:
             for body in bodies(self.buffer, check):
                 events.append(("message", decode(body)))
-        except Unreadable as trouble:
+        except MalformedMessageError as trouble:
             events.append(self.breaks(str(trouble)))
         except (msgspec.DecodeError, RecursionError, ValueError):
             events.append(self.breaks(NO_OBJECT))
@@ -78,4 +78,4 @@
         return b""
 
 
-__all__ = ["FrameCodec", "decode", "encode", "framed"]
+__all__ = ["MessageCodec", "decode", "encode", "framed"]
