--- a/quillstep/platform/protocol/connections.py
+++ b/quillstep/platform/protocol/connections.py
@@ -1,7 +1,7 @@
 """Who connects: proxies by their streams, collectors, strangers.  All of it runs in the poller's thread.
 
 Not joined, a connection may ask for a sign of life and join, nothing else; joined, it is read whatever comes, and
-what is spoilt is dropped and counted.  News for the deciding thread never waits (`Lanes.bring`):
+what is spoilt is dropped and counted.  News for the deciding thread never waits (`EventQueue.bring`):
 ("join", peer, proxy, zone, usual, fresh), ("leave", peer, proxy), ("receipt", peer, proxy, serial),
 ("sums", row), ("arrivals", row).
 """
@@ -12,10 +12,11 @@
 
 import structlog
 
-from quillstep.net.poller import Event, Poller, Served, now_ms
+from quillstep.net.poller import Connection, Event, Poller, now_ms
+from quillstep.planner.messages import DownstreamStats, UpstreamStats
 from quillstep.platform.protocol import validation
-from quillstep.platform.protocol.codec import FrameCodec, encode, framed
-from quillstep.platform.protocol.validation import Known, Spoilt
+from quillstep.platform.protocol.codec import MessageCodec, encode, framed
+from quillstep.platform.protocol.validation import InvalidMessageError, Known
 
 ALIVE = framed(encode({"t": "hb_ok"}))
 STRANGER_MOST = 4096  # bytes of a message before joining
@@ -23,35 +24,40 @@
 TOLD_MS = 2000.0  # between two lines of the log on what was dropped for the same reason
 
 
-class FrameLimits(NamedTuple):
+class ConnectionLimits(NamedTuple):
     """What one connection may cost; see `net.poller.Limits`."""
 
-    connections_most: int
-    strangers_most: int
-    unsent_most_bytes: int = 128 * 1024
+    max_connections: int
+    max_unregistered: int
+    max_unsent_bytes: int = 128 * 1024
     messages_per_s: float = 20000.0  # one that brings more for long is read no further; the flood is its own loss
-    handshake_ms: float = 1000.0
-    write_ms: float = 15000.0
-    silent_ms: float = float("inf")  # nobody is bound to speak
-    ping_ms: float = float("inf")
+    handshake_timeout_ms: float = 1000.0
+    write_timeout_ms: float = 15000.0
+    idle_timeout_ms: float = float("inf")  # nobody is bound to speak
+    ping_interval_ms: float = float("inf")
 
 
-class FrameFront:
+class ConnectionManager:
     """The listener and all that it accepted.  `bring(news, key, add)` hands over."""
 
-    def __init__(self, listen: str, limits: FrameLimits, known: Known, bring: Callable[..., None]) -> None:
+    def __init__(self, listen: str, limits: ConnectionLimits, known: Known, bring: Callable[..., None]) -> None:
         self.known, self.bring = known, bring
         self.poller = Poller(
-            listen, limits, lambda: FrameCodec(STRANGER_MOST), self.event, self.closed, silent_ms=limits.silent_ms
+            listen,
+            limits,
+            lambda: MessageCodec(STRANGER_MOST),
+            self.event,
+            self.closed,
+            idle_timeout_ms=limits.idle_timeout_ms,
         )
-        self.proxies: dict[Served, int] = {}
-        self.collectors: dict[Served, str] = {}
+        self.proxies: dict[Connection, int] = {}
+        self.collectors: dict[Connection, str] = {}
         self.dropped: Counter[str] = Counter()  # messages, by reason
         self.ended: Counter[str] = Counter()  # connections that never joined, by reason
         self.told_ms: dict[str, float] = {}
         self.log = structlog.get_logger("frames")
 
-    def event(self, peer: Served, event: Event) -> None:
+    def event(self, peer: Connection, event: Event) -> None:
         if peer.stopping:
             return
         kind, what = event
@@ -67,13 +73,13 @@
                 self.report(peer, name, what)
             else:
                 self.start(peer, name, what)
-        except Spoilt as trouble:
+        except InvalidMessageError as trouble:
             if peer.started:
                 self.drop(f"{name if name in REPORTS else 'message'}: {trouble}")
             else:
                 peer.stop(str(trouble))
 
-    def start(self, peer: Served, name: str, fields: dict[str, Any]) -> None:
+    def start(self, peer: Connection, name: str, fields: dict[str, Any]) -> None:
         if name == "attach":
             proxy, zone, usual, fresh = validation.joining(fields, self.known)
             self.proxies[peer] = proxy
@@ -86,28 +92,28 @@
                 min(same, key=lambda other: other.heard_ms).stop("its zone has newer collectors")
             self.collectors[peer] = zone
         else:
-            raise Spoilt("it began without joining")
+            raise InvalidMessageError("it began without joining")
         peer.codec.started = True
 
-    def report(self, peer: Served, name: str, fields: dict[str, Any]) -> None:
+    def report(self, peer: Connection, name: str, fields: dict[str, Any]) -> None:
         if name not in REPORTS:
-            raise Spoilt("its kind is none that a pilot is sent here")
+            raise InvalidMessageError("its kind is none that a pilot is sent here")
         REPORTS[name](self, peer, fields)
 
-    def sums(self, peer: Served, fields: dict[str, Any]) -> None:
+    def sums(self, peer: Connection, fields: dict[str, Any]) -> None:
         zone, row = validation.sums(fields, self.known)
-        self.bring(("sums", row), (zone, row[0]), add_sums)
+        self.bring(("sums", row), (zone, row.endpoint), add_sums)
 
-    def usage(self, peer: Served, fields: dict[str, Any]) -> None:
+    def usage(self, peer: Connection, fields: dict[str, Any]) -> None:
         row = validation.usage(fields, self.known)
-        if self.proxies.get(peer, row[1]) != row[1]:
-            raise Spoilt("it is of another proxy")
+        if self.proxies.get(peer, row.proxy) != row.proxy:
+            raise InvalidMessageError("it is of another proxy")
         self.bring(("arrivals", row), row[:2], add_arrivals)
 
-    def receipt(self, peer: Served, fields: dict[str, Any]) -> None:
+    def receipt(self, peer: Connection, fields: dict[str, Any]) -> None:
         proxy, serial = validation.receipt(fields, self.known)
         if self.proxies.get(peer) != proxy:
-            raise Spoilt("it is of another proxy")
+            raise InvalidMessageError("it is of another proxy")
         self.bring(("receipt", peer, proxy, serial))
 
     def drop(self, reason: str) -> None:
@@ -117,7 +123,7 @@
             self.told_ms[reason] = now_ms()
             self.log.warning("message dropped", reason=reason, so_far=self.dropped[reason])
 
-    def closed(self, peer: Served, reason: str) -> None:
+    def closed(self, peer: Connection, reason: str) -> None:
         proxy = self.proxies.pop(peer, None)
         if proxy is not None:
             self.log.info("proxy left", proxy=proxy, reason=reason)
@@ -126,21 +132,29 @@
             self.ended[reason] += 1
 
 
-REPORTS: dict[str, Callable[[FrameFront, Served, dict[str, Any]], None]] = {
-    "upstream_stats": FrameFront.sums,
-    "client_stats": FrameFront.usage,
-    "done": FrameFront.receipt,
+REPORTS: dict[str, Callable[[ConnectionManager, Connection, dict[str, Any]], None]] = {
+    "upstream_stats": ConnectionManager.sums,
+    "client_stats": ConnectionManager.usage,
+    "done": ConnectionManager.receipt,
 }
 
 
 def add_sums(old: tuple, new: tuple) -> tuple:
     """Two entries of the lane with sums of one zone and endpoint as one; the newer load report stands."""
     (at_ms, (_, a)), (_, (_, b)) = old, new
-    good = a[1] - a[2] + b[1] - b[2]
-    mean_ms = (a[3] * (a[1] - a[2]) + b[3] * (b[1] - b[2])) / good if good else 0.0
-    return at_ms, ("sums", (a[0], a[1] + b[1], a[2] + b[2], mean_ms, a[4] + b[4], {**a[5], **b[5]}))
+    successes_a, successes_b = a.attempts - a.failures, b.attempts - b.failures
+    good = successes_a + successes_b
+    mean_ms = (a.mean_success_ms * successes_a + b.mean_success_ms * successes_b) / good if good else 0.0
+    merged = UpstreamStats(
+        a.endpoint, a.attempts + b.attempts, a.failures + b.failures, mean_ms, a.window_ms + b.window_ms,
+        {**a.load, **b.load},
+    )  # fmt: skip
+    return at_ms, ("sums", merged)
 
 
 def add_arrivals(old: tuple, new: tuple) -> tuple:
     (at_ms, (_, a)), (_, (_, b)) = old, new
-    return at_ms, ("arrivals", (a[0], a[1], a[2] + b[2], a[3] + b[3], a[4] + b[4]))
+    merged = DownstreamStats(
+        a.class_index, a.proxy, a.requests + b.requests, a.unanswered + b.unanswered, a.window_ms + b.window_ms
+    )
+    return at_ms, ("arrivals", merged)
--- a/quillstep/platform/protocol/updates.py
+++ b/quillstep/platform/protocol/updates.py
@@ -25,10 +25,10 @@
         self.marks: set[int] = set()
 
 
-class FrameOrders:
-    """The `Orders` of the interface for one pilot; `flush` gives what a round's orders come to.
+class ProtocolOutput:
+    """The `PlannerOutput` of the interface for one pilot; `flush` gives what a round's orders come to.
 
-    `probe`, `wake` and `note` go elsewhere: these are passed in.
+    Health checks, timers and notes go elsewhere: these are passed in.
     """
 
     def __init__(
@@ -38,7 +38,8 @@
         wake: Callable[[int, float], None],
         note: Callable[[str], None],
     ) -> None:
-        self.classes, self.probe, self.wake, self.note = classes, probe, wake, note
+        self.classes = classes
+        self.request_health_check, self.set_timer, self.log_note = probe, wake, note
         self.tables: dict[int, dict[str, float]] = {}
         self.levels: dict[int, dict[int, tuple[float, int]]] = {}
         self.withdrawn: set[str] = set()
@@ -69,7 +70,7 @@
 
     # orders
 
-    def line(self, table: int, endpoint: str, weight: float) -> None:
+    def set_weight(self, table: int, endpoint: str, weight: float) -> None:
         lines = self.tables.setdefault(table, {})
         if weight:
             lines[endpoint] = weight
@@ -77,11 +78,11 @@
             lines.pop(endpoint, None)
         self.moved.setdefault(table, {})[endpoint] = weight
 
-    def withdraw(self, endpoint: str, out: bool) -> None:
+    def set_ejected(self, endpoint: str, out: bool) -> None:
         (self.withdrawn.add if out else self.withdrawn.discard)(endpoint)
         self.toggled[endpoint] = out
 
-    def bind(self, proxy: int, table: int, classes: Iterable[int]) -> None:
+    def assign_table(self, proxy: int, table: int, classes: Iterable[int]) -> None:
         if proxy not in self.proxies:
             return
         places = set(classes) or set(range(len(self.classes)))
@@ -92,15 +93,15 @@
         self.bound.setdefault(proxy, set()).update(places)
         self.tables.setdefault(table, {})
 
-    def level(self, table: int, classes: Iterable[int], allowed: float, tries: int) -> None:
+    def set_admission(self, table: int, classes: Iterable[int], allowed: float, tries: int) -> None:
         for place in set(classes) or range(len(self.classes)):
             self.levels.setdefault(table, {})[place] = (allowed, tries)
             self.turned.setdefault(table, set()).add(place)
 
-    def receipt(self, serial: int) -> None:
+    def request_ack(self, serial: int) -> None:
         self.serial = serial
 
-    def watch_list(self) -> None:
+    def watch_endpoints(self) -> None:
         """Nothing to do: the watch is dialled anew by itself, and brings what was missed."""
 
     # messages
--- a/quillstep/platform/protocol/validation.py
+++ b/quillstep/platform/protocol/validation.py
@@ -1,12 +1,14 @@
 """What may stand in a message that comes in.  Without I/O.
 
-A message that doesn't hold what it should raises `Spoilt`, whose text is the reason it is counted under.
+A message that doesn't hold what it should raises `InvalidMessageError`, whose text is the reason it is counted under.
 """
 
 import math
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
+from quillstep.planner.messages import DownstreamStats, UpstreamStats
+
 COUNT_MOST = 10**9
 LOAD_MOST = 2.0  # a share of the processor with its noise
 COVERS_MOST_MS = 3.6e6
@@ -14,7 +16,7 @@
 SERIALS = 65536
 
 
-class Spoilt(Exception):
+class InvalidMessageError(Exception):
     """A message to be dropped."""
 
 
@@ -24,15 +26,15 @@
     proxies: int
     zones: frozenset[str]
     places: dict[str, int]  # of the classes, by name
-    cut_off_ms: float  # the longest
+    deadline_ms: float  # the longest
 
 
 def take(fields: dict[str, Any], name: str, fits: Callable[[Any], bool]) -> Any:
     if name not in fields:
-        raise Spoilt(f"{name} is missing")
+        raise InvalidMessageError(f"{name} is missing")
     value = fields[name]
     if not fits(value):
-        raise Spoilt(f"{name} is of another type or out of range")
+        raise InvalidMessageError(f"{name} is of another type or out of range")
     return value
 
 
@@ -61,14 +63,14 @@
 def proxy(fields: dict[str, Any], known: Known) -> int:
     number = take(fields, "id", count)
     if number >= known.proxies:
-        raise Spoilt("no such proxy")
+        raise InvalidMessageError("no such proxy")
     return number
 
 
 def zone(fields: dict[str, Any], known: Known) -> str:
     name = take(fields, "site", text)
     if name not in known.zones:
-        raise Spoilt("no such zone")
+        raise InvalidMessageError("no such zone")
     return name
 
 
@@ -90,14 +92,15 @@
     return tried, take(fields, "fail", lambda value: count(value) and value <= tried)
 
 
-def sums(fields: dict[str, Any], known: Known) -> tuple[str, tuple]:
+def sums(fields: dict[str, Any], known: Known) -> tuple[str, UpstreamStats]:
     """A zone, and what its proxies met at an endpoint, as the interface has it."""
     tried, failed = both(fields)
     mean_ms = 0.0
     if "mean" in fields or tried > failed:
-        mean_ms = take(fields, "mean", lambda value: figure(value) and value <= LATE * known.cut_off_ms)
+        mean_ms = take(fields, "mean", lambda value: figure(value) and value <= LATE * known.deadline_ms)
     over = take(fields, "over", covers)
-    row = (take(fields, "target", text), tried, failed, float(mean_ms), float(over), load(fields.get("util")))
+    endpoint, report = take(fields, "target", text), load(fields.get("util"))
+    row = UpstreamStats(endpoint, tried, failed, float(mean_ms), float(over), report)
     return zone(fields, known), row
 
 
@@ -106,15 +109,16 @@
         return {}
     sound = isinstance(report, dict) and all(figure(value) for value in report.values())
     if not sound or report.get("util", 0.0) > LOAD_MOST:
-        raise Spoilt("the load report is of another type or out of range")
+        raise InvalidMessageError("the load report is of another type or out of range")
     return report
 
 
-def usage(fields: dict[str, Any], known: Known) -> tuple:
+def usage(fields: dict[str, Any], known: Known) -> DownstreamStats:
     """What reached a proxy of a class, as the interface has it."""
     lane = take(fields, "lane", text)
     if lane not in known.places:
-        raise Spoilt("no such class")
+        raise InvalidMessageError("no such class")
     # Unanswered ones may have arrived in an earlier period: more of them than arrived in this one is no fault.
     arrived, unanswered = take(fields, "count", count), take(fields, "fail", count)
-    return known.places[lane], proxy(fields, known), arrived, unanswered, float(take(fields, "over", covers))
+    number, over = proxy(fields, known), float(take(fields, "over", covers))
+    return DownstreamStats(known.places[lane], number, arrived, unanswered, over)
--- a/quillstep/platform/service.py
+++ b/quillstep/platform/service.py
@@ -14,16 +14,29 @@
 
 import structlog
 
-from quillstep.controller.control_intervals import Rounds
-from quillstep.controller.event_queue import Lanes
-from quillstep.controller.health_checker import Prober
-from quillstep.net.poller import Served, now_ms
+from quillstep.controller.control_intervals import ControlIntervals
+from quillstep.controller.event_queue import EventQueue
+from quillstep.controller.health_checker import HealthChecker
+from quillstep.net.poller import Connection, now_ms
+from quillstep.planner.messages import (
+    DownstreamStats,
+    EndpointListUpdate,
+    HealthCheckResult,
+    ProxyStreamEvent,
+    UpstreamStats,
+)
 from quillstep.planner.planner import Planner
-from quillstep.platform.configuration import Fault, PilotFacts, PlatformRecord, pilot_facts, seed_of
-from quillstep.platform.discovery_watch import Watch
-from quillstep.platform.endpoint_list import News, read_list
-from quillstep.platform.protocol.connections import FrameFront, FrameLimits
-from quillstep.platform.protocol.updates import FrameOrders
+from quillstep.platform.configuration import (
+    ConfigurationError,
+    ControllerConfig,
+    PlatformConfiguration,
+    pilot_facts,
+    seed_of,
+)
+from quillstep.platform.discovery_watch import DiscoveryWatch
+from quillstep.platform.endpoint_list import DiscoveryUpdate, read_list
+from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
+from quillstep.platform.protocol.updates import ProtocolOutput
 
 STACK_BYTES = 256 * 1024
 BATCH = 1024  # pieces of news between two rounds
@@ -35,29 +48,29 @@
 FORGET_PERIODS = 30.0  # report periods after which sums of an endpoint that has gone are of no interest
 
 
-def limits_of(record: PlatformRecord, facts: PilotFacts) -> FrameLimits:
+def limits_of(record: PlatformConfiguration, facts: ControllerConfig) -> ConnectionLimits:
     """Who has not joined may use all that is free, and gives way to who comes.
 
     Found in reading: with more proxies than descriptors only 16 were let wait, and after a kill, when all dial at
     once, one whose joining came in pieces was cut off beside free descriptors.
     """
     most = record.limits.sockets - OWN - PROBERS
-    return FrameLimits(most, most)
+    return ConnectionLimits(most, most)
 
 
-class LivePilot:
+class PlatformController:
     """`run` is the deciding thread; signals set `reloads` and `stops`, each apart: none can undo the other."""
 
-    def __init__(self, record: PlatformRecord, facts: PilotFacts) -> None:
+    def __init__(self, record: PlatformConfiguration, facts: ControllerConfig) -> None:
         threading.stack_size(STACK_BYTES)
         self.record, self.facts = record, facts
         self.reloads = self.stops = False
         self.offset_ms = now_ms() - time.time() * 1000.0
-        self.lanes = Lanes(NEWS_MOST, 1)
-        self.rounds = Rounds(Planner(facts.start, seed_of(record.seed)), facts.tick_ms)
+        self.lanes = EventQueue(NEWS_MOST, 1)
+        self.rounds = ControlIntervals(Planner(facts.start, seed_of(record.seed)), facts.tick_ms)
         self.log = structlog.get_logger("pilot")
-        self.orders = FrameOrders(facts.classes, self.probe, self.rounds.wake, self.note)
-        self.at: dict[int, Served] = {}  # where each joined proxy's stream is
+        self.orders = ProtocolOutput(facts.classes, self.probe, self.rounds.wake, self.note)
+        self.at: dict[int, Connection] = {}  # where each joined proxy's stream is
         self.addresses: dict[str, tuple[str, int]] = {}
         self.gone: dict[str, float] = {}  # endpoints that are listed no more, and since when
         self.dropped: Counter[str] = Counter()
@@ -66,13 +79,13 @@
         self.cpu_ms = 0.0  # the longest of them
         self.written = self.written_bytes = 0
         self.said_ms = now_ms()
-        self.front = FrameFront(record.listen, limits_of(record, facts), facts.known, self.bring)
+        self.front = ConnectionManager(record.listen, limits_of(record, facts), facts.known, self.bring)
         known = {"revision": record.known.revision, "complete": True, "members": record.known.members}
         self.first = read_list(known, self.offset_ms, "persisted")
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             record.discovery, record.known.revision, self.offset_ms, self.bring, owed=bool(self.first.spoilt)
         )
-        self.prober = Prober(PROBERS, facts.probe_ms, self.bring, facts.probe_path)
+        self.prober = HealthChecker(PROBERS, facts.probe_ms, self.bring, facts.probe_path)
 
     # from other threads
 
@@ -81,7 +94,7 @@
 
     # the deciding thread
 
-    def run(self, reload: Callable[[], PlatformRecord]) -> None:
+    def run(self, reload: Callable[[], PlatformConfiguration]) -> None:
         """Decide until a signal asks to stop."""
         self.take_list(self.first)
         self.rounds.heard(now_ms() - self.facts.tick_ms)
@@ -134,7 +147,7 @@
 
     # news
 
-    def take_join(self, peer: Served, proxy: int, zone: str, usual: float, fresh: bool) -> None:
+    def take_join(self, peer: Connection, proxy: int, zone: str, usual: float, fresh: bool) -> None:
         if before := self.at.get(proxy):  # it has dialled anew before its old stream was seen to end
             if before.order > peer.order:  # both waited to be read, and the newer was read first
                 peer.stop("its proxy dialled anew")
@@ -143,59 +156,59 @@
             before.stop("its proxy dialled anew")
         self.at[proxy] = peer
         self.orders.join(proxy)
-        self.rounds.incoming.streams.append((proxy, True, zone, usual, fresh))
+        self.rounds.incoming.proxy_streams.append(ProxyStreamEvent(proxy, True, zone, usual, fresh))
         self.log.info("proxy joined", proxy=proxy, zone=zone, fresh=fresh)
 
-    def take_leave(self, peer: Served, proxy: int) -> None:
+    def take_leave(self, peer: Connection, proxy: int) -> None:
         if self.at.get(proxy) is not peer:
             return  # the end of an older stream
         del self.at[proxy]
         self.orders.leave(proxy)
-        self.rounds.incoming.streams.append((proxy, False, "", 0.0, False))
+        self.rounds.incoming.proxy_streams.append(ProxyStreamEvent(proxy, False))
 
-    def take_receipt(self, peer: Served, proxy: int, serial: int) -> None:
+    def take_receipt(self, peer: Connection, proxy: int, serial: int) -> None:
         if self.at.get(proxy) is peer and self.orders.answered(proxy, serial):
-            self.rounds.incoming.receipts.append(serial)
+            self.rounds.incoming.acks.append(serial)
         else:
             self.dropped["a mark that was not asked for"] += 1
 
-    def take_sums(self, row: tuple) -> None:
-        if row[0] in self.addresses or row[0] in self.gone:
-            self.rounds.incoming.sums.append(row)
-            self.told.update(tries=row[1], failed=row[2])
+    def take_sums(self, row: UpstreamStats) -> None:
+        if row.endpoint in self.addresses or row.endpoint in self.gone:
+            self.rounds.incoming.upstream_stats.append(row)
+            self.told.update(tries=int(row.attempts), failed=int(row.failures))
         else:
             self.dropped["sums of an endpoint that is not listed"] += 1
 
-    def take_arrivals(self, row: tuple) -> None:
-        self.rounds.incoming.arrivals.append(row)
-        self.told.update(arrived=row[2], unanswered=row[3])
+    def take_arrivals(self, row: DownstreamStats) -> None:
+        self.rounds.incoming.downstream_stats.append(row)
+        self.told.update(arrived=int(row.requests), unanswered=int(row.unanswered))
 
     def take_probe(self, endpoint: str, answered: bool, took_ms: float, load: dict[str, float]) -> None:
-        self.rounds.incoming.probes.append((endpoint, answered, took_ms, load))
+        self.rounds.incoming.health_checks.append(HealthCheckResult(endpoint, answered, took_ms, load))
 
-    def take_list(self, news: News) -> None:
+    def take_list(self, news: DiscoveryUpdate) -> None:
         """What discovery says; addresses and names of what has gone are forgotten after a while."""
         now = now_ms()
-        listed = {entry[0] for entry in news.entries if entry[2] != "terminated"}
-        gone = {entry[0] for entry in news.entries} - listed
+        listed = {entry.endpoint for entry in news.entries if entry.state != "terminated"}
+        gone = {entry.endpoint for entry in news.entries} - listed
         if news.kind == "complete":
             gone |= self.addresses.keys() - listed
         for endpoint in gone:
             if self.addresses.pop(endpoint, None):
                 self.gone[endpoint] = now
         self.addresses.update({endpoint: news.addresses[endpoint] for endpoint in listed})
-        forget_ms = FORGET_PERIODS * self.facts.start.report_every_ms
+        forget_ms = FORGET_PERIODS * self.facts.start.report_interval_ms
         self.gone = {e: at for e, at in self.gone.items() if now - at < forget_ms and e not in listed}
-        self.rounds.incoming.lists.append((news.kind, news.entries))
+        self.rounds.incoming.endpoint_lists.append(EndpointListUpdate(news.kind, news.entries))
 
     # configuration and figures
 
-    def reload(self, read: Callable[[], PlatformRecord]) -> None:
+    def reload(self, read: Callable[[], PlatformConfiguration]) -> None:
         """Take what may change in service; a file that can't be used leaves the old one in force."""
         try:
             record = read()
             pilot_facts(record, "the new configuration")
-        except Fault as trouble:
+        except ConfigurationError as trouble:
             self.log.error("configuration kept", reason=str(trouble))
             return
         except Exception as trouble:  # a fault of ours with what stands there must not end a pilot that serves
@@ -244,11 +257,11 @@
 
 
 TAKES: dict[str, Callable[..., None]] = {
-    "join": LivePilot.take_join,
-    "leave": LivePilot.take_leave,
-    "receipt": LivePilot.take_receipt,
-    "sums": LivePilot.take_sums,
-    "arrivals": LivePilot.take_arrivals,
-    "probe": LivePilot.take_probe,
-    "list": LivePilot.take_list,
+    "join": PlatformController.take_join,
+    "leave": PlatformController.take_leave,
+    "receipt": PlatformController.take_receipt,
+    "sums": PlatformController.take_sums,
+    "arrivals": PlatformController.take_arrivals,
+    "probe": PlatformController.take_probe,
+    "list": PlatformController.take_list,
 }
--- a/quillstep/recording/format.py
+++ b/quillstep/recording/format.py
@@ -35,7 +35,7 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class BadBlock(Exception):
+class CorruptBlockError(Exception):
     """A block that is cut off or not what its checksum says; `at` is its offset in the segment."""
 
     def __init__(self, at: int, text: str) -> None:
@@ -73,18 +73,18 @@
 def decode_header(data: bytes) -> tuple[Header, int]:
     """A segment's header and where its blocks begin.  Raises BadBlock."""
     if len(data) < HEAD.size:
-        raise BadBlock(0, "no header")
+        raise CorruptBlockError(0, "no header")
     magic, version, size = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise BadBlock(0, "no capture")
+        raise CorruptBlockError(0, "no capture")
     if not 1 <= version <= VERSION:
-        raise BadBlock(0, f"version {version}, and this program reads up to {VERSION}")
+        raise CorruptBlockError(0, f"version {version}, and this program reads up to {VERSION}")
     if len(data) < HEAD.size + size:
-        raise BadBlock(0, "a header that is cut off")
+        raise CorruptBlockError(0, "a header that is cut off")
     try:
         header = msgspec.msgpack.decode(data[HEAD.size : HEAD.size + size], type=Header)
     except msgspec.DecodeError as trouble:
-        raise BadBlock(0, str(trouble)) from None
+        raise CorruptBlockError(0, str(trouble)) from None
     header.version = version
     return header, HEAD.size + size
 
@@ -100,15 +100,15 @@
     """The blocks from an offset on; raises BadBlock at the first that is not whole."""
     while at < len(data):
         if len(data) < at + BLOCK.size:
-            raise BadBlock(at, "a block's head is cut off")
+            raise CorruptBlockError(at, "a block's head is cut off")
         mark, size, count, first, last, digest = BLOCK.unpack_from(data, at)
         if mark != MARK or size > BLOCK_MOST:
-            raise BadBlock(at, "no block begins here")
+            raise CorruptBlockError(at, "no block begins here")
         payload = data[at + BLOCK.size : at + BLOCK.size + size]
         if len(payload) < size:
-            raise BadBlock(at, "a block is cut off")
+            raise CorruptBlockError(at, "a block is cut off")
         if xxhash.xxh3_64_intdigest(payload) != digest:
-            raise BadBlock(at, "a block is not what its checksum says")
+            raise CorruptBlockError(at, "a block is not what its checksum says")
         yield Block(at, BLOCK.size + size, count, first, last, payload)
         at += BLOCK.size + size
 
@@ -119,7 +119,7 @@
         raw = zstandard.ZstdDecompressor().decompress(block.payload, max_output_size=PAYLOAD_MOST)
         records = msgspec.msgpack.decode(raw, type=list[list])
     except (zstandard.ZstdError, msgspec.DecodeError) as trouble:
-        raise BadBlock(block.at, str(trouble)) from None
+        raise CorruptBlockError(block.at, str(trouble)) from None
     if version == 1:
         records = [[record[0], record[1], *record[1:]] for record in records]
     return records
--- a/quillstep/recording/reader.py
+++ b/quillstep/recording/reader.py
@@ -9,11 +9,12 @@
 import lmdb
 import msgspec
 
-from quillstep.config.records import PilotRecord, check_older
+from quillstep.config.controller import ControllerSettings
+from quillstep.config.loading import check_older
 from quillstep.recording.format import (
     HEAD,
     MARK,
-    BadBlock,
+    CorruptBlockError,
     Header,
     Record,
     blocks,
@@ -26,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class Incarnation:
     """One life of one pilot: its segments in sequence, what they hold, where they are torn."""
 
     header: Header
@@ -39,12 +40,12 @@
     torn: str = ""  # what was cut off at the end, and where
 
 
-def lives(folder: Path) -> list[Life]:
+def lives(folder: Path) -> list[Incarnation]:
     """All lives in a folder, by their first time, read through and counted.  Raises BadBlock for a bad header."""
-    found: dict[str, Life] = {}
+    found: dict[str, Incarnation] = {}
     for path in sorted(folder.glob("*.qcap")):
         header = header_of(path)
-        life = found.setdefault(header.epoch, Life(header))
+        life = found.setdefault(header.epoch, Incarnation(header))
         life.segments.append(path)
         life.bytes += path.stat().st_size
     for life in found.values():
@@ -64,7 +65,7 @@
         return decode_header(head + file.read(size))[0]
 
 
-def read_life(life: Life) -> Iterator[Record]:
+def read_life(life: Incarnation) -> Iterator[Record]:
     """Its records in sequence.  A torn tail is cut at the last whole block, and said in `torn`.
 
     A break that is not the tail (a block damaged before whole ones, a segment that is missing) is a BadBlock: what
@@ -75,14 +76,14 @@
         data = path.read_bytes()
         header, at = decode_header(data)
         if header.segment != place:
-            raise BadBlock(0, f"{path.name} is segment {header.segment}, {place} is missing")
+            raise CorruptBlockError(0, f"{path.name} is segment {header.segment}, {place} is missing")
         try:
             for block in blocks(data, at):
                 yield from decode_block(block, header.version)
                 at = block.at + block.size
-        except BadBlock as trouble:
+        except CorruptBlockError as trouble:
             if place != last or whole_after(data, trouble.at):
-                raise BadBlock(trouble.at, f"{path.name}: {trouble}, and there is more behind it") from None
+                raise CorruptBlockError(trouble.at, f"{path.name}: {trouble}, and there is more behind it") from None
             life.torn = f"{path.name}: {trouble}; {len(data) - trouble.at} bytes cut off"
 
 
@@ -93,12 +94,12 @@
         try:
             next(blocks(data, at))
             return True
-        except (BadBlock, StopIteration):
+        except (CorruptBlockError, StopIteration):
             at = data.find(MARK, at + 1)
     return False
 
 
-def between(life: Life, folder: Path, first_ms: float, last_ms: float) -> Iterator[Record]:
+def between(life: Incarnation, folder: Path, first_ms: float, last_ms: float) -> Iterator[Record]:
     """The records of a span; by the index where it knows the blocks, else by reading through."""
     places = indexed(folder, life.header.epoch, first_ms, last_ms)
     if places is None:
@@ -143,11 +144,11 @@
     return header.settings if "reports" in header.settings else {**header.settings, "reports": {"by": "inbox"}}
 
 
-def record_of(header: Header) -> PilotRecord:
-    return check_older(PilotRecord, settings_of(header))
+def record_of(header: Header) -> ControllerSettings:
+    return check_older(ControllerSettings, settings_of(header))
 
 
-def cut(life: Life, first_ms: float, last_ms: float, out: Path) -> int:
+def cut(life: Incarnation, first_ms: float, last_ms: float, out: Path) -> int:
     """A piece of a life as a capture of its own; returns its records.  It replays from its beginning only if that is
     the life's own beginning: what came before is not in it."""
     out.mkdir(parents=True, exist_ok=True)
--- a/quillstep/recording/writer.py
+++ b/quillstep/recording/writer.py
@@ -23,7 +23,7 @@
 WAITING_MOST = 256  # blocks between the pilot and the disk
 
 
-class Capture:
+class RecordingWriter:
     """One life's capture.  `put` and `flush` belong to the deciding thread and never block."""
 
     def __init__(self, folder: str, pilot: str, epoch: str, settings: dict[str, Any], segment_bytes: int) -> None:
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -11,10 +11,11 @@
 import msgspec
 import xxhash
 
-from quillstep.config.records import PilotRecord
-from quillstep.controller.decision_loop import Decider
+from quillstep.config.controller import ControllerSettings
+from quillstep.controller.decision_loop import DecisionLoop
 from quillstep.controller.event_codec import parked_of
 from quillstep.files.disk import Disk
+from quillstep.planner.messages import EndpointEntry
 from quillstep.recording import Header, Record, record_of
 from quillstep.xds.server import REQUESTS
 
@@ -72,9 +73,9 @@
 class Replay:
     """One life played again; `change` makes another record of the settings, for orders that may then differ."""
 
-    def __init__(self, header: Header, record: PilotRecord | None = None) -> None:
+    def __init__(self, header: Header, record: ControllerSettings | None = None) -> None:
         self.record = record or record_of(header)
-        self.decider = Decider(self.record, header.epoch, self.tap, self.never, PlayedDisk())
+        self.decider = DecisionLoop(self.record, header.epoch, self.tap, self.never, PlayedDisk())
         self.decider.streams.server = PlayedServer()  # type: ignore[assignment]
         self.core = self.decider.core
         self.core.orders = []
@@ -137,7 +138,7 @@
             return ("end", self.peer(rest[0]), rest[1], rest[2])
         if kind == "roster":
             addresses = {number: (host, port) for number, host, port in rest[2]}
-            return ("roster", rest[0], [tuple(entry) for entry in rest[1]], addresses)
+            return ("roster", rest[0], [EndpointEntry(*entry) for entry in rest[1]], addresses)
         if kind == "files":
             return self.file_news(rest)
         return (kind, *rest)
--- a/quillstep/replay/inference.py
+++ b/quillstep/replay/inference.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from quillstep.config.records import ClassRecord
+from quillstep.config.fleet import ClassSettings
 
 SPAN_MS = 500.0
 QUICK = 0.1
@@ -49,11 +49,11 @@
         return self.states[endpoint][spans[place]] if place >= 0 else FINE
 
 
-Try = tuple[float, float, str, ClassRecord]  # sent, ended, result, class
+Try = tuple[float, float, str, ClassSettings]  # sent, ended, result, class
 
 
 def tries_of(
-    exchanges: list[dict[str, Any]], classes: dict[str, ClassRecord], addresses: dict[str, int]
+    exchanges: list[dict[str, Any]], classes: dict[str, ClassSettings], addresses: dict[str, int]
 ) -> dict[int, list[Try]]:
     """All tries by endpoint, in time."""
     found: dict[int, list[Try]] = defaultdict(list)
--- a/quillstep/replay/model.py
+++ b/quillstep/replay/model.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from quillstep.config.records import ClassRecord, FleetRecord
+from quillstep.config.fleet import ClassSettings, FleetSettings
 from quillstep.load_reports.validation import Told
 from quillstep.replay.inference import NET_MS, Inferred
 from quillstep.routing import Change
@@ -43,7 +43,7 @@
 class Endpoint:
     """Cores that work comes to in sequence; hidden states as inferred."""
 
-    def __init__(self, number: int, row: dict[str, Any], fleet: FleetRecord, inferred: Inferred, draw: Any) -> None:
+    def __init__(self, number: int, row: dict[str, Any], fleet: FleetSettings, inferred: Inferred, draw: Any) -> None:
         self.number, self.fleet, self.inferred, self.draw = number, fleet, inferred, draw
         self.address = f"{row['host']}:{row['port']}"
         self.speed = inferred.speeds.get(number, row.get("speed", 1.0))
@@ -51,23 +51,23 @@
         self.busy: deque[tuple[float, float]] = deque()
         self.started_ms = 0.0
         self.draining = False
-        self.connections_most = row.get("connections_most", 10**9)
+        self.max_connections = row.get("connections_most", 10**9)
         self.connect_work_ms = row.get("connect_work_ms", 0.0)
         self.idle: dict[str, list[float]] = {}  # since when, by proxy
         self.using = 0
 
     def connect(self, proxy: str, at: float) -> bool:
         """A connection of this proxy's, an idle one if there is; False where no more are taken."""
-        idle_ms = self.fleet.proxies.idle_ms
+        idle_ms = self.fleet.proxies.keep_alive_ms
         held = self.idle.get(proxy)
         while held:
             if at - held.pop() < idle_ms:
                 self.using += 1
                 return True
-        if self.using + sum(len(rows) for rows in self.idle.values()) >= self.connections_most:
+        if self.using + sum(len(rows) for rows in self.idle.values()) >= self.max_connections:
             for name, rows in self.idle.items():  # those that have idled too long are closed by now
                 self.idle[name] = [since for since in rows if at - since < idle_ms]
-            if self.using + sum(len(rows) for rows in self.idle.values()) >= self.connections_most:
+            if self.using + sum(len(rows) for rows in self.idle.values()) >= self.max_connections:
                 return False
         self.using += 1
         self.schedule(self.connect_work_ms, at, 1.0)
@@ -83,8 +83,8 @@
         rules = self.fleet.rules
         if not self.started_ms:
             return 1.0
-        low = rules.start_capacity
-        return min(1.0, low + (1.0 - low) * max(0.0, at - self.started_ms) / rules.warm_after_ms)
+        low = rules.initial_capacity
+        return min(1.0, low + (1.0 - low) * max(0.0, at - self.started_ms) / rules.warm_up_ms)
 
     def schedule(self, work_ms: float, at: float, slow: float) -> tuple[float, float]:
         begin = max(at, self.free[0])
@@ -103,7 +103,7 @@
             "qps": len(self.busy) * 1000.0 / LOAD_SPAN_MS,
         }
 
-    def tried(self, kind: ClassRecord, at: float, until: float, dropped: bool) -> tuple[str, float, bool]:
+    def tried(self, kind: ClassSettings, at: float, until: float, dropped: bool) -> tuple[str, float, bool]:
         """One try on a connection: its result, when it is known, whether it ran."""
         state = self.inferred.state(self.number, at)
         if self.draw() < state.fails:
@@ -245,11 +245,15 @@
             made.update(end=now, outcome="failed" if made["tries"] else "bare")
             self.came.setdefault(place, [0, 0])[1] += 1
             return
-        mode = self.routes[place][2] if place in self.routes else day.fleet.proxies.base_tries
+        mode = self.routes[place][2] if place in self.routes else day.fleet.proxies.default_retry_policy
         more = 2 if mode == 3 else 1 if mode else 0
-        until = made["at"] + kind.cut_off_ms
+        until = made["at"] + kind.deadline_ms
         again = turn < more
-        limit = min(until, now + day.fleet.proxies.try_factor * kind.agreed_ms) if again and mode > 1 else until
+        limit = (
+            min(until, now + day.fleet.proxies.attempt_timeout_factor * kind.latency_objective_ms)
+            if again and mode > 1
+            else until
+        )
         endpoint = day.by_address[address]
         if self.draw() < endpoint.inferred.state(endpoint.number, now).closed:
             result, ended, ran = "no connection", now + NET_MS, False
@@ -270,7 +274,7 @@
         kind = self.day.classes[place]
         made["tries"].append([address, sent, now, result, ""])
         self.count(address, result == "ok", now - sent, now)
-        little = now + 0.1 * kind.agreed_ms > made["at"] + kind.cut_off_ms
+        little = now + 0.1 * kind.latency_objective_ms > made["at"] + kind.deadline_ms
         if result == "ok":
             made.update(end=now, outcome="ok")
         elif again and not little and (mode > 1 or result == "no connection"):
@@ -289,8 +293,8 @@
             return
         row[1] += 1
         self.fails[address] = self.fails.get(address, 0) + 1
-        if knobs.ejects and self.fails[address] >= knobs.ejects:
-            self.avoids[address] = now + knobs.avoid_ms
+        if knobs.local_ejection_failures and self.fails[address] >= knobs.local_ejection_failures:
+            self.avoids[address] = now + knobs.local_ejection_ms
             self.fails[address] = 0
 
     def hand_over(self) -> Told:
@@ -312,7 +316,7 @@
 class VirtualDay:
     """What all parts of a replayed day share."""
 
-    def __init__(self, fleet: FleetRecord, begin_ms: float, seed: int) -> None:
+    def __init__(self, fleet: FleetSettings, begin_ms: float, seed: int) -> None:
         self.fleet, self.clock = fleet, Clock(begin_ms)
         self.classes = list(fleet.classes)
         self.places = {row.name: place for place, row in enumerate(fleet.classes)}
@@ -324,12 +328,12 @@
         self.chance = random.Random(seed)
         self.seen: dict[tuple[str, str], float] = {}
 
-    def repeated(self, kind: ClassRecord, exchange: str, at: float) -> bool:
+    def repeated(self, kind: ClassSettings, exchange: str, at: float) -> bool:
         """Whether endpoints drop this as a repeat; a first one is remembered.  Groups are taken as all of a zone's."""
         if kind.semantics != "keyed":
             return False
         before = self.seen.get((kind.name, exchange))
-        if before is not None and at - before <= kind.window_ms:
+        if before is not None and at - before <= kind.idempotency_window_ms:
             return True
         self.seen[kind.name, exchange] = at
         return False
--- a/quillstep/replay/recorded_day.py
+++ b/quillstep/replay/recorded_day.py
@@ -13,22 +13,23 @@
 import msgspec
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from quillstep.config.records import PilotRecord
-from quillstep.recording import Life, lives, read_life, record_of
+from quillstep.config.controller import ControllerSettings
+from quillstep.planner.messages import EndpointEntry
+from quillstep.recording import Incarnation, lives, read_life, record_of
 from quillstep.xds.server import LOAD
 
 CLOCKS_MS = 50.0  # up to which clocks count as one
 
 
 @dataclass(slots=True)
-class PilotLife:
+class ControllerIncarnation:
     """One life of one pilot as the replay needs it; times are milliseconds of the machine's monotonic clock."""
 
     epoch: str
-    record: PilotRecord
+    record: ControllerSettings
     first_ms: float
     last_ms: float
-    roster: list[tuple[float, str, list[tuple], dict[int, tuple[str, int]]]] = field(default_factory=list)
+    roster: list[tuple[float, str, list[EndpointEntry], dict[int, tuple[str, int]]]] = field(default_factory=list)
     streams: list[tuple[float, str, str, dict[str, Any]]] = field(default_factory=list)  # at, join or leave, proxy
     reports: list[tuple[float, str, float]] = field(
         default_factory=list
@@ -37,10 +38,10 @@
 
 
 @dataclass(slots=True)
-class Daybook:
+class RecordedDay:
     """A captured day."""
 
-    lives: list[PilotLife]
+    lives: list[ControllerIncarnation]
     endpoints: dict[int, dict[str, Any]]
     proxies: dict[str, dict[str, Any]]
     exchanges: list[dict[str, Any]]
@@ -54,7 +55,7 @@
         return max(row["end"] for row in self.exchanges)
 
 
-def read_daybook(folder: Path) -> Daybook:
+def read_daybook(folder: Path) -> RecordedDay:
     """Raises FileNotFoundError where the folder is no captured day, BadBlock where a capture is damaged."""
     fleet = msgspec.json.decode((folder / "fleet.json").read_bytes())
     held = [life for path in sorted(folder.glob("capture-*")) for life in lives(path)]
@@ -71,7 +72,7 @@
     exchanges.sort(key=lambda row: (row["at"], row["exchange"]))
     if not exchanges:
         raise FileNotFoundError(f"{folder} holds no exchanges")
-    return Daybook(
+    return RecordedDay(
         sorted(found, key=lambda life: life.first_ms),
         {row["id"]: row for row in fleet["endpoints"]},
         {row["name"]: row for row in fleet["proxies"]},
@@ -97,10 +98,15 @@
     return difference if abs(difference) > CLOCKS_MS else 0.0
 
 
-def pilot_life(life: Life, shift_ms: float = 0.0) -> PilotLife:
+def shifted(entry: EndpointEntry, shift_ms: float) -> EndpointEntry:
+    """An entry on another clock; a start of 0 means long ago and stays."""
+    return entry._replace(started_ms=entry.started_ms + shift_ms) if entry.started_ms else entry
+
+
+def pilot_life(life: Incarnation, shift_ms: float = 0.0) -> ControllerIncarnation:
     """Roster news, streams, report times and message delays of one life, late as they were."""
     record = record_of(life.header)
-    found = PilotLife(life.header.epoch, record, life.first_ms + shift_ms, life.last_ms + shift_ms)
+    found = ControllerIncarnation(life.header.epoch, record, life.first_ms + shift_ms, life.last_ms + shift_ms)
     sent: dict[tuple[str, str], float] = {}
     nodes: dict[tuple[int, int], str] = {}
     names: list[str] = []  # of proxies, by the numbers that they got as they first joined
@@ -108,7 +114,7 @@
         kind, taken = row[0], row[2] + shift_ms
         if kind == "roster":
             addresses = {number: (host, port) for number, host, port in row[5]}
-            entries = [(*entry[:4], entry[4] + shift_ms if entry[4] else 0.0) for entry in row[4]]
+            entries = [shifted(EndpointEntry(*entry), shift_ms) for entry in row[4]]
             found.roster.append((taken, row[3], entries, addresses))
         elif kind == "sent":
             what, fields = row[3], row[4]
@@ -133,7 +139,9 @@
     return found
 
 
-def take_report_time(found: PilotLife, row: list[Any], taken: float, nodes: dict[tuple[int, int], str]) -> None:
+def take_report_time(
+    found: ControllerIncarnation, row: list[Any], taken: float, nodes: dict[tuple[int, int], str]
+) -> None:
     """Remember when load reports came: a report stream's first request names its node, later ones are reports."""
     at = (row[3], row[4])
     if nodes[at]:
--- a/quillstep/replay/sweep.py
+++ b/quillstep/replay/sweep.py
@@ -4,19 +4,19 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from quillstep.config.records import changed
+from quillstep.config.loading import changed
 from quillstep.replay.inference import Inferred
-from quillstep.replay.recorded_day import Daybook
+from quillstep.replay.recorded_day import RecordedDay
 from quillstep.replay.whatif import learn, play
 
 
-def one(book: Daybook, inferred: Inferred, change: dict[str, Any], seed: int) -> tuple[float, int, str]:
+def one(book: RecordedDay, inferred: Inferred, change: dict[str, Any], seed: int) -> tuple[float, int, str]:
     found = play(book, inferred, change, seed)
     return found["service"]["service"], len(found["breaks"]), found["digest"]
 
 
-def run(book: Daybook, changes: list[dict[str, Any]], seeds: int) -> list[dict[str, Any]]:
-    """A row a change, with the mean and the noise over seeds.  Raises `Fault` where a change does not check."""
+def run(book: RecordedDay, changes: list[dict[str, Any]], seeds: int) -> list[dict[str, Any]]:
+    """A row a change, with the mean and the noise over seeds.  Raises `ConfigError` where a change does not check."""
     for change in changes:
         changed(book.lives[0].record, change)
     inferred, _ = learn(book)
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -11,14 +11,17 @@
 import msgspec
 import xxhash
 
-from quillstep.config.records import ClassRecord, PilotRecord, changed
-from quillstep.controller.core import Core
-from quillstep.controller.decision_loop import Decider
+from quillstep.config.controller import ControllerSettings
+from quillstep.config.fleet import ClassSettings
+from quillstep.config.loading import changed
+from quillstep.controller.core import ControllerCore
+from quillstep.controller.decision_loop import DecisionLoop
 from quillstep.invariants import Evidence, judge
 from quillstep.load_reports.validation import Told
+from quillstep.planner.messages import EndpointEntry
 from quillstep.replay.inference import Inferred, held_out_error, infer, tries_of
 from quillstep.replay.model import Endpoint, Proxy, VirtualDay
-from quillstep.replay.recorded_day import Daybook, PilotLife
+from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay
 from quillstep.routing.resources import ENTRY
 from quillstep.testbed.scenarios.service_quality import earned_part, service
 
@@ -30,7 +33,7 @@
 class ModelFront:
     """Carries changes to modelled proxies, late as captured."""
 
-    def __init__(self, day: VirtualDay, pilot: "Pilot") -> None:
+    def __init__(self, day: VirtualDay, pilot: "ReplayedController") -> None:
         self.day, self.pilot = day, pilot
         self.nonces = 0
 
@@ -68,14 +71,16 @@
         return float("inf")
 
 
-class Pilot:
+class ReplayedController:
     """One life of a pilot, its decider on the day's clock."""
 
-    def __init__(self, day: VirtualDay, life: PilotLife, record: PilotRecord, seed: int) -> None:
+    def __init__(self, day: VirtualDay, life: ControllerIncarnation, record: ControllerSettings, seed: int) -> None:
         self.day, self.life = day, life
         plain = {**record.model_dump(), "files": {}, "capture": {}, "record": ""}
-        self.decider = Decider(PilotRecord.model_validate(plain), life.epoch, lambda *a, **k: None, lambda news: None)
-        self.core: Core = self.decider.core
+        self.decider = DecisionLoop(
+            ControllerSettings.model_validate(plain), life.epoch, lambda *a, **k: None, lambda news: None
+        )
+        self.core: ControllerCore = self.decider.core
         self.decider.fronts = [ModelFront(day, self)]
         self.joined: dict[int, Proxy] = {}
         self.delays = {name: iter(list(delays)) for name, delays in life.delays.items()}
@@ -109,14 +114,14 @@
 
     # news
 
-    def roster(self, kind: str, entries: list[tuple], addresses: dict) -> None:
+    def roster(self, kind: str, entries: list[EndpointEntry], addresses: dict) -> None:
         self.core.now_ms = self.day.clock.now
         self.core.roster(kind, entries, addresses)
         self.core.heard(self.day.clock.now)
         for entry in entries:
-            if endpoint := self.day.endpoints.get(entry[0]):
-                endpoint.draining = entry[2] == "terminating"
-                endpoint.started_ms = max(endpoint.started_ms, entry[4])
+            if endpoint := self.day.endpoints.get(entry.endpoint):
+                endpoint.draining = entry.state == "terminating"
+                endpoint.started_ms = max(endpoint.started_ms, entry.started_ms)
         self.poke()
 
     def join(self, name: str, fields: dict[str, Any]) -> None:
@@ -183,7 +188,7 @@
         self.ended = True
 
 
-def play(book: Daybook, inferred: Inferred, change: dict[str, Any], seed: int) -> dict[str, Any]:
+def play(book: RecordedDay, inferred: Inferred, change: dict[str, Any], seed: int) -> dict[str, Any]:
     """A day with some settings changed (path to value); service, rules, exchanges."""
     records = [changed(life.record, change) for life in book.lives]
     day = VirtualDay(records[0].fleet, min(life.first_ms for life in book.lives), seed)
@@ -193,7 +198,7 @@
         day.endpoints[number] = day.by_address[made.address] = made
     for name, row in book.proxies.items():
         day.proxies[name] = Proxy(name, row, day, random.Random(f"{seed} {name}").random)
-    pilots = [Pilot(day, life, record, seed) for life, record in zip(book.lives, records, strict=True)]
+    pilots = [ReplayedController(day, life, record, seed) for life, record in zip(book.lives, records, strict=True)]
     for row in book.exchanges:
         if row["proxy"] in day.proxies:
             day.clock.at(row["at"], day.proxies[row["proxy"]].arrive, row)
@@ -208,7 +213,7 @@
     }
 
 
-def evidence_of(book: Daybook, day: VirtualDay, pilots: list[Pilot]) -> Evidence:
+def evidence_of(book: RecordedDay, day: VirtualDay, pilots: list[ReplayedController]) -> Evidence:
     """What the rule checker reads, from the modelled day."""
     made = Evidence(
         day.fleet,
@@ -241,7 +246,7 @@
     return made.sort()
 
 
-def learn(book: Daybook) -> tuple[Inferred, dict[str, float]]:
+def learn(book: RecordedDay) -> tuple[Inferred, dict[str, float]]:
     """What the tries of a day say of its endpoints, and how well half of them tell the other half."""
     classes = {row.name: row for row in book.lives[0].record.fleet.classes}
     addresses = {f"{row['host']}:{row['port']}": number for number, row in book.endpoints.items()}
@@ -250,7 +255,7 @@
     return infer(tries, cores), held_out_error(tries, cores)
 
 
-def compare(book: Daybook, against: dict[str, Any], change: dict[str, Any], seeds: int) -> dict[str, Any]:
+def compare(book: RecordedDay, against: dict[str, Any], change: dict[str, Any], seeds: int) -> dict[str, Any]:
     """The day as it was, replayed as it was, with one change (`against`; empty: none) and another; seeds paired."""
     fleet = book.lives[0].record.fleet
     inferred, held_out = learn(book)
@@ -294,8 +299,8 @@
     for row in exchanges:
         at = int((row["at"] - begin) // span_ms)
         kind = classes[row["class"]]
-        asked[at] += kind.credit
-        won[at] += kind.credit * earned_part(kind, row)[0]
+        asked[at] += kind.priority_weight
+        won[at] += kind.priority_weight * earned_part(kind, row)[0]
     return [round(won[at] / asked[at], 4) if asked[at] else 1.0 for at in range(max(asked, default=-1) + 1)]
 
 
@@ -304,7 +309,7 @@
     return sum(held) / len(held)
 
 
-def why_lost(kind: ClassRecord, row: dict[str, Any]) -> str:
+def why_lost(kind: ClassSettings, row: dict[str, Any]) -> str:
     """What cost an exchange its credit, or part of it; empty where it earned all."""
     part, _ = earned_part(kind, row)
     if part == 1.0:
@@ -319,12 +324,12 @@
 def causes(fleet: Any, exchanges: list[dict[str, Any]]) -> dict[str, float]:
     """The part of all credit lost to each cause."""
     classes = {row.name: row for row in fleet.classes}
-    total = sum(classes[row["class"]].credit for row in exchanges) or 1.0
+    total = sum(classes[row["class"]].priority_weight for row in exchanges) or 1.0
     lost: dict[str, float] = defaultdict(float)
     for row in exchanges:
         kind = classes[row["class"]]
         if why := why_lost(kind, row):
-            lost[why] += (1.0 - earned_part(kind, row)[0]) * kind.credit / total
+            lost[why] += (1.0 - earned_part(kind, row)[0]) * kind.priority_weight / total
     return {why: round(part, 4) for why, part in sorted(lost.items())}
 
 
--- a/quillstep/routing/ack_latency.py
+++ b/quillstep/routing/ack_latency.py
@@ -20,7 +20,7 @@
 REST = 1.0  # after a piece the proxy has its time for exchanges: as long again as it stood still
 
 
-class UsualCost:
+class LineCostEstimate:
     """What a line costs most proxies: the median of the last answers, whoever gave them; few slow ones don't count."""
 
     def __init__(self) -> None:
@@ -43,12 +43,14 @@
     reason: str
 
 
-class Pace:
-    """One proxy's pace.  `late_most_ms`: from when on an order is late; `stall_ms`: what one piece may cost;
+class AckLatency:
+    """One proxy's pace.  `max_ack_delay_ms`: from when on an order is late; `stall_ms`: what one piece may cost;
     `usual_line_ms`: what a line costs the others, gone by until its own cost is known."""
 
-    def __init__(self, late_most_ms: float = 0.0, stall_ms: float = 0.0, usual_line_ms: float | None = None) -> None:
-        self.late_most_ms, self.stall_ms, self.usual_line_ms = late_most_ms, stall_ms, usual_line_ms
+    def __init__(
+        self, max_ack_delay_ms: float = 0.0, stall_ms: float = 0.0, usual_line_ms: float | None = None
+    ) -> None:
+        self.max_ack_delay_ms, self.stall_ms, self.usual_line_ms = max_ack_delay_ms, stall_ms, usual_line_ms
         self.small: deque[float] = deque(maxlen=KEPT)
         self.large: deque[tuple[int, float]] = deque(maxlen=KEPT)
         self.last_line_ms: float | None = None  # the cost of a line by the last answer that tells one
@@ -96,7 +98,7 @@
 
     def late_ms(self, lines: int) -> float:
         """From when on a response of so many lines is late: the settings' figure, or what it surely takes."""
-        return max(self.late_most_ms, 2.0 * (self.trip_ms() + lines * (self.line_ms() or 0.0)))
+        return max(self.max_ack_delay_ms, 2.0 * (self.trip_ms() + lines * (self.line_ms() or 0.0)))
 
     def judge(self, nonce: str, lines: int, sent_ms: float, now_ms: float, heard_ms: float | None) -> Verdict:
         """A response without a word.  `heard_ms`: when anything at all last came from this peer, if that is known.
@@ -106,8 +108,8 @@
         """
         since = max(sent_ms, self.word_ms)
         waits = now_ms - since
-        if not self.late_most_ms or waits <= self.late_ms(lines):
+        if not self.max_ack_delay_ms or waits <= self.late_ms(lines):
             return Verdict(nonce, ON_ITS_WAY, waits, "")
-        if heard_ms is not None and heard_ms > since + self.late_most_ms:
+        if heard_ms is not None and heard_ms > since + self.max_ack_delay_ms:
             return Verdict(nonce, STALLS, waits, f"it talks and has not applied {lines} lines")
         return Verdict(nonce, LATE, waits, f"nothing came from it since it was sent {lines} lines")
--- a/quillstep/routing/message_quota.py
+++ b/quillstep/routing/message_quota.py
@@ -10,7 +10,7 @@
 KEPT_FREE = 2  # of the limit, for endpoints to keep out
 
 
-class Ration:
+class MessageQuota:
     """`most` messages within `over_ms`; 0: no limit.  What goes under one order is one message."""
 
     def __init__(self, most: int = 0, over_ms: float = 0.0) -> None:
--- a/quillstep/routing/proxy_state.py
+++ b/quillstep/routing/proxy_state.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from quillstep.routing.ack_latency import LOST, ON_ITS_WAY, Pace, Verdict
-from quillstep.routing.message_quota import KEPT_FREE, Ration
-from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Content, Key, rank
+from quillstep.routing.ack_latency import LOST, ON_ITS_WAY, AckLatency, Verdict
+from quillstep.routing.message_quota import KEPT_FREE, MessageQuota
+from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Key, Resource, rank
 
 BACK_OFF_MS = 100.0  # after a refusal, doubled with each in a row
 BACK_OFF_MOST = 64.0  # times that
@@ -25,7 +25,7 @@
     """A content to hold from now on; None: to hold no more."""
 
     key: Key
-    content: Content | None
+    content: Resource | None
 
     @property
     def urgent(self) -> bool:
@@ -33,7 +33,7 @@
         return self.key[0] == OUT and self.content is not None
 
 
-class Refusal(NamedTuple):
+class Nack(NamedTuple):
     """What a proxy refused and why; `alone` if it was the only change, so that it is set apart: lines until they
     change, all else is tried again after a back-off."""
 
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Flight:
+class InFlightUpdate:
     """Changes sent in one piece that wait for their acknowledgement."""
 
     changes: list[Change]
@@ -54,17 +54,17 @@
 
 
 @dataclass(slots=True)
-class Ledger:
+class ProxyState:
     """The record of one joined proxy.  `number` always means the number of an order, rising."""
 
     proxy: int
     zone: str
-    pace: Pace = field(default_factory=Pace)
-    ration: Ration = field(default_factory=Ration)
+    pace: AckLatency = field(default_factory=AckLatency)
+    ration: MessageQuota = field(default_factory=MessageQuota)
     held: dict[Key, str] = field(default_factory=dict)  # versions, by the proxy's own word
     dirty: dict[Key, int] = field(default_factory=dict)  # what may differ, and since which order
     asked: set[Key] = field(default_factory=set)  # must be answered though nothing differs
-    flights: dict[str, Flight] = field(default_factory=dict)  # by nonce
+    flights: dict[str, InFlightUpdate] = field(default_factory=dict)  # by nonce
     sent: dict[Key, tuple[str | None, str, int]] = field(default_factory=dict)  # newest under way
     refused: dict[Key, str | None] = field(default_factory=dict)  # versions that must not be repeated
     again: dict[Key, float] = field(default_factory=dict)  # what was refused, and when to try it again
@@ -92,7 +92,7 @@
         under_way = self.sent.get(key)
         return under_way[0] if under_way else self.held.get(key)
 
-    def differs(self, key: Key, want: Content | None) -> bool:
+    def differs(self, key: Key, want: Resource | None) -> bool:
         version = want.version if want else None
         if key in self.refused:
             if self.refused[key] == version:
@@ -106,7 +106,7 @@
         self,
         now_ms: float,
         wants: Callable[[Key], bool],
-        desired: Callable[[Key], Content | None],
+        desired: Callable[[Key], Resource | None],
         together: bool = False,
     ) -> list[Change]:
         """What should be sent now of the keys the proxy has asked for, in the sequence to send it.
@@ -151,7 +151,7 @@
         self,
         now_ms: float,
         wants: Callable[[Key], bool],
-        desired: Callable[[Key], Content | None],
+        desired: Callable[[Key], Resource | None],
     ) -> list[Change]:
         """The next part of what was refused as a whole; endpoints to keep out don't wait for the back-off."""
         while self.apart:
@@ -207,7 +207,7 @@
     def send(self, nonce: str, changes: list[Change], now_ms: float, lane: str = "") -> None:
         """These changes are on their way under this nonce."""
         number = self.released
-        self.flights[nonce] = Flight(changes, number, now_ms, lane)
+        self.flights[nonce] = InFlightUpdate(changes, number, now_ms, lane)
         for key, want in changes:
             self.sent[key] = (want.version if want else None, nonce, self.dirty.pop(key, number))
             self.asked.discard(key)
@@ -231,7 +231,7 @@
         self.refusals = 0
         return flight.changes
 
-    def refuse(self, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Refusal | None:
+    def refuse(self, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Nack | None:
         """The proxy stays with what it had; what was refused alone is set apart until its version changes.
 
         `whole`: the front can't send less than all, so that all of it is set apart.
@@ -261,9 +261,9 @@
                     back_off = INSISTED[key[0]] * 2.0 ** (times - 1)
                     self.again[key] = now_ms + BACK_OFF_MS * min(BACK_OFF_MOST, back_off)
         self.refusals += 1
-        return Refusal(flight.changes, reason, alone)
+        return Nack(flight.changes, reason, alone)
 
-    def landed(self, nonce: str, now_ms: float) -> Flight | None:
+    def landed(self, nonce: str, now_ms: float) -> InFlightUpdate | None:
         """A word on a response: what was sent before it in its lane and has none is lost, and is sent again.
 
         Found by a played day: a proxy that dropped one response was told no more of what it held until its stream was
@@ -313,7 +313,7 @@
         return len(flight.changes), flight.sent_ms
 
     def judge(self, now_ms: float, heard_ms: float | None) -> list[Verdict]:
-        """What is to be told of responses without a word, each once for each verdict; see `Pace.judge`."""
+        """What is to be told of responses without a word, each once for each verdict; see `AckLatency.judge`."""
         found, self.verdicts = self.verdicts, []
         nonce = next(iter(self.flights), None)
         if nonce is not None:
--- a/quillstep/routing/recovery.py
+++ b/quillstep/routing/recovery.py
@@ -12,7 +12,7 @@
 BACK_MS = 1000.0  # that a clock may have gone back, or two clocks be apart
 
 
-def trust_ms(age_ms: float, window_ms: float, age_most_ms: float) -> float:
+def recovery_trust_ms(age_ms: float, window_ms: float, age_most_ms: float) -> float:
     """For how long after a start a table of this age counts; a clock that went back says nothing of its age."""
     if age_ms < -BACK_MS or age_most_ms <= 0.0:
         return 0.0
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Former:
+class RecoveredTable:
     """A table as it stood when the last life ended: since when on our clock, and until when it counts."""
 
     lines: Mapping[int, float]
--- a/quillstep/routing/resources.py
+++ b/quillstep/routing/resources.py
@@ -27,7 +27,7 @@
 TABLES = 2**24  # numbers of tables under one set of terms
 
 
-class Content(NamedTuple):
+class Resource(NamedTuple):
     """A content and its version; `what` is a plain tuple whose shape goes by the key's kind.
 
     out: (host, port, status)   pool: ()   share: ((class, allowed), ...)   line: (host, port, weight)
@@ -38,8 +38,8 @@
     what: tuple
 
 
-def content(key: Key, what: tuple) -> Content:
-    return Content(xxhash.xxh3_64_hexdigest(_encode((key, what))), what)
+def content(key: Key, what: tuple) -> Resource:
+    return Resource(xxhash.xxh3_64_hexdigest(_encode((key, what))), what)
 
 
 def rank(key: Key, gone: bool) -> tuple[Any, ...]:
--- a/quillstep/routing/retry_policies.py
+++ b/quillstep/routing/retry_policies.py
@@ -42,11 +42,11 @@
     known: bool = True  # what it holds is ours; else it may be anything
 
 
-class Ways:
-    """`allowed`: the loosest way that each class may be tried again by; `cut_off_ms`: how long an exchange lasts."""
+class RetryPolicies:
+    """`allowed`: the loosest way that each class may be tried again by; `deadline_ms`: how long an exchange lasts."""
 
-    def __init__(self, allowed: list[int], cut_off_ms: list[float]) -> None:
-        self.allowed, self.cut_off_ms = allowed, cut_off_ms
+    def __init__(self, allowed: list[int], deadline_ms: list[float]) -> None:
+        self.allowed, self.deadline_ms = allowed, deadline_ms
         self.held: dict[int, Held] = {}
         self.said: dict[int, set[int]] = {}  # the proxies with too loose a way that were last told, by class
         self.moved = False  # something has changed since `changes` was called last
@@ -95,7 +95,7 @@
         for place, way in held.flights.pop(nonce).items():
             before = max([held.ways.get(place, 0), *(ways.get(place, 0) for ways in overtaken)])
             if before > way:
-                held.ends.setdefault(place, []).append((before, now_ms + self.cut_off_ms[place]))
+                held.ends.setdefault(place, []).append((before, now_ms + self.deadline_ms[place]))
             held.ways[place] = way
         held.known = self.moved = True
 
--- a/quillstep/routing/rollout_gate.py
+++ b/quillstep/routing/rollout_gate.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class EndpointView:
     """What is known of endpoints: listed as in service, and the part of its capacity that each surely has."""
 
     ready: set[int] = field(default_factory=set)
@@ -40,11 +40,11 @@
         return endpoint in self.ready and self.part.get(endpoint, WARM) >= WARM
 
 
-class Gate:
-    """`moves_most`: the part of a table's traffic that may be moved within `over_ms`; 0: any.  `ways`: by class."""
+class RolloutGate:
+    """`max_moved_share` of a table's traffic may be moved within `over_ms`; 0: any.  `ways`: by class."""
 
-    def __init__(self, moves_most: float, over_ms: float, ways: list[int]) -> None:
-        self.moves_most, self.over_ms, self.ways = moves_most, over_ms, ways
+    def __init__(self, max_moved_share: float, over_ms: float, ways: list[int]) -> None:
+        self.max_moved_share, self.over_ms, self.ways = max_moved_share, over_ms, ways
         self.moved: dict[int, deque[tuple[float, float]]] = {}  # when and how much, by table
 
     def spent(self, table: int, now_ms: float) -> float:
@@ -55,13 +55,13 @@
         return sum(part for _, part in rows)
 
     def lines(
-        self, table: int, stands: Mapping[int, float], wanted: Mapping[int, float], seen: Seen, now_ms: float
+        self, table: int, stands: Mapping[int, float], wanted: Mapping[int, float], seen: EndpointView, now_ms: float
     ) -> tuple[dict[int, float], list[Held]]:
         """Of the lines that are to change, those that may now, and what is kept.  The largest moves go first."""
         passed: dict[int, float] = {}
         held: list[Held] = []
         total = sum(stands.values())
-        room = self.moves_most - self.spent(table, now_ms) if self.moves_most and total else math.inf
+        room = self.max_moved_share - self.spent(table, now_ms) if self.max_moved_share and total else math.inf
         mean = total / len(stands) if stands else 0.0
         used = 0.0
         for endpoint, weight in sorted(wanted.items(), key=lambda row: -abs(row[1] - stands.get(row[0], 0.0))):
@@ -77,7 +77,8 @@
                     continue
             part = abs(weight - before) / total if total else 0.0
             if not urgent and used + part > room:
-                text = f"{part:.2f} of the traffic to be moved, {max(0.0, room - used):.2f} left of {self.moves_most:g}"
+                left = max(0.0, room - used)
+                text = f"{part:.2f} of the traffic to be moved, {left:.2f} left of {self.max_moved_share:g}"
                 held.append(Held(table, MOVES, text, endpoint))
                 continue
             used += 0.0 if urgent else part
@@ -93,7 +94,7 @@
             self.moved[table].append((now_ms, used))
         return passed, held
 
-    def fault(self, table: int, endpoint: int, weight: float, mean: float, seen: Seen) -> Held | None:
+    def fault(self, table: int, endpoint: int, weight: float, mean: float, seen: EndpointView) -> Held | None:
         """Why a line may not come or grow, if it may not."""
         if not math.isfinite(weight):
             return Held(table, MOVES, f"a weight of {weight}", endpoint)
--- a/quillstep/routing/tables.py
+++ b/quillstep/routing/tables.py
@@ -9,17 +9,17 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from quillstep.routing.ack_latency import Pace, UsualCost
-from quillstep.routing.message_quota import Ration
-from quillstep.routing.proxy_state import Change, Ledger, Refusal
-from quillstep.routing.resources import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Content, Key, content
-from quillstep.routing.retry_policies import Ways
+from quillstep.routing.ack_latency import AckLatency, LineCostEstimate
+from quillstep.routing.message_quota import MessageQuota
+from quillstep.routing.proxy_state import Change, Nack, ProxyState
+from quillstep.routing.resources import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Key, Resource, content
+from quillstep.routing.retry_policies import RetryPolicies
 from quillstep.routing.unacknowledged import LOOK_MS, grows, spent
 
 OPEN_RATE = 1e5  # a rate from which on nothing is held back: no limit is sent
 
 
-class Push(NamedTuple):
+class ProxyUpdate(NamedTuple):
     """What one order means for one proxy: its lines wait in the channel until it may be released."""
 
     proxy: int
@@ -39,49 +39,49 @@
 class Tables:
     """The desired state of all, and `ledgers` by proxy number."""
 
-    ledger_type: type[Ledger] = Ledger
+    ledger_type: type[ProxyState] = ProxyState
 
     def __init__(
         self,
         classes: int,
         admission: str,
-        base_tries: int,
+        default_retry_policy: int,
         lines_per_message: float,
         *,
-        late_most_ms: float = 0.0,
+        max_ack_delay_ms: float = 0.0,
         stall_ms: float = 0.0,
-        ways: Ways | None = None,
-        messages_most: int = 0,
-        messages_over_ms: float = 0.0,
+        ways: RetryPolicies | None = None,
+        max_messages: int = 0,
+        message_window_ms: float = 0.0,
     ) -> None:
-        """`late_most_ms`: from when on an order is late; 0: never.  `stall_ms`: that one piece may make a proxy stand
-        still for; 0: as long as it takes.  `messages_most` to one proxy within `messages_over_ms`; 0: no limit."""
-        self.classes, self.admission, self.base_tries = classes, admission, base_tries
+        """`max_ack_delay_ms`: from when on an order is late; 0: never.  `stall_ms`: that one piece may make a proxy
+        stand still for; 0: no bound.  `max_messages` to one proxy within `message_window_ms`; 0: no limit."""
+        self.classes, self.admission, self.default_retry_policy = classes, admission, default_retry_policy
         self.lines_per_message = lines_per_message
         self.tables: dict[int, Table] = {}
         self.withdrawn: dict[int, str] = {}  # status by endpoint
         self.addresses: dict[int, tuple[str, int]] = {}
-        self.ledgers: dict[int, Ledger] = {}
+        self.ledgers: dict[int, ProxyState] = {}
         self.number = 0
         self.costs: dict[int, float] = {}
         self.marked: dict[int, set[Key]] = {}
         self.serial: int | None = None
         self.stirred: set[int] = set()  # proxies that may have something to be sent
         self.answering: set[int] = set()  # proxies that may have completed a receipt
-        self.made: dict[Key, Content] = {}  # contents by key, made anew when an order touches them
-        self.late_most_ms, self.stall_ms = late_most_ms, stall_ms
-        self.messages = (messages_most, messages_over_ms)
-        self.line_cost = UsualCost()
-        self.ways = ways or Ways([], [])
+        self.made: dict[Key, Resource] = {}  # contents by key, made anew when an order touches them
+        self.max_ack_delay_ms, self.stall_ms = max_ack_delay_ms, stall_ms
+        self.messages = (max_messages, message_window_ms)
+        self.line_cost = LineCostEstimate()
+        self.ways = ways or RetryPolicies([], [])
         self.cold: dict[int, float] = {}  # cold endpoints, and when they started
         self.full: dict[int, tuple[float, bool]] = {}  # of these: looked until when, whether old lines push it enough
 
     # who is there
 
-    def join(self, proxy: int, zone: str, held: Mapping[Key, str]) -> Ledger:
+    def join(self, proxy: int, zone: str, held: Mapping[Key, str]) -> ProxyState:
         """A proxy's stream stands; it keeps what it says it holds until it is bound."""
-        pace = Pace(self.late_most_ms, self.stall_ms, self.line_cost.line_ms())
-        ledger = self.ledger_type(proxy, zone, pace, Ration(*self.messages), dict(held))
+        pace = AckLatency(self.max_ack_delay_ms, self.stall_ms, self.line_cost.line_ms())
+        ledger = self.ledger_type(proxy, zone, pace, MessageQuota(*self.messages), dict(held))
         ledger.released = self.number
         self.leave(proxy)
         self.ledgers[proxy] = ledger
@@ -98,7 +98,7 @@
         """A proxy tells of more that it holds, in the first words on a further type."""
         ledger = self.ledgers[proxy]
         if (ROUTES,) in held:
-            self.ways.join(proxy, False, self.base_tries)
+            self.ways.join(proxy, False, self.default_retry_policy)
         for key, version in held.items():
             if key not in ledger.sent:
                 ledger.held[key] = version
@@ -192,7 +192,7 @@
     def receipt(self, serial: int) -> None:
         self.serial = serial
 
-    def commit(self) -> list[Push]:
+    def commit(self) -> list[ProxyUpdate]:
         """The pushes of this order, in the sequence in which proxies were first concerned."""
         pushes = []
         for proxy, lines in self.costs.items():
@@ -205,7 +205,7 @@
             if self.serial is not None:
                 extra += 1.0
                 ledger.waiting.append((self.number, self.serial, self.marked[proxy]))
-            pushes.append(Push(proxy, self.number, lines + extra))
+            pushes.append(ProxyUpdate(proxy, self.number, lines + extra))
         self.costs, self.marked = {}, {}
         return pushes
 
@@ -242,7 +242,7 @@
                 self.ways.holds(proxy, ways_of(routes), now_ms)
         return found
 
-    def without_full(self, ledger: Ledger, changes: list[Change], now_ms: float) -> list[Change]:
+    def without_full(self, ledger: ProxyState, changes: list[Change], now_ms: float) -> list[Change]:
         """Changes less those that would send more to a cold endpoint that old lines push enough already.
 
         Guards against a proxy that never applied a death: by its old line it sends a whole part to the endpoint when
@@ -303,7 +303,7 @@
         self.answering.clear()
         return done
 
-    def refuse(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Refusal | None:
+    def refuse(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Nack | None:
         self.stirred.add(proxy)
         self.ways.refuse(proxy, nonce)
         return self.ledgers[proxy].refuse(nonce, reason, now_ms, whole)
@@ -317,7 +317,7 @@
             keys += [(LINE, number, endpoint) for endpoint in self.tables[number].lines]
         return keys + [(ROUTES,)] if ledger.bound else keys
 
-    def desired(self, ledger: Ledger, key: Key) -> Content | None:
+    def desired(self, ledger: ProxyState, key: Key) -> Resource | None:
         """What a proxy should hold under a key; unbound, it keeps what it has."""
         kind = key[0]
         if kind == ROUTES:
@@ -328,12 +328,12 @@
             return self.content(key)
         if not ledger.bound:
             version = ledger.held.get(key)
-            return Content(version, ()) if version is not None else None
+            return Resource(version, ()) if version is not None else None
         if kind == OTHER or key[1] not in ledger.bound.values():
             return None
         return self.content(key)
 
-    def content(self, key: Key) -> Content | None:
+    def content(self, key: Key) -> Resource | None:
         """The content of a key that is the same for all who should hold it."""
         made = self.made.get(key)
         if made is None:
@@ -357,18 +357,18 @@
             return tuple((p, round(a, 4)) for p, (a, _) in sorted(self.tables[key[1]].levels.items()))
         return ()
 
-    def routes(self, ledger: Ledger) -> Content | None:
+    def routes(self, ledger: ProxyState) -> Resource | None:
         if not ledger.bound:
             version = ledger.held.get((ROUTES,))
-            return Content(version, ()) if version is not None else None
+            return Resource(version, ()) if version is not None else None
         rows = []
         for place, table in sorted(ledger.bound.items()):
-            allowed, tries = self.tables[table].levels.get(place, (None, self.base_tries))
+            allowed, tries = self.tables[table].levels.get(place, (None, self.default_retry_policy))
             rate = self.admission == "rate" and allowed is not None and allowed < OPEN_RATE
             rows.append((place, table, round(allowed, 4) if rate and allowed is not None else None, tries))
         return content((ROUTES,), tuple(rows))
 
 
-def ways_of(routes: Content) -> dict[int, int]:
+def ways_of(routes: Resource) -> dict[int, int]:
     """The way of trying again of each class, of routes of ours."""
     return {place: tries for place, _, _, tries in routes.what}
--- a/quillstep/routing/unacknowledged.py
+++ b/quillstep/routing/unacknowledged.py
@@ -6,13 +6,13 @@
 
 from collections.abc import Iterable, Mapping
 
-from quillstep.routing.proxy_state import Change, Ledger
-from quillstep.routing.resources import LINE, OUT, Content, Key
+from quillstep.routing.proxy_state import Change, ProxyState
+from quillstep.routing.resources import LINE, OUT, Key, Resource
 
 LOOK_MS = 50.0  # between two looks at who still holds an old line
 
 
-def by_old_line(ledger: Ledger, line: Key, wanted: Content | None) -> bool:
+def by_old_line(ledger: ProxyState, line: Key, wanted: Resource | None) -> bool:
     """Whether a proxy may pick an endpoint by a line other than the one it should hold, as far as its word goes."""
     held = ledger.held.get(line)
     if held is None or (OUT, line[2]) in ledger.held:
@@ -20,7 +20,7 @@
     return held != (wanted.version if wanted else None)
 
 
-def spent(ledgers: Iterable[Ledger], line: Key, wanted: Content, usual: float) -> bool:
+def spent(ledgers: Iterable[ProxyState], line: Key, wanted: Resource, usual: float) -> bool:
     """Whether proxies with old lines may push an endpoint by as much as all of them should by the wanted line.
 
     `usual`: the mean weight of the table's lines, which an old line is taken to have had.
@@ -30,7 +30,7 @@
     return old * usual > len(rows) * float(wanted.what[2])
 
 
-def grows(change: Change, ledger: Ledger, cold: Mapping[int, float]) -> int | None:
+def grows(change: Change, ledger: ProxyState, cold: Mapping[int, float]) -> int | None:
     """The cold endpoint that a change would send more to, at a proxy that sends it nothing now; None: it is no such."""
     kind = change.key[0]
     if kind == LINE and change.content and change.key[2] in cold:
--- a/quillstep/routing/versions.py
+++ b/quillstep/routing/versions.py
@@ -12,8 +12,8 @@
 import msgspec
 import xxhash
 
-from quillstep.routing.recovery import Former
-from quillstep.routing.rollout_gate import Gate, Held, Seen
+from quillstep.routing.recovery import RecoveredTable
+from quillstep.routing.rollout_gate import EndpointView, Held, RolloutGate
 from quillstep.routing.tables import Tables
 
 KEPT = 512  # versions of a table that are remembered here; a store keeps more
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class Leaf:
+class TableVersions:
     """One table: what the module wants of it that does not stand yet, and the versions that stood."""
 
     lines: Lines = field(default_factory=dict)  # wanted; all of it
@@ -60,24 +60,24 @@
     fresh_lines: set[int] = field(default_factory=set)  # written since the last look
     fresh_levels: set[int] = field(default_factory=set)
     waits: bool = False  # something wanted does not stand
-    former: Former | None = None  # what the last life left, while it counts
+    former: RecoveredTable | None = None  # what the last life left, while it counts
     words: Lines = field(default_factory=dict)  # the module's own, where what the last life left stands instead
     pin: Version | None = None
     versions: list[Version] = field(default_factory=list)
 
 
-class Book:
+class VersionedTables:
     """All tables' leaves.  `kept` is called with each new version that stands."""
 
-    def __init__(self, tables: Tables, gate: Gate | None, kept: Callable[[Version], None]) -> None:
+    def __init__(self, tables: Tables, gate: RolloutGate | None, kept: Callable[[Version], None]) -> None:
         self.tables, self.gate, self.kept = tables, gate, kept
-        self.leaves: dict[int, Leaf] = {}
-        self.seen = Seen()
+        self.leaves: dict[int, TableVersions] = {}
+        self.seen = EndpointView()
         self.held: list[Held] = []  # what the gate kept, not told yet
         self.now_ms = 0.0
 
-    def leaf(self, table: int) -> Leaf:
-        return self.leaves.setdefault(table, Leaf())
+    def leaf(self, table: int) -> TableVersions:
+        return self.leaves.setdefault(table, TableVersions())
 
     # the module's writing
 
@@ -200,7 +200,7 @@
         age_ms = wall_ms - max((version.at_ms for version in newest.values()), default=0.0)
         span_ms = trust(age_ms)
         for table, version in newest.items() if span_ms > 0.0 else ():
-            self.leaf(table).former = Former(version.lines, self.now_ms - age_ms, self.now_ms + span_ms)
+            self.leaf(table).former = RecoveredTable(version.lines, self.now_ms - age_ms, self.now_ms + span_ms)
 
     def pin(self, version: Version) -> None:
         """This table is to stay as in this version until it is released; in flight changes are overtaken."""
--- a/quillstep/simulator/__main__.py
+++ b/quillstep/simulator/__main__.py
@@ -2,13 +2,13 @@
 
 import sys
 
-from quillstep.simulator.host import Host, Unreadable
+from quillstep.simulator.host import Host, MalformedInputError
 
 
 def main() -> int:
     try:
         Host().serve(sys.stdin.buffer, sys.stdout)
-    except Unreadable as trouble:
+    except MalformedInputError as trouble:
         print(trouble, file=sys.stderr)
         return 1
     except (KeyboardInterrupt, BrokenPipeError):
--- a/quillstep/simulator/decode.py
+++ b/quillstep/simulator/decode.py
@@ -1,6 +1,7 @@
 """Reads lines of the wire: fields, the settings of a start, list entries and load reports."""
 
-from quillstep.config.start_settings import ms, number, start_facts, whole, yes
+from quillstep.config.start_settings import ms, number, planner_config_of_start, whole, yes
+from quillstep.planner.messages import EndpointEntry
 
 REQUIRED: dict[str, tuple[str, ...]] = {
     "turn": ("atTime",),
@@ -47,8 +48,9 @@
     return {name: number(pairs, name) for name in pairs}
 
 
-def entry(found: dict[str, str]) -> tuple:
-    return (
+def entry(found: dict[str, str]) -> EndpointEntry:
+    """One endpoint of a list."""
+    return EndpointEntry(
         whole(found, "endpoint"),
         found["regionPart"],
         found["availability"],
@@ -57,4 +59,4 @@
     )
 
 
-__all__ = ["entry", "fields", "load", "ms", "number", "start_facts", "whole", "yes"]
+__all__ = ["entry", "fields", "load", "ms", "number", "planner_config_of_start", "whole", "yes"]
--- a/quillstep/simulator/host.py
+++ b/quillstep/simulator/host.py
@@ -3,13 +3,21 @@
 from collections.abc import Iterable
 from typing import TextIO
 
-from quillstep.planner.messages import Incoming
+from quillstep.planner.messages import (
+    DownstreamStats,
+    EndpointEntry,
+    EndpointListUpdate,
+    HealthCheckResult,
+    Observations,
+    ProxyStreamEvent,
+    UpstreamStats,
+)
 from quillstep.planner.planner import Planner
 from quillstep.simulator import decode
-from quillstep.simulator.output import WireOrders
+from quillstep.simulator.output import SimulatorOutput
 
 
-class Unreadable(Exception):
+class MalformedInputError(Exception):
     """The input can't be read any further; the message is the sentence for the operator."""
 
 
@@ -17,10 +25,10 @@
     """One started planner, the wire's names of its classes, and what it has been brought in this batch."""
 
     def __init__(self, found: dict[str, str]) -> None:
-        facts, names = decode.start_facts(found)
+        facts, names = decode.planner_config_of_start(found)
         self.planner = Planner(facts, decode.whole(found, "randomSeed"))
         self.places = {name: place for place, name in enumerate(names)}
-        self.incoming: Incoming | None = None
+        self.incoming: Observations | None = None
 
 
 class Host:
@@ -28,9 +36,9 @@
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.banks: dict[int, list[tuple]] = {}
+        self.banks: dict[int, list[EndpointEntry]] = {}
         self.now_ms = 0.0
-        self.filling: list[tuple] | None = None
+        self.filling: list[EndpointEntry] | None = None
         self.entries_due = 0
 
     def serve(self, source: Iterable[bytes], sink: TextIO) -> None:
@@ -48,12 +56,12 @@
                 inside = name != "over_to_you"
                 self.take(name, found)
             except ValueError as trouble:
-                raise Unreadable(f"quillstep: line {at} of the input can't be read: {trouble}.") from None
+                raise MalformedInputError(f"quillstep: line {at} of the input can't be read: {trouble}.") from None
             if not inside:
                 sink.write("\n".join([*self.reply(), "end\n"]))
                 sink.flush()
         if inside:
-            raise Unreadable(f"quillstep: line {at} of the input is the last, but its batch is cut off.")
+            raise MalformedInputError(f"quillstep: line {at} of the input is the last, but its batch is cut off.")
 
     def take(self, name: str, found: dict[str, str]) -> None:
         """Put one line of a batch where it belongs."""
@@ -77,10 +85,10 @@
         elif name != "over_to_you":
             self.gather(name, found)
 
-    def gathered(self, instance: str) -> Incoming:
+    def gathered(self, instance: str) -> Observations:
         hosted = self.instances[instance]
         if hosted.incoming is None:
-            hosted.incoming = Incoming(self.now_ms)
+            hosted.incoming = Observations(self.now_ms)
         return hosted.incoming
 
     def gather(self, name: str, found: dict[str, str]) -> None:
@@ -95,14 +103,17 @@
             bank = whole(found, "bank")
             if kind != "error" and bank not in self.banks:
                 raise ValueError(f"no 'manifest' gave the list number {bank}")
-            incoming.lists.append((kind, [] if kind == "error" else list(self.banks[bank])))
+            entries = [] if kind == "error" else list(self.banks[bank])
+            incoming.endpoint_lists.append(EndpointListUpdate(kind, entries))
         elif name == "joined":
             usual, fresh = decode.number(found, "part"), decode.yes(found, "active")
-            incoming.streams.append((whole(found, "agent"), True, found["regionPart"], usual, fresh))
+            incoming.proxy_streams.append(
+                ProxyStreamEvent(whole(found, "agent"), True, found["regionPart"], usual, fresh)
+            )
         elif name == "disconnected":
-            incoming.streams.append((whole(found, "agent"), False, "", 0.0, False))
+            incoming.proxy_streams.append(ProxyStreamEvent(whole(found, "agent"), False))
         elif name == "observed":
-            incoming.sums.append((
+            incoming.upstream_stats.append(UpstreamStats(
                 whole(found, "endpoint"), whole(found, "many"), whole(found, "errors"),
                 decode.ms(found, "timeTaken"), decode.ms(found, "covers"), decode.load(found),
             ))  # fmt: skip
@@ -110,14 +121,14 @@
             place = self.instances[instance].places.get(found["service"])
             if place is None:
                 raise ValueError(f"service={found['service']!r} is no class of the settings")
-            incoming.arrivals.append((
+            incoming.downstream_stats.append(DownstreamStats(
                 place, whole(found, "agent"), whole(found, "many"), whole(found, "errors"),
                 decode.ms(found, "covers"),
             ))  # fmt: skip
         elif name == "applied":
-            incoming.receipts.append(whole(found, "serial"))
+            incoming.acks.append(whole(found, "serial"))
         elif name == "health":
-            incoming.probes.append((
+            incoming.health_checks.append(HealthCheckResult(
                 whole(found, "endpoint"), found["disposition"] == "done",
                 decode.ms(found, "timeTaken"), decode.load(found),
             ))  # fmt: skip
@@ -129,9 +140,9 @@
             if hosted.incoming is None:
                 continue
             incoming, hosted.incoming = hosted.incoming, None
-            orders = WireOrders(name, lines)
+            orders = SimulatorOutput(name, lines)
             try:
-                hosted.planner.round(incoming, orders)
+                hosted.planner.run_interval(incoming, orders)
             except Exception as trouble:  # whatever goes wrong inside the module ends the day with its cause
                 orders.broken(f"{type(trouble).__name__}: {trouble}")
         return lines
--- a/quillstep/store/records.py
+++ b/quillstep/store/records.py
@@ -14,7 +14,7 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class BadValue(Exception):
+class CorruptValueError(Exception):
     """A value that does not read; the text says where and why."""
 
 
@@ -43,7 +43,7 @@
     cause: str = "pin"
 
 
-class Wish(msgspec.Struct, array_like=True):
+class OperatorCommand(msgspec.Struct, array_like=True):
     """What an operator asks a pilot for: pin, rollback or release; targets are [table, version's name], no name to
     release."""
 
@@ -53,7 +53,7 @@
     wall_ms: float
 
 
-class HoldRow(msgspec.Struct, array_like=True):
+class AcknowledgedRow(msgspec.Struct, array_like=True):
     """What a proxy acknowledged last: of which life, which order, and when."""
 
     node: str
@@ -62,7 +62,7 @@
     wall_ms: float
 
 
-class LifeRow(msgspec.Struct, array_like=True):
+class IncarnationRow(msgspec.Struct, array_like=True):
     """One life of the pilot; `ended`: it closed the store itself."""
 
     life: str
@@ -79,9 +79,14 @@
 
 
 PARTS: dict[str, Any] = {
-    "meta": int, "versions": VersionRow, "pins": PinRow, "wishes": Wish, "holds": HoldRow, "lives": LifeRow,
+    "meta": int,
+    "versions": VersionRow,
+    "pins": PinRow,
+    "wishes": OperatorCommand,
+    "holds": AcknowledgedRow,
+    "lives": IncarnationRow,
     "journal": list[Any],
-}  # fmt: skip
+}
 
 
 def pack(key: bytes, row: Any) -> bytes:
@@ -93,11 +98,11 @@
     """Raises BadValue."""
     body = value[8:]
     if len(value) < 9 or xxhash.xxh3_64_digest(key + body) != value[:8]:
-        raise BadValue(f"{part}/{key.hex()}: its checksum does not fit")
+        raise CorruptValueError(f"{part}/{key.hex()}: its checksum does not fit")
     try:
         return msgspec.msgpack.decode(body, type=PARTS[part])
     except msgspec.DecodeError as trouble:
-        raise BadValue(f"{part}/{key.hex()}: {trouble}") from None
+        raise CorruptValueError(f"{part}/{key.hex()}: {trouble}") from None
 
 
 def number_key(*numbers: int) -> bytes:
--- a/quillstep/store/store.py
+++ b/quillstep/store/store.py
@@ -18,7 +18,7 @@
 from quillstep.store.records import (
     PARTS,
     SCHEMA,
-    BadValue,
+    CorruptValueError,
     Entry,
     VersionRow,
     migrated,
@@ -33,7 +33,7 @@
 STEPS = ("begin", "put", "before commit", "after commit")
 
 
-class StoreTrouble(Exception):
+class StoreError(Exception):
     """The store can't be used; `kind` is full, read-only, newer, bad, locked or broken."""
 
     def __init__(self, kind: str, text: str) -> None:
@@ -63,16 +63,16 @@
             )  # fmt: skip
             self.parts = {name: self.env.open_db(name.encode(), create=write) for name in PARTS}
         except lmdb.MapFullError:
-            raise StoreTrouble("full", f"{folder}: its {size_most} bytes are full") from None
+            raise StoreError("full", f"{folder}: its {size_most} bytes are full") from None
         except (lmdb.ReadonlyError, PermissionError) as trouble:
-            raise StoreTrouble("read-only", f"{folder}: {trouble}") from None
+            raise StoreError("read-only", f"{folder}: {trouble}") from None
         except OSError as trouble:
             kind = "read-only" if trouble.errno in (errno.EROFS, errno.EACCES) else "broken"
-            raise StoreTrouble(kind, f"{folder}: {trouble}") from None
+            raise StoreError(kind, f"{folder}: {trouble}") from None
         except lmdb.NotFoundError:
-            raise StoreTrouble("bad", f"{folder}: a part of it is missing") from None
+            raise StoreError("bad", f"{folder}: a part of it is missing") from None
         except lmdb.Error as trouble:
-            raise StoreTrouble("bad", f"{folder}: {trouble}") from None
+            raise StoreError("bad", f"{folder}: {trouble}") from None
         try:
             self.check_schema(write)
         except BaseException:
@@ -87,10 +87,10 @@
             found = txn.get(META, db=part)
         try:
             schema = int(unpack("meta", META, found)) if found else 0
-        except BadValue as trouble:
-            raise StoreTrouble("bad", f"{self.folder}: {trouble}") from None
+        except CorruptValueError as trouble:
+            raise StoreError("bad", f"{self.folder}: {trouble}") from None
         if schema > SCHEMA:
-            raise StoreTrouble("newer", f"{self.folder}: schema {schema}, this version knows {SCHEMA} at most")
+            raise StoreError("newer", f"{self.folder}: schema {schema}, this version knows {SCHEMA} at most")
         if schema < SCHEMA and write:
             self.migrate(schema)
 
@@ -116,7 +116,7 @@
             with self.env.begin() as txn:
                 yield txn, self.parts[part]
         except lmdb.Error as trouble:
-            raise StoreTrouble("bad", f"{self.folder}: {trouble}") from None
+            raise StoreError("bad", f"{self.folder}: {trouble}") from None
 
     def rows(self, part: str, prefix: bytes = b"") -> list[tuple[bytes, Any]]:
         """All rows of a part, in the sequence of their keys; raises StoreTrouble."""
@@ -129,8 +129,8 @@
                         break
                     try:
                         found.append((bytes(key), unpack(part, bytes(key), bytes(value))))
-                    except BadValue as trouble:
-                        raise StoreTrouble("bad", f"{self.folder}: {trouble}") from None
+                    except CorruptValueError as trouble:
+                        raise StoreError("bad", f"{self.folder}: {trouble}") from None
         return found
 
     def versions(self, table: int) -> list[VersionRow]:
@@ -162,13 +162,13 @@
                 self.step("before commit")
             self.step("after commit")
         except lmdb.MapFullError:
-            raise StoreTrouble("full", f"{self.folder}: no room for {len(entries)} more rows") from None
+            raise StoreError("full", f"{self.folder}: no room for {len(entries)} more rows") from None
         except lmdb.ReadonlyError as trouble:
-            raise StoreTrouble("read-only", f"{self.folder}: {trouble}") from None
+            raise StoreError("read-only", f"{self.folder}: {trouble}") from None
         except lmdb.DiskError as trouble:
-            raise StoreTrouble("full", f"{self.folder}: {trouble}") from None
+            raise StoreError("full", f"{self.folder}: {trouble}") from None
         except lmdb.Error as trouble:
-            raise StoreTrouble("broken", f"{self.folder}: {trouble}") from None
+            raise StoreError("broken", f"{self.folder}: {trouble}") from None
 
     def retain(self, now_ms: float, count_most: int, age_most_ms: float, journal_most: int) -> int:
         """Drop what is kept no longer; how many rows that were."""
@@ -201,7 +201,7 @@
                     count += 1
                     try:
                         unpack(part, bytes(key), bytes(value))
-                    except BadValue as trouble:
+                    except CorruptValueError as trouble:
                         found["bad"].append(str(trouble))
             found["rows"][part] = count
         info = self.env.info()
--- a/quillstep/store/writer.py
+++ b/quillstep/store/writer.py
@@ -14,10 +14,10 @@
 
 import structlog
 
-from quillstep.config.records import StoreRecord
+from quillstep.config.controller import StoreSettings
 from quillstep.routing.versions import Version
-from quillstep.store.records import Entry, HoldRow, LifeRow, PinRow, VersionRow, number_key
-from quillstep.store.store import Store, StoreTrouble, nothing, set_aside
+from quillstep.store.records import AcknowledgedRow, Entry, IncarnationRow, PinRow, VersionRow, number_key
+from quillstep.store.store import Store, StoreError, nothing, set_aside
 
 GROUP_MOST = 256  # hand-overs in one commit
 WAITING_MOST = 4096  # hand-overs that may wait; beyond it the journal is left out
@@ -25,26 +25,26 @@
 LIFE = number_key(0)
 
 
-def opened(record: StoreRecord, step: Callable[[str], None] = nothing) -> Store:
+def opened(record: StoreSettings, step: Callable[[str], None] = nothing) -> Store:
     """The store of these settings; one that is bad is set aside and begun anew.  Raises StoreTrouble for all else."""
     log = structlog.get_logger("store")
     try:
-        store = Store(record.folder, record.size_most_bytes, record.fsync, step=step)
+        store = Store(record.folder, record.max_size_bytes, record.fsync, step=step)
         for part in ("pins", "wishes", "lives"):
             store.rows(part)
         return store
-    except StoreTrouble as trouble:
+    except StoreError as trouble:
         if trouble.kind != "bad":
             raise
         aside = set_aside(Path(record.folder))
         log.error("store set aside", reason=str(trouble), now=str(aside))
-        return Store(record.folder, record.size_most_bytes, record.fsync, step=step)
+        return Store(record.folder, record.max_size_bytes, record.fsync, step=step)
 
 
-class Keeper:
+class StoreWriter:
     """One pilot's store.  `put` is where news for the deciding thread goes; it may block this thread alone."""
 
-    def __init__(self, record: StoreRecord, store: Store, life: str, put: Callable[[tuple], None]) -> None:
+    def __init__(self, record: StoreSettings, store: Store, life: str, put: Callable[[tuple], None]) -> None:
         self.record, self.store, self.life, self.put = record, store, life, put
         self.jobs: queue.Queue[tuple[int, list[Entry]]] = queue.Queue()
         self.numbers: dict[int, int] = {}
@@ -63,7 +63,7 @@
         for _, row in self.store.rows("versions"):
             tables.setdefault(row.table, []).append(row)
         pins = [pin for _, pin in self.store.rows("pins")]
-        versions = [row for rows in tables.values() for row in rows[-self.record.remembered :]]
+        versions = [row for rows in tables.values() for row in rows[-self.record.recovered_versions :]]
         names = {(row.table, row.name): row for rows in tables.values() for row in rows}
         pinned = [
             [told(names[pin.table, pin.name]), pin.cause, pin.who] for pin in pins if (pin.table, pin.name) in names
@@ -86,7 +86,7 @@
         return Entry("versions", number_key(table, self.numbers[table]), row)
 
     def hold(self, node: str, order: int, wall_ms: float) -> Entry:
-        return Entry("holds", node.encode()[:400], HoldRow(node, self.life, order, wall_ms))
+        return Entry("holds", node.encode()[:400], AcknowledgedRow(node, self.life, order, wall_ms))
 
     def orders(self, order: int, wall_ms: float, orders: list[Any]) -> list[Entry]:
         """An order's journal row, unless the disk is behind."""
@@ -121,14 +121,14 @@
         """Commit groups, look for wishes, drop what is kept no longer."""
         looked = retained = 0.0
         try:
-            life = LifeRow(self.life, time.time() * 1000.0)
+            life = IncarnationRow(self.life, time.time() * 1000.0)
             self.store.write([Entry("lives", LIFE, life)])
             while True:
                 group = self.group()
                 if group:
                     self.commit(group)
                 now = time.monotonic()
-                if now - looked > self.record.look_ms / 1000.0:
+                if now - looked > self.record.operator_poll_interval_ms / 1000.0:
                     looked = now
                     self.look()
                 if now - retained > RETAIN_S:
@@ -138,7 +138,7 @@
                     break
             life.ended_ms = time.time() * 1000.0
             self.store.write([Entry("lives", LIFE, life)])
-        except StoreTrouble as trouble:
+        except StoreError as trouble:
             self.fail(trouble)
         finally:
             with contextlib.suppress(Exception):
@@ -147,7 +147,7 @@
     def group(self) -> list[tuple[int, list[Entry]]]:
         """What waits, as one commit; waits itself for the first."""
         try:
-            group = [self.jobs.get(timeout=self.record.look_ms / 1000.0)]
+            group = [self.jobs.get(timeout=self.record.operator_poll_interval_ms / 1000.0)]
         except queue.Empty:
             return []
         while len(group) < GROUP_MOST and not self.jobs.empty():
@@ -181,7 +181,7 @@
         age_ms = record.keep_hours * 3_600_000.0
         self.store.retain(time.time() * 1000.0, record.keep_versions, age_ms, record.keep_orders)
 
-    def fail(self, trouble: StoreTrouble) -> None:
+    def fail(self, trouble: StoreError) -> None:
         """Go on without a store: no push waits for it any more."""
         self.failed = str(trouble)
         self.log.error("store lost", kind=trouble.kind, reason=str(trouble))
--- a/quillstep/testbed/discovery_server.py
+++ b/quillstep/testbed/discovery_server.py
@@ -14,7 +14,7 @@
 from envoy.config.endpoint.v3 import endpoint_components_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.config.records import LimitsRecord
+from quillstep.config.controller import LimitSettings
 from quillstep.testbed.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
 from quillstep.xds.resources import LEDS
 from quillstep.xds.server import DELTA, Peer, Server
@@ -46,7 +46,7 @@
         self.later: list[tuple[float, int, Subscriber, list[int]]] = []
         self.counter = 0
         self.inbox: queue.Queue[tuple] = queue.Queue(4096)
-        self.server = Server(setup.get("listen", "127.0.0.1:0"), LimitsRecord(), self.inbox.put)
+        self.server = Server(setup.get("listen", "127.0.0.1:0"), LimitSettings(), self.inbox.put)
         self.server.start()
         answer(ready=self.server.address)
 
--- a/quillstep/testbed/endpoints.py
+++ b/quillstep/testbed/endpoints.py
@@ -30,7 +30,7 @@
         self.number: int = row["id"]
         self.zone: str = row["zone"]
         self.cores, self.speed = row["cores"], row["speed"]
-        self.connections_most, self.waiting_most = row["connections_most"], row["waiting_most"]
+        self.max_connections, self.max_queue = row["connections_most"], row["waiting_most"]
         self.connect_work, self.probe_work = row["connect_work_ms"], row["probe_work_ms"]
         self.host = host
         self.lock = threading.Lock()
@@ -45,7 +45,7 @@
         self.pushed: deque[tuple[float, float]] = deque()  # work that came while cold
         self.slow = 1.0
         self.fails = self.loses = 0.0
-        self.stalled_ms = self.silent_ms = 0.0
+        self.stalled_ms = self.idle_timeout_ms = 0.0
         self.draining = False
         self.draw = random.Random(row["id"]).random
         if row.get("up", True):
@@ -74,7 +74,7 @@
         self.busy.clear()
         self.ends.clear()
         self.pushed.clear()
-        self.slow, self.fails, self.loses, self.stalled_ms, self.silent_ms = 1.0, 0.0, 0.0, 0.0, 0.0
+        self.slow, self.fails, self.loses, self.stalled_ms, self.idle_timeout_ms = 1.0, 0.0, 0.0, 0.0, 0.0
         self.draining = False
         self.host.record.put(what="start", at=now_ms(), endpoint=self.number, zone=self.zone, cold=cold)
         threading.Thread(target=self.accept, args=(self.listener,), daemon=True).start()
@@ -107,7 +107,7 @@
                 sock, _ = listener.accept()
             except OSError:
                 return
-            if self.listener is not listener or len(self.open) >= self.connections_most:
+            if self.listener is not listener or len(self.open) >= self.max_connections:
                 sock.close()
                 continue
             self.open.add(sock)
@@ -165,11 +165,11 @@
         name = fields.get("x-exchange", "")
         note = {"what": "exchange", "at": at, "endpoint": self.number, "exchange": name,
                 "class": row["name"], "proxy": fields.get("x-proxy", ""), "work": row["work_ms"]}  # fmt: skip
-        if self.silent_ms > at:
+        if self.idle_timeout_ms > at:
             # It takes the exchange, and what it takes may well take effect; the memory for keys knows it too.
             again = row["semantics"] == "keyed" and self.host.repeated(row, self.zone, name, at)
             self.host.record.put(**note, effect=not again, outcome="silent")
-            time.sleep(max(0.0, self.silent_ms - at) / 1000.0)
+            time.sleep(max(0.0, self.idle_timeout_ms - at) / 1000.0)
             return False
         if self.fails and self.draw() < self.fails:
             self.host.record.put(**note, effect=False, outcome="failed")
@@ -185,7 +185,7 @@
                 self.ends.popleft()
             waits = len(self.ends) - self.cores
             late = max(at, self.free[0]) - at > left_ms
-        if waits >= self.waiting_most:
+        if waits >= self.max_queue:
             self.host.record.put(**note, effect=False, outcome="busy")
             return self.say(sock, "503 Service Unavailable", at)
         if self.pushed_over(row["work_ms"], at):
@@ -218,8 +218,8 @@
         return pushed > SLACK * bears
 
     def health(self, sock: socket.socket, at: float) -> bool:
-        if self.silent_ms > at:
-            time.sleep((self.silent_ms - at) / 1000.0)
+        if self.idle_timeout_ms > at:
+            time.sleep((self.idle_timeout_ms - at) / 1000.0)
             return False
         _, end = self.schedule(self.probe_work, at)
         time.sleep(max(0.0, max(end, self.stalled_ms) - at) / 1000.0)
@@ -275,7 +275,7 @@
         elif do == "stall":
             endpoint.stalled_ms = until
         elif do == "silent":
-            endpoint.silent_ms = until
+            endpoint.idle_timeout_ms = until
         elif do == "slow":
             endpoint.slow = command["factor"]
         elif do == "fail":
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -15,7 +15,7 @@
 
 from quillstep.testbed.process import now_ms
 from quillstep.xds.client import MESSAGE_MOST
-from quillstep.xds.http2 import ConnectionBroken, GrpcConnection
+from quillstep.xds.http2 import GrpcConnection, ProtocolError
 from quillstep.xds.load_stats import TOOK
 from quillstep.xds.peer import dial
 from quillstep.xds.server import LOAD
@@ -68,12 +68,12 @@
             while True:
                 data = self.sock.recv(65536, socket.MSG_DONTWAIT)
                 if not data:
-                    raise ConnectionBroken("the pilot closed the connection")
+                    raise ProtocolError("the pilot closed the connection")
                 for event in self.http2.receive(data):
                     if event[0] == "message":
                         found.append(event[2])
                     elif event[0] == "end":
-                        raise ConnectionBroken(event[3] or "the pilot ended the stream")
+                        raise ProtocolError(event[3] or "the pilot ended the stream")
         self.flush()
         return found
 
@@ -113,7 +113,7 @@
         now = now_ms()
         stream = self.stream()
         if stream is not None:
-            with contextlib.suppress(OSError, ConnectionBroken):
+            with contextlib.suppress(OSError, ProtocolError):
                 self.attend(stream, now)
         return self.period_ms
 
@@ -133,7 +133,7 @@
                 if due <= now:
                     self.held.remove((due, request))
                     self.send(stream, request, now)
-        except (OSError, ConnectionBroken):
+        except (OSError, ProtocolError):
             if stream is self.own and self.own:
                 self.own.close()
                 self.own = None
--- a/quillstep/testbed/proxies.py
+++ b/quillstep/testbed/proxies.py
@@ -223,7 +223,7 @@
             # table.  Found by the model: one that took its further try by newer routes met another zone's endpoints.
             route, went_by = self.held.routes.get(name), self.held.routes_version
             table = self.table(route)
-        tries_left = route.tries if route else self.host.base_tries
+        tries_left = route.tries if route else self.host.default_retry_policy
         more = self.host.further(tries_left)
         tried: list[tuple] = []
         used: set[Address] = set()
@@ -383,7 +383,7 @@
         threading.stack_size(STACK_BYTES)
         self.classes = {row["name"]: row for row in setup["classes"]}
         self.proxies = setup["knobs"]
-        self.base_tries = self.proxies["base_tries"]
+        self.default_retry_policy = self.proxies["base_tries"]
         self.rates = self.proxies["admission"] == "rate"
         self.record = SpannedRecord(setup["record"], setup["spans"]) if setup["spans"] else Record(setup["record"])
         self.script = Script(setup)
--- a/quillstep/testbed/scenarios/plan.py
+++ b/quillstep/testbed/scenarios/plan.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from quillstep.config.records import DayRecord, TroubleRecord
+from quillstep.config.scenario import FaultSettings, ScenarioSettings
 
 PROXY_STEPS = {
     "proxy_moves": "moves",
@@ -30,7 +30,7 @@
     steps: list[tuple[float, str, dict[str, Any]]] = field(default_factory=list)
 
 
-def plan(day: DayRecord) -> Plan:
+def plan(day: ScenarioSettings) -> Plan:
     """The same for every arm of a day, so that they meet the same exchanges and troubles."""
     chance = random.Random(day.seed)
     made = Plan()
@@ -46,29 +46,29 @@
     for at in range(day.proxies):
         zone = day.fleet.zones[at % len(day.fleet.zones)]
         near = [row["id"] for row in made.endpoints if row["up"] and row["zone"] == zone]
-        standing = chance.sample(near, min(len(near), day.fleet.proxies.standing))
-        first_pilot = chance.randrange(day.pilots)
+        standing = chance.sample(near, min(len(near), day.fleet.proxies.initial_table_size))
+        first_pilot = chance.randrange(day.controllers)
         made.proxies.append({
-            "name": f"proxy/{at}", "zone": zone, "usual": day.exchanges_per_s * sizes[at] / sum(sizes),
-            "standing": standing, "pilots": [(first_pilot + k) % day.pilots for k in range(day.pilots)],
+            "name": f"proxy/{at}", "zone": zone, "usual": day.requests_per_s * sizes[at] / sum(sizes),
+            "standing": standing, "pilots": [(first_pilot + k) % day.controllers for k in range(day.controllers)],
             "files": at >= day.proxies - round(day.file_proxies * day.proxies),
             "sotw": at < round(day.sotw_proxies * day.proxies),
         })  # fmt: skip
-    for trouble in day.troubles:
+    for trouble in day.faults:
         strike(made, trouble, day, chance)
     made.steps.sort(key=lambda step: step[0])
     return made
 
 
-def strike(made: Plan, trouble: TroubleRecord, day: DayRecord, chance: random.Random) -> None:
+def strike(made: Plan, trouble: FaultSettings, day: ScenarioSettings, chance: random.Random) -> None:
     """The steps of one trouble."""
     at, until, for_ms = trouble.at_s, trouble.at_s + trouble.for_s, trouble.for_s * 1000.0
     what = trouble.what
     if what == "tighten":
-        made.steps.append((at, "settings", {"do": what, "kind": trouble.kind, "for_ms": for_ms}))
+        made.steps.append((at, "settings", {"do": what, "kind": trouble.class_name, "for_ms": for_ms}))
         return
     if what.startswith("pilot"):
-        for pilot in chance.sample(range(day.pilots), min(trouble.count, day.pilots)):
+        for pilot in chance.sample(range(day.controllers), min(trouble.count, day.controllers)):
             made.steps.append((at, "pilot", {"do": what, "pilot": pilot}))
             made.steps.append((until, "pilot", {"do": f"{what}_over", "pilot": pilot}))
         return
--- a/quillstep/testbed/scenarios/runner.py
+++ b/quillstep/testbed/scenarios/runner.py
@@ -12,7 +12,9 @@
 import msgspec
 import structlog
 
-from quillstep.config.records import DayRecord, FleetRecord, PilotRecord, StoreRecord
+from quillstep.config.controller import ControllerSettings, StoreSettings
+from quillstep.config.fleet import FleetSettings
+from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, judge, longest_channel, read_evidence, slowest_drain
 from quillstep.testbed.scenarios.child_processes import Child
 from quillstep.testbed.scenarios.plan import Plan, plan
@@ -28,10 +30,10 @@
 
 
 class Arm:
-    """One fleet with its pilots: `decides` as in a pilot's settings, or "standing" for none at all."""
+    """One fleet with its pilots: `planner_kind` as in a pilot's settings, or "standing" for none at all."""
 
-    def __init__(self, day: DayRecord, made: Plan, decides: str, folder: Path) -> None:
-        self.day, self.made, self.decides, self.folder = day, made, decides, folder
+    def __init__(self, day: ScenarioSettings, made: Plan, planner_kind: str, folder: Path) -> None:
+        self.day, self.made, self.planner_kind, self.folder = day, made, planner_kind, folder
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir(parents=True)
         self.begin_ms = self.took_s = self.cpu_s = self.stolen = 0.0
@@ -43,9 +45,9 @@
         self.ports: dict[int, int] = {}
         self.hosts: dict[int, Child] = {}
         self.proxies: dict[str, Child] = {}
-        moves = any(trouble.what == "proxy_moves" for trouble in day.troubles)
+        moves = any(trouble.what == "proxy_moves" for trouble in day.faults)
         self.with_files = day.file_proxies > 0 or moves
-        self.log = structlog.get_logger("day").bind(arm=decides)
+        self.log = structlog.get_logger("day").bind(arm=planner_kind)
 
     def child(self, name: str, *arguments: str) -> Child:
         made = Child(name, list(arguments), self.folder)
@@ -57,7 +59,7 @@
     def start(self) -> None:
         self.start_endpoints()
         self.start_roster()
-        count = 0 if self.decides == "standing" else self.day.pilots
+        count = 0 if self.planner_kind == "standing" else self.day.controllers
         self.pilots = [None] * count
         self.addresses = ["127.0.0.1:0"] * count
         for at in range(count):
@@ -66,7 +68,7 @@
 
     def start_endpoints(self) -> None:
         fleet = self.day.fleet
-        shared = any(row.scope == "all" for row in fleet.classes)
+        shared = any(row.idempotency_scope == "all" for row in fleet.classes)
         groups = [list(fleet.zones)] if shared else [[zone] for zone in fleet.zones]
         for at, zones in enumerate(groups):
             rows = [row for row in self.made.endpoints if row["zone"] in zones]
@@ -83,7 +85,7 @@
         self.roster = self.child("roster", "quillstep.testbed.discovery_server")
         rows = [{**row, "port": self.ports[row["id"]]} for row in self.made.endpoints]
         self.roster.say(
-            endpoints=rows, late_ms=self.day.roster_late_ms, seed=self.day.seed,
+            endpoints=rows, late_ms=self.day.discovery_delay_ms, seed=self.day.seed,
             record=str(self.folder / "roster-0.jsonl"),
         )  # fmt: skip
         self.roster_address = self.roster.wait_for("ready")
@@ -95,14 +97,15 @@
     def start_pilot(self, at: int) -> None:
         """Start or start over a pilot, on the address that it had."""
         listen = self.report_addresses.get(at, self.day.reports.listen)
-        record = PilotRecord(
-            name=f"pilot-{at}", seed=self.day.seed + at, listen=self.addresses[at], roster=self.roster_address,
-            decides=self.decides, fleet=self.fleet(), limits=self.day.limits,  # type: ignore[arg-type]
+        record = ControllerSettings(
+            name=f"pilot-{at}", seed=self.day.seed + at, listen=self.addresses[at],
+            discovery_address=self.roster_address,
+            planner_kind=self.planner_kind, fleet=self.fleet(), limits=self.day.limits,  # type: ignore[arg-type]
             files=self.day.files.model_copy(update={"root": self.root(at) if self.with_files else ""}),
             reports=self.day.reports.model_copy(update={"listen": listen}),
             capture={"folder": str(self.folder / f"capture-{at}")} if self.day.capture else {},  # type: ignore[arg-type]
             store=self.store(at),
-            record=str(self.folder / f"pilot-{at}.jsonl") if self.day.record else "",
+            socket_record=str(self.folder / f"pilot-{at}.jsonl") if self.day.record else "",
             gate=self.day.gate, spans=self.spans(f"pilot-{at}") or {},  # type: ignore[arg-type]
         )  # fmt: skip
         path = self.folder / f"pilot-{at}.cue"
@@ -112,7 +115,7 @@
         self.report_addresses[at] = pilot.last.get("reports", [])
         self.pilots[at] = pilot
 
-    def store(self, at: int) -> StoreRecord:
+    def store(self, at: int) -> StoreSettings:
         """A pilot's store, if it has one."""
         kept = self.day.store
         return kept.model_copy(update={"folder": str(self.folder / f"{kept.folder}-{at}") if kept.folder else ""})
@@ -123,10 +126,10 @@
             return None
         return {"file": str(self.folder / f"spans-{who}.json"), "part": self.day.spans, "most_per_s": SPANS_PER_S}
 
-    def fleet(self) -> FleetRecord:
+    def fleet(self) -> FleetSettings:
         """The fleet as pilots are told of it: classes that were tightened are unsafe."""
         rows = [
-            row.model_copy(update={"semantics": "unsafe", "scope": "", "window_ms": 0.0})
+            row.model_copy(update={"semantics": "unsafe", "idempotency_scope": "", "idempotency_window_ms": 0.0})
             if row.name in self.tightened
             else row
             for row in self.day.fleet.classes
@@ -289,10 +292,10 @@
     return (row[7] if len(row) > 7 else 0.0), sum(row[:8])
 
 
-def play_arm(day: DayRecord, folder: Path, decides: str = "learnt") -> Arm:
+def play_arm(day: ScenarioSettings, folder: Path, planner_kind: str = "learnt") -> Arm:
     """One arm alone, from its start to its end; `begin_ms`, `took_s`, `cpu_s` (of the
     pilots) and `stolen` (the part of the machine that its host gave to others) stand in it."""
-    arm = Arm(day, plan(day), decides, folder)
+    arm = Arm(day, plan(day), planner_kind, folder)
     before = stolen()
     try:
         arm.start()
@@ -307,7 +310,7 @@
     return arm
 
 
-def play_day(day: DayRecord, folder: Path, arms: list[str] | None = None) -> dict[str, Any]:
+def play_day(day: ScenarioSettings, folder: Path, arms: list[str] | None = None) -> dict[str, Any]:
     """Play all arms at once and judge them; the result is what the last line of `quillstep day` says."""
     names = ["learnt", *day.baselines] if arms is None else arms
     made = plan(day)
@@ -320,11 +323,11 @@
     finally:
         for arm in played:
             arm.stop()
-    found = {arm.decides: arm.evidence() for arm in played}
+    found = {arm.planner_kind: arm.evidence() for arm in played}
     return result(day, found)
 
 
-def result(day: DayRecord, found: dict[str, Evidence]) -> dict[str, Any]:
+def result(day: ScenarioSettings, found: dict[str, Evidence]) -> dict[str, Any]:
     """Rules and service of the pilots under test, service of the baselines."""
     main = found["learnt"] if "learnt" in found else next(iter(found.values()))
     breaks = judge(main)
--- a/quillstep/testbed/scenarios/service_quality.py
+++ b/quillstep/testbed/scenarios/service_quality.py
@@ -3,20 +3,20 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-from quillstep.config.records import ClassRecord, FleetRecord
+from quillstep.config.fleet import ClassSettings, FleetSettings
 
 
-def earned_part(kind: ClassRecord, row: dict[str, Any]) -> tuple[float, str]:
+def earned_part(kind: ClassSettings, row: dict[str, Any]) -> tuple[float, str]:
     """The part of its credit that an exchange earned, and how it ended."""
     took = row["end"] - row["at"]
-    if row["outcome"] == "ok" and took <= kind.agreed_ms:
+    if row["outcome"] == "ok" and took <= kind.latency_objective_ms:
         return 1.0, "in time"
-    if row["outcome"] == "ok" and took <= kind.cut_off_ms:
-        return kind.late_credit, "late"
+    if row["outcome"] == "ok" and took <= kind.deadline_ms:
+        return kind.late_priority_weight, "late"
     return 0.0, row["outcome"]
 
 
-def service(fleet: FleetRecord, exchanges: list[dict[str, Any]]) -> dict[str, Any]:
+def service(fleet: FleetSettings, exchanges: list[dict[str, Any]]) -> dict[str, Any]:
     """Service of the whole, by class, of the worst 5 s; and how exchanges ended."""
     classes = {row.name: row for row in fleet.classes}
     asked: dict[str, float] = defaultdict(float)
@@ -29,10 +29,10 @@
         part, how = earned_part(kind, row)
         ends[how] += 1
         window = windows[int((row["at"] - begin) // 5000.0)]
-        asked[kind.name] += kind.credit
-        won_by[kind.name] += part * kind.credit
-        window[0] += kind.credit
-        window[1] += part * kind.credit
+        asked[kind.name] += kind.priority_weight
+        won_by[kind.name] += part * kind.priority_weight
+        window[0] += kind.priority_weight
+        window[1] += part * kind.priority_weight
     total = sum(asked.values())
     return {
         "service": round(sum(won_by.values()) / total, 4) if total else 0.0,
--- a/quillstep/tracing/report.py
+++ b/quillstep/tracing/report.py
@@ -3,7 +3,8 @@
 from pathlib import Path
 from typing import Any
 
-from quillstep.config.records import PilotRecord, load
+from quillstep.config.controller import ControllerSettings
+from quillstep.config.loading import load
 from quillstep.invariants import Evidence, read_evidence
 from quillstep.recording import lives, read_life
 from quillstep.tracing.causes import Round, why
@@ -17,7 +18,7 @@
     settings = sorted(folder.glob("pilot-*.cue"))
     if not settings:
         raise FileNotFoundError(f"{folder} holds no pilot's settings: is it an arm of a played day?")
-    return Lineage(read_evidence(folder, Evidence(load(PilotRecord, settings[0]).fleet)))
+    return Lineage(read_evidence(folder, Evidence(load(ControllerSettings, settings[0]).fleet)))
 
 
 def cause(folder: Path, link: Link) -> Round | None:
--- a/quillstep/tracing/spans.py
+++ b/quillstep/tracing/spans.py
@@ -103,10 +103,10 @@
 
 
 class Spans:
-    """One process's spans.  `part` of all traces, `most_per_s` at most; times come in as monotonic milliseconds."""
+    """One process's spans.  `part` of all traces, `max_spans_per_s` at most; times are monotonic milliseconds."""
 
-    def __init__(self, file: str, part: float, most_per_s: float, service: str) -> None:
-        self.part, self.most_per_s = part, most_per_s
+    def __init__(self, file: str, part: float, max_spans_per_s: float, service: str) -> None:
+        self.part, self.max_spans_per_s = part, max_spans_per_s
         self.ids = Given()
         resource = Resource({"service.name": service})
         self.provider = TracerProvider(
@@ -116,7 +116,7 @@
         self.tracer = self.provider.get_tracer("quillstep")
         self.offset_ns = time.time_ns() - time.monotonic_ns()
         self.lock = threading.Lock()
-        self.room, self.counted_ms = most_per_s, 0.0
+        self.room, self.counted_ms = max_spans_per_s, 0.0
         self.dropped = 0
         self.open: OrderedDict[tuple[str, str], tuple[str, float, dict[str, Any]]] = OrderedDict()
         self.applied: OrderedDict[tuple[str, str], tuple[int, int]] = OrderedDict()
@@ -130,7 +130,7 @@
 
     def fits(self, at_ms: float) -> bool:
         """Whether there is room for one more span; what has none is counted."""
-        self.room = min(self.most_per_s, self.room + (at_ms - self.counted_ms) * self.most_per_s / 1000.0)
+        self.room = min(self.max_spans_per_s, self.room + (at_ms - self.counted_ms) * self.max_spans_per_s / 1000.0)
         self.counted_ms = at_ms
         if self.room < 1.0:
             self.dropped += 1
--- a/quillstep/xds/client.py
+++ b/quillstep/xds/client.py
@@ -13,13 +13,15 @@
 class GrpcClient:
     """One connection as its client.  `events` gives what comes until the connection ends."""
 
-    def __init__(self, address: str, timeout_ms: float, silent_ms: float = 15000.0) -> None:
+    def __init__(self, address: str, timeout_ms: float, idle_timeout_ms: float = 15000.0) -> None:
         self.address = address
         sock = dial(address, timeout_ms)
         self.inbox: queue.Queue[Event | None] = queue.Queue(1024)
         self.reason = ""
         connection = GrpcConnection(True, MESSAGE_MOST, 64 * 1024)
-        self.peer = Peer(sock, connection, self.take, self.closed, silent_ms=silent_ms, unsent_most=4 * 2**20)
+        self.peer = Peer(
+            sock, connection, self.take, self.closed, idle_timeout_ms=idle_timeout_ms, unsent_most=4 * 2**20
+        )
         self.peer.start()
 
     def take(self, peer: Peer, event: Event) -> None:
--- a/quillstep/xds/delta.py
+++ b/quillstep/xds/delta.py
@@ -11,7 +11,7 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.routing import Change, Key, Refusal
+from quillstep.routing import Change, Key, Nack
 from quillstep.routing.resources import LINE, OTHER, OUT
 from quillstep.xds import resources
 from quillstep.xds.stream import Response, Stream
@@ -46,9 +46,7 @@
         versions = request.initial_resource_versions
         return {resources.key_of(request.type_url, named): version for named, version in versions.items()}
 
-    def request(
-        self, request: discovery_pb2.DeltaDiscoveryRequest, now_ms: float
-    ) -> tuple[list[Change], Refusal | None]:
+    def request(self, request: discovery_pb2.DeltaDiscoveryRequest, now_ms: float) -> tuple[list[Change], Nack | None]:
         """Take a request in; what it acknowledged, and what it refused."""
         url = request.type_url
         if url not in KNOWN:
@@ -131,7 +129,7 @@
             nonce = self.nonce()
             self.tables.send(self.proxy, nonce, [], now_ms, lane)
             out.append(self.response(lane, nonce, [], ledger.released))
-        while len(ledger.flights) < self.limits.in_flight_most:
+        while len(ledger.flights) < self.limits.max_in_flight:
             apart = bool(ledger.apart)  # parts of what was refused are small, and go by themselves
             changes = self.tables.take(self.proxy, now_ms, self.wants)
             if not apart:
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -9,17 +9,17 @@
 import structlog
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from quillstep.config.records import PilotRecord
-from quillstep.routing import Refusal, Tables
+from quillstep.config.controller import ControllerSettings
+from quillstep.routing import Nack, Tables
 from quillstep.routing.ack_latency import ON_ITS_WAY, Verdict
 from quillstep.routing.proxy_state import INSISTED
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED, UNAVAILABLE
 from quillstep.xds.load_stats import Hooks, life_of, load_request, read_report
-from quillstep.xds.server import DELTA, LOAD, SOTW, News, Peer, Server
+from quillstep.xds.server import DELTA, LOAD, SOTW, Peer, Server, StreamEvent
 from quillstep.xds.sotw import SotwStream
-from quillstep.xds.stream import Response, StreamFault
+from quillstep.xds.stream import Response, StreamError
 
 TEND_MS = 500.0
 At = tuple[Peer, int]
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        record: PilotRecord,
+        record: ControllerSettings,
         tables: Tables,
         hooks: Hooks,
         epoch: str,
@@ -39,7 +39,7 @@
     ) -> None:
         self.record, self.tables, self.hooks, self.epoch = record, tables, hooks, epoch
         self.ordered_ms, self.tap = ordered_ms, tap
-        self.encoder = resources.Encoder(record.fleet.classes, record.fleet.proxies.try_factor)
+        self.encoder = resources.Encoder(record.fleet.classes, record.fleet.proxies.attempt_timeout_factor)
         self.server: Server | None = None
         self.streams: dict[At, DeltaStream | SotwStream] = {}
         self.at: dict[int, At] = {}  # where each proxy's stream is
@@ -51,7 +51,7 @@
         self.warned: set[tuple[str, int]] = set()
         self.log = structlog.get_logger("xds")
 
-    def take(self, news: News, now_ms: float) -> None:
+    def take(self, news: StreamEvent, now_ms: float) -> None:
         """One piece of news from the server."""
         kind, peer, stream = news[0], news[1], news[2]
         at = (peer, stream)
@@ -67,7 +67,7 @@
         elif at in self.streams:
             try:
                 self.request(at, news[3], now_ms)
-            except StreamFault as trouble:
+            except StreamError as trouble:
                 self.log.warning("stream ended", proxy=self.node(at), reason=str(trouble))
                 assert self.server
                 self.server.finish(peer, stream, trouble.status, str(trouble))
@@ -142,7 +142,7 @@
             at = self.at.get(proxy)
             if at is None:
                 continue
-            if at[0].unsent() > self.record.limits.unsent_most_bytes:
+            if at[0].unsent() > self.record.limits.max_unsent_bytes:
                 self.full.append(at[0])
                 self.tables.stirred.add(proxy)  # the newest state goes when there is room, no backlog
                 continue
@@ -166,7 +166,7 @@
 
     def tend(self, now_ms: float) -> None:
         """End streams that acknowledge nothing: an order that is never held must not look like one on its way."""
-        most = self.record.limits.unacknowledged_ms
+        most = self.record.limits.ack_timeout_ms
         for proxy, at in list(self.at.items()):
             warn_overdue(self.tables, proxy, self.nodes[proxy], self.record, self.warned, now_ms, self.log)
             ledger = self.tables.ledgers[proxy]
@@ -201,13 +201,13 @@
         """A report that came with the news, as the first pilot read them all."""
         if at not in self.reporters:
             self.reporters[at] = request.node.id
-            at[0].send(at[1], load_request(self.record.fleet.proxies.report_every_ms, True))
+            at[0].send(at[1], load_request(self.record.fleet.proxies.report_interval_ms, True))
         proxy = self.hooks.proxy_of(self.reporters[at])
         if proxy is not None and request.cluster_stats:  # else its reports are void until its stream stands
             self.hooks.told(proxy, read_report(request, data, self.hooks.places, self.hooks.endpoints))
 
 
-def warn_refused(log: Any, node: str, refusal: Refusal, version: Any) -> None:
+def warn_refused(log: Any, node: str, refusal: Nack, version: Any) -> None:
     """Say what a proxy refused, why, and what comes of it."""
     named = [resources.name(change.key) for change in refusal.changes]
     log.warning(
@@ -220,7 +220,7 @@
     )
 
 
-def next_step(refusal: Refusal) -> str:
+def next_step(refusal: Nack) -> str:
     """What comes of a refusal, in words."""
     if not refusal.alone:
         return "tried in parts"
@@ -229,7 +229,7 @@
 
 
 def warn_overdue(
-    tables: Tables, proxy: int, node: str, record: PilotRecord, warned: set, now_ms: float, log: Any
+    tables: Tables, proxy: int, node: str, record: ControllerSettings, warned: set, now_ms: float, log: Any
 ) -> None:
     """Say once of each withdrawal that half the grace has gone without its acknowledgement: it is not done."""
     for late in tables.ledgers[proxy].overdue(now_ms, 0.5 * record.fleet.rules.drain_grace_ms):
--- a/quillstep/xds/http2.py
+++ b/quillstep/xds/http2.py
@@ -13,7 +13,7 @@
 import h2.exceptions
 import h2.settings
 
-from quillstep.net.poller import ConnectionBroken, Event
+from quillstep.net.poller import Event, ProtocolError
 from quillstep.xds.grpc import INTERNAL, UNAVAILABLE, FramingError, Unframer, frame
 
 STREAMS_MOST = 16  # on one connection
@@ -57,9 +57,9 @@
         try:
             found = self.h2.receive_data(data)
         except (h2.exceptions.ProtocolError, h2.exceptions.H2Error) as trouble:
-            raise ConnectionBroken(f"{type(trouble).__name__}: {trouble}") from None
+            raise ProtocolError(f"{type(trouble).__name__}: {trouble}") from None
         except Exception as trouble:  # whatever else a hostile peer makes h2 or hpack raise ends its connection
-            raise ConnectionBroken(f"unreadable: {type(trouble).__name__}: {trouble}") from None
+            raise ProtocolError(f"unreadable: {type(trouble).__name__}: {trouble}") from None
         events: list[Event] = []
         for event in found:
             events += self.translate(event)
@@ -86,7 +86,7 @@
                 return [("message", stream, message) for message in messages]
             except FramingError as trouble:
                 if self.client:
-                    raise ConnectionBroken(str(trouble)) from None
+                    raise ProtocolError(str(trouble)) from None
                 self.finish(stream, trouble.status, str(trouble))
                 self.unframers.pop(stream, None)
                 return [("end", stream, trouble.status, str(trouble))]
@@ -119,7 +119,7 @@
             self.forget(stream)
             return [("end", stream, UNAVAILABLE, f"reset with code {event.error_code}")]
         if isinstance(event, h2.events.ConnectionTerminated):
-            raise ConnectionBroken(f"the peer says goodbye, code {event.error_code}")
+            raise ProtocolError(f"the peer says goodbye, code {event.error_code}")
         return []
 
     def hold(self, stream: int, message_most: int) -> None:
@@ -240,4 +240,4 @@
         self.unframers.pop(stream, None)
 
 
-__all__ = ["ConnectionBroken", "Event", "GrpcConnection", "texts"]
+__all__ = ["ProtocolError", "Event", "GrpcConnection", "texts"]
--- a/quillstep/xds/peer.py
+++ b/quillstep/xds/peer.py
@@ -8,7 +8,7 @@
 import threading
 from collections.abc import Callable
 
-from quillstep.xds.http2 import ConnectionBroken, Event, GrpcConnection
+from quillstep.xds.http2 import Event, GrpcConnection, ProtocolError
 
 STACK_BYTES = 256 * 1024
 CHUNK = 64 * 1024
@@ -28,16 +28,16 @@
         sink: Callable[["Peer", Event], None],
         closed: Callable[["Peer", str], None],
         *,
-        write_ms: float = 5000.0,
-        silent_ms: float = 15000.0,
-        ping_ms: float = 3000.0,
+        write_timeout_ms: float = 5000.0,
+        idle_timeout_ms: float = 15000.0,
+        ping_interval_ms: float = 3000.0,
         unsent_most: int = 256 * 1024,
     ) -> None:
         self.sock, self.connection, self.sink, self.closed = sock, connection, sink, closed
-        self.write_ms, self.silent_ms, self.ping_ms, self.unsent_most = (
-            write_ms,
-            silent_ms,
-            ping_ms,
+        self.write_timeout_ms, self.idle_timeout_ms, self.ping_interval_ms, self.unsent_most = (
+            write_timeout_ms,
+            idle_timeout_ms,
+            ping_interval_ms,
             unsent_most,
         )
         self.lock = threading.Lock()
@@ -91,7 +91,7 @@
     def read(self) -> None:
         reason = "it closed the connection"
         try:
-            self.sock.settimeout(self.silent_ms / 1000.0)
+            self.sock.settimeout(self.idle_timeout_ms / 1000.0)
             while not self.stopping:
                 data = self.sock.recv(CHUNK)
                 if not data:
@@ -100,13 +100,13 @@
                     events = self.connection.receive(data)
                     self.control += self.connection.h2.data_to_send()
                     if len(self.control) > self.unsent_most:
-                        raise ConnectionBroken("it asks for more answers than it reads")
+                        raise ProtocolError("it asks for more answers than it reads")
                     self.wake.notify()
                 for event in events:
                     self.sink(self, event)
         except TimeoutError:
             reason = "it was silent for too long"
-        except ConnectionBroken as trouble:
+        except ProtocolError as trouble:
             reason = str(trouble)
             with self.lock:
                 self.control += self.connection.h2.data_to_send()  # our goodbye, if it still reads
@@ -130,13 +130,13 @@
         self.closed(self, reason)
 
     def write(self) -> None:
-        self.write_sock.settimeout(self.write_ms / 1000.0)
+        self.write_sock.settimeout(self.write_timeout_ms / 1000.0)
         try:
             while True:
                 with self.wake:
                     data = self.outgoing()
                     if not data and not self.stopping:
-                        if not self.wake.wait(self.ping_ms / 1000.0):
+                        if not self.wake.wait(self.ping_interval_ms / 1000.0):
                             self.connection.ping()
                         data = self.outgoing()
                     if self.stopping:
--- a/quillstep/xds/resources.py
+++ b/quillstep/xds/resources.py
@@ -23,8 +23,8 @@
 from envoy.extensions.filters.network.http_connection_manager.v3 import http_connection_manager_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.config.records import ClassRecord
-from quillstep.routing.resources import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Content, Key
+from quillstep.config.fleet import ClassSettings
+from quillstep.routing.resources import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Key, Resource
 
 PREFIX = "type.googleapis.com/"
 LDS = PREFIX + "envoy.config.listener.v3.Listener"
@@ -91,11 +91,11 @@
 class Encoder:
     """Makes resources of contents, each once: bytes ready to be put into a response of either kind."""
 
-    def __init__(self, classes: Sequence[ClassRecord], try_factor: float) -> None:
-        self.classes, self.try_factor = classes, try_factor
+    def __init__(self, classes: Sequence[ClassSettings], attempt_timeout_factor: float) -> None:
+        self.classes, self.attempt_timeout_factor = classes, attempt_timeout_factor
         self.made: dict[tuple[Key, str], bytes] = {}
 
-    def delta(self, key: Key, content: Content) -> bytes:
+    def delta(self, key: Key, content: Resource) -> bytes:
         """A `Resource` as field 2 of a delta response: tag, length, bytes."""
         at = (key, content.version)
         made = self.made.get(at)
@@ -108,7 +108,7 @@
             self.made[at] = made
         return made
 
-    def message(self, key: Key, content: Content) -> Any:
+    def message(self, key: Key, content: Resource) -> Any:
         kind = key[0]
         if kind == LINE:
             host, port, weight = content.what
@@ -131,7 +131,7 @@
             return self.routes(content)
         return self.listener()
 
-    def assignment(self, key: Key, content: Content) -> endpoint_pb2.ClusterLoadAssignment:
+    def assignment(self, key: Key, content: Resource) -> endpoint_pb2.ClusterLoadAssignment:
         assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name(key))
         group = assignment.endpoints.add()
         leds = group.leds_cluster_locality_config
@@ -141,7 +141,7 @@
         self.drops(assignment, content)
         return assignment
 
-    def whole(self, table: int, share: Content, lines: list[tuple]) -> endpoint_pb2.ClusterLoadAssignment:
+    def whole(self, table: int, share: Resource, lines: list[tuple]) -> endpoint_pb2.ClusterLoadAssignment:
         """A table with its lines inside, for clients that know no deltas: (host, port, weight, status) each."""
         assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=f"table-{table}")
         group = assignment.endpoints.add()
@@ -152,14 +152,14 @@
         self.drops(assignment, share)
         return assignment
 
-    def drops(self, assignment: endpoint_pb2.ClusterLoadAssignment, content: Content) -> None:
+    def drops(self, assignment: endpoint_pb2.ClusterLoadAssignment, content: Resource) -> None:
         for place, allowed in content.what:
             if allowed < 1.0:
                 drop = assignment.policy.drop_overloads.add(category=self.classes[place].name)
                 drop.drop_percentage.numerator = round((1.0 - max(0.0, allowed)) * 10000)
                 drop.drop_percentage.denominator = 1  # of ten thousand
 
-    def routes(self, content: Content) -> route_pb2.RouteConfiguration:
+    def routes(self, content: Resource) -> route_pb2.RouteConfiguration:
         routes = route_pb2.RouteConfiguration(name=ENTRY_NAME)
         host = routes.virtual_hosts.add(name=ENTRY_NAME, domains=["*"])
         for place, table, allowed, tries in content.what:
@@ -167,7 +167,7 @@
             route = host.routes.add(name=row.name)
             route.match.prefix = f"/{row.name}"
             route.route.cluster = f"table-{table}"
-            route.route.timeout.FromMilliseconds(round(row.cut_off_ms))
+            route.route.timeout.FromMilliseconds(round(row.deadline_ms))
             if tries:
                 self.retry(route.route.retry_policy, row, tries)
             if allowed is not None and allowed <= 0.0:
@@ -182,11 +182,11 @@
                 route.typed_per_filter_config[RATE_FILTER].Pack(limit)
         return routes
 
-    def retry(self, policy: route_components_pb2.RetryPolicy, row: ClassRecord, tries: int) -> None:
+    def retry(self, policy: route_components_pb2.RetryPolicy, row: ClassSettings, tries: int) -> None:
         policy.retry_on = NEVER_RAN if tries == 1 else ANY_FAILURE
         policy.num_retries.value = 2 if tries == 3 else 1
         if tries > 1:
-            policy.per_try_timeout.FromMilliseconds(round(self.try_factor * row.agreed_ms))
+            policy.per_try_timeout.FromMilliseconds(round(self.attempt_timeout_factor * row.latency_objective_ms))
 
     def listener(self) -> listener_pb2.Listener:
         manager = http_connection_manager_pb2.HttpConnectionManager(stat_prefix=ENTRY_NAME)
--- a/quillstep/xds/server.py
+++ b/quillstep/xds/server.py
@@ -9,9 +9,9 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.config.records import LimitsRecord
+from quillstep.config.controller import LimitSettings
+from quillstep.net.poller import Connection as Peer
 from quillstep.net.poller import Poller
-from quillstep.net.poller import Served as Peer
 from quillstep.xds.grpc import INVALID_ARGUMENT, RESOURCE_EXHAUSTED, UNIMPLEMENTED
 from quillstep.xds.http2 import Event, GrpcConnection
 
@@ -23,7 +23,9 @@
     SOTW: discovery_pb2.DiscoveryRequest,
     LOAD: lrs_pb2.LoadStatsRequest,
 }
-News = tuple  # ("open", peer, stream, path), ("request", peer, stream, message, its bytes), ("end", peer, stream, why)
+StreamEvent = (
+    tuple  # ("open", peer, stream, path), ("request", peer, stream, message, its bytes), ("end", peer, stream, why)
+)
 
 
 class LoadReader(Protocol):
@@ -41,14 +43,18 @@
     load reports go to `loads` where there is one, so that no acknowledgement waits behind them."""
 
     def __init__(
-        self, listen: str, limits: LimitsRecord, put: Callable[[News], None], loads: LoadReader | None = None
+        self,
+        listen: str,
+        limits: LimitSettings,
+        put: Callable[[StreamEvent], None],
+        loads: LoadReader | None = None,
     ) -> None:
         self.limits, self.put, self.loads = limits, put, loads
         self.log = structlog.get_logger("xds")
-        most = limits.message_most_bytes
+        most = limits.max_message_bytes
         self.poller = Poller(
-            listen, limits, lambda: GrpcConnection(False, most, limits.headers_most_bytes),
-            self.event, self.closed, silent_ms=limits.silent_ms,
+            listen, limits, lambda: GrpcConnection(False, most, limits.max_headers_bytes),
+            self.event, self.closed, idle_timeout_ms=limits.idle_timeout_ms,
         )  # fmt: skip
         self.address = self.poller.address
         self.methods: dict[tuple[Peer, int], str] = {}
@@ -122,4 +128,4 @@
         self.poller.end()
 
 
-__all__ = ["DELTA", "LOAD", "SOTW", "LoadReader", "News", "Peer", "Server"]
+__all__ = ["DELTA", "LOAD", "SOTW", "LoadReader", "StreamEvent", "Peer", "Server"]
--- a/quillstep/xds/sotw.py
+++ b/quillstep/xds/sotw.py
@@ -10,8 +10,8 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import any_pb2
 
-from quillstep.routing import Change, Key, Refusal
-from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Content
+from quillstep.routing import Change, Key, Nack
+from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Resource
 from quillstep.xds import resources
 from quillstep.xds.stream import Response, Stream
 
@@ -40,7 +40,7 @@
         self.named(request)
         return {}
 
-    def request(self, request: discovery_pb2.DiscoveryRequest, now_ms: float) -> tuple[list[Change], Refusal | None]:
+    def request(self, request: discovery_pb2.DiscoveryRequest, now_ms: float) -> tuple[list[Change], Nack | None]:
         """Take a request in; what it acknowledged, and what it refused."""
         url = request.type_url
         if url not in KINDS:
@@ -114,7 +114,7 @@
     def lines(self, table: int) -> list[tuple]:
         rows = []
         for endpoint in self.tables.tables[table].lines:
-            found: Content | None = self.tables.content((LINE, table, endpoint))
+            found: Resource | None = self.tables.content((LINE, table, endpoint))
             if found:
                 rows.append((*found.what, self.tables.withdrawn.get(endpoint, "")))
         return rows
--- a/quillstep/xds/stream.py
+++ b/quillstep/xds/stream.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from quillstep.config.records import LimitsRecord
-from quillstep.routing import Change, Refusal, Tables
+from quillstep.config.controller import LimitSettings
+from quillstep.routing import Change, Nack, Tables
 from quillstep.xds import resources
 from quillstep.xds.grpc import INVALID_ARGUMENT, RESOURCE_EXHAUSTED
 
@@ -20,7 +20,7 @@
     removed: int
 
 
-class StreamFault(Exception):
+class StreamError(Exception):
     """What a peer asked for ends its stream, with this status."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -37,7 +37,7 @@
         self,
         tables: Tables,
         encoder: resources.Encoder,
-        limits: LimitsRecord,
+        limits: LimitSettings,
         epoch: str,
         ordered_ms: Callable[[int], float],
     ) -> None:
@@ -59,9 +59,9 @@
     def named(request: Any) -> None:
         """The first request of a stream must say whose it is."""
         if not request.node.id:
-            raise StreamFault(INVALID_ARGUMENT, "the first request names no node")
+            raise StreamError(INVALID_ARGUMENT, "the first request names no node")
 
-    def word(self, request: Any, now_ms: float) -> tuple[list[Change], Refusal | None]:
+    def word(self, request: Any, now_ms: float) -> tuple[list[Change], Nack | None]:
         """What a request acknowledges, or refuses and why."""
         if not request.response_nonce:
             return [], None
@@ -73,9 +73,9 @@
 
     def bounded(self, names: int) -> None:
         """Raises StreamFault where a peer asks for more names than it may."""
-        most = self.limits.subscriptions_most
+        most = self.limits.max_subscriptions
         if names > most:
-            raise StreamFault(RESOURCE_EXHAUSTED, f"more than {most} names subscribed of one type")
+            raise StreamError(RESOURCE_EXHAUSTED, f"more than {most} names subscribed of one type")
 
     def unserved(self, request: Any, names: list[str], response: Any) -> None:
         """Answer a type that we don't serve so that the peer can read it; its stream goes on."""
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -13,15 +13,17 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from fleet import MemoryPilot, order, pilot_record
 
-from quillstep.config.cue import Fault
-from quillstep.config.records import DayRecord, GateRecord, PilotRecord, load
-from quillstep.config.start_settings import start_facts
+from quillstep.config.controller import ControllerSettings, RolloutGateSettings
+from quillstep.config.cue import ConfigError
+from quillstep.config.loading import load
+from quillstep.config.scenario import ScenarioSettings
+from quillstep.config.start_settings import planner_config_of_start
 from quillstep.files.generation_files import Packer, manifest
 from quillstep.platform import configuration, endpoint_list
 from quillstep.platform.protocol import validation
-from quillstep.platform.protocol.codec import FrameCodec, framed
-from quillstep.platform.protocol.connections import FrameFront, FrameLimits
-from quillstep.platform.protocol.updates import FrameOrders
+from quillstep.platform.protocol.codec import MessageCodec, framed
+from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
+from quillstep.platform.protocol.updates import ProtocolOutput
 from quillstep.recording import lives, read_life
 from quillstep.routing.resources import content
 from quillstep.simulator import decode
@@ -60,13 +62,13 @@
 def outgoing_messages(seed=11, rounds=240):
     """All bytes that seeded orders come to, a line of hexadecimal for each message: round, proxy, bytes."""
     draw = random.Random(seed)
-    orders = FrameOrders(CLASS_NAMES, lambda endpoint: None, lambda token, at_ms: None, lambda text: None)
+    orders = ProtocolOutput(CLASS_NAMES, lambda endpoint: None, lambda token, at_ms: None, lambda text: None)
     joined, lines = set(), []
     for number in range(rounds):
         for _ in range(draw.randrange(0, 7)):
             write_one_order(draw, orders, joined)
         if draw.random() < 0.5:
-            orders.receipt(draw.randrange(64))
+            orders.request_ack(draw.randrange(64))
         for proxy, message in orders.flush():
             lines.append(f"{number} {proxy} {message.hex()}")
     return "\n".join(lines) + "\n"
@@ -77,13 +79,15 @@
     classes = draw.choice([[0, 1, 2], [0], [1, 2], []])
     kind = draw.random()
     if kind < 0.4:
-        orders.line(table, endpoint, draw.choice([0, 1, 3.5, 10, 12.0]))
+        orders.set_weight(table, endpoint, draw.choice([0, 1, 3.5, 10, 12.0]))
     elif kind < 0.55:
-        orders.withdraw(endpoint, draw.random() < 0.6)
+        orders.set_ejected(endpoint, draw.random() < 0.6)
     elif kind < 0.7 and joined:
-        orders.bind(draw.choice(sorted(joined)), table, classes)
+        orders.assign_table(draw.choice(sorted(joined)), table, classes)
     elif kind < 0.85:
-        orders.level(draw.choice([table, 65535]), classes, draw.choice([1e6, 0.25, 33.125, 0.0]), draw.randrange(4))
+        orders.set_admission(
+            draw.choice([table, 65535]), classes, draw.choice([1e6, 0.25, 33.125, 0.0]), draw.randrange(4)
+        )
     elif kind < 0.95:
         proxy = draw.randrange(8)
         joined.add(proxy)
@@ -143,7 +147,7 @@
     """A connection without its socket: what it was sent, and why it was ended."""
 
     def __init__(self):
-        self.codec = FrameCodec(4096)
+        self.codec = MessageCodec(4096)
         self.sent, self.stopping, self.order, self.heard_ms = [], "", 1, 0.0
 
     @property
@@ -166,7 +170,9 @@
     """One connection's bytes, read by the front without its sockets."""
     brought = []
     known = validation.Known(4, frozenset("ab"), {"lookup": 0, "quote": 1, "issue": 2}, 1200.0)
-    front = FrameFront("127.0.0.1:0", FrameLimits(64, 64), known, lambda news, key=None, add=None: brought.append(news))
+    front = ConnectionManager(
+        "127.0.0.1:0", ConnectionLimits(64, 64), known, lambda news, key=None, add=None: brought.append(news)
+    )
     peer = Peer()
     for event in peer.codec.receive(data):
         front.event(peer, event)
@@ -186,7 +192,7 @@
 
     Names within one response stand in the order of a set, which differs from process to process: they are sorted here.
     """
-    pilot = MemoryPilot(endpoints=6, record=pilot_record(gate=GateRecord(on=False)))
+    pilot = MemoryPilot(endpoints=6, record=pilot_record(gate=RolloutGateSettings(enabled=False)))
     lines = []
     proxy = recording_proxy(pilot, "p0", "a", lines)
     pilot.run(3000)
@@ -280,15 +286,15 @@
 
 def settings_values(path):
     """A settings file as checked, in the names of the file."""
-    kind = DayRecord if "each_zone" in path.read_text() else PilotRecord
+    kind = ScenarioSettings if "each_zone" in path.read_text() else ControllerSettings
     return load(kind, path).model_dump(mode="json")
 
 
 def settings_fault(path):
     """What is said of a settings file that does not check, without its folder."""
     try:
-        load(PilotRecord, path)
-    except Fault as trouble:
+        load(ControllerSettings, path)
+    except ConfigError as trouble:
         return str(trouble).replace(f"{path.parent}/", "")
     return "it checks"
 
@@ -298,14 +304,14 @@
     try:
         found = configuration.read({"BALANCER_CONFIG": str(path)})
         facts = configuration.pilot_facts(found, str(path))
-    except configuration.Fault as trouble:
+    except configuration.ConfigurationError as trouble:
         return str(trouble).replace(f"{path.parent}/", "")
     known = {"revision": found.known.revision, "complete": True, "members": found.known.members}
     first = endpoint_list.read_list(known, 5000.0, "persisted")
     return plain({
         "start": list(dataclasses.astuple(facts.start)),
         "rest": [
-            facts.classes, facts.known.proxies, sorted(facts.known.zones), facts.known.places, facts.known.cut_off_ms,
+            facts.classes, facts.known.proxies, sorted(facts.known.zones), facts.known.places, facts.known.deadline_ms,
             facts.tick_ms, facts.probe_ms, facts.probe_path,
         ],
         "list": [first.kind, first.entries, first.addresses, first.revision, first.spoilt, first.whole],
@@ -316,7 +322,7 @@
 def start_values(line):
     """A `start` as the module is told it: values in order."""
     _, found = decode.fields(line)
-    facts, names = start_facts(found)
+    facts, names = planner_config_of_start(found)
     return plain([list(dataclasses.astuple(facts)), names])
 
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -2,26 +2,29 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.config.records import ClassRecord, DayRecord, FleetRecord, LimitsRecord, PilotRecord
-from quillstep.controller.core import Core
+from quillstep.config.controller import ControllerSettings, LimitSettings
+from quillstep.config.fleet import ClassSettings, FleetSettings
+from quillstep.config.scenario import ScenarioSettings
+from quillstep.controller.core import ControllerCore
+from quillstep.planner.messages import EndpointEntry
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.resources import CDS, EDS, LDS, LEDS, RDS, WITHDRAWN, Encoder
 
 TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "work_ms": 20.0}
 CLASSES = [
-    ClassRecord(name="lookup", credit=1.0, semantics="safe", share=0.7, **TIMES),
-    ClassRecord(name="issue", credit=3.0, semantics="unsafe", share=0.3, **TIMES),
+    ClassSettings(name="lookup", priority_weight=1.0, semantics="safe", share=0.7, **TIMES),
+    ClassSettings(name="issue", priority_weight=3.0, semantics="unsafe", share=0.3, **TIMES),
 ]
 
 
 def fleet(**other):
-    return FleetRecord(**{"zones": ["a", "b"], "classes": CLASSES, **other})
+    return FleetSettings(**{"zones": ["a", "b"], "classes": CLASSES, **other})
 
 
 def pilot_record(**other):
     base = {"name": "pilot-0", "seed": 7, "roster": "127.0.0.1:1", "fleet": fleet()}
-    return PilotRecord(**{**base, **other})
+    return ControllerSettings(**{**base, **other})
 
 
 class MemoryProxy:
@@ -105,7 +108,7 @@
     """A core on a clock of its own."""
 
     def __init__(self, endpoints=6, record=None, **limits):
-        self.core = Core(record or pilot_record(limits=LimitsRecord(**limits)))
+        self.core = ControllerCore(record or pilot_record(limits=LimitSettings(**limits)))
         self.encoder = Encoder(self.core.record.fleet.classes, 0.8)
         self.now, self.proxies = 1000.0, {}
         self.core.now_ms = self.now
@@ -113,7 +116,7 @@
 
     def roster(self, kind, numbers, state="in_service", started=0.0):
         zones = self.core.record.fleet.zones
-        entries = [(n, zones[n % len(zones)], state, 1.0, started) for n in numbers]
+        entries = [EndpointEntry(n, zones[n % len(zones)], state, 1.0, started) for n in numbers]
         self.core.roster(kind, entries, {n: ("127.0.0.1", 9000 + n) for n in numbers})
         self.core.heard(self.now)
 
@@ -163,4 +166,4 @@
         "roster_late_ms": 100.0,
         "baselines": [],
     }
-    return DayRecord.model_validate({**base, **other})
+    return ScenarioSettings.model_validate({**base, **other})
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -10,7 +10,7 @@
 import pytest
 from fleet import small_day
 
-from quillstep.recording import BadBlock, Capture, Header, Life, lives, read_life
+from quillstep.recording import CorruptBlockError, Header, Incarnation, RecordingWriter, lives, read_life
 from quillstep.recording.format import (
     BLOCK,
     HEAD,
@@ -46,11 +46,11 @@
     last = head + sum(sizes[:-1])
     for end in range(last + 1, len(data)):
         path.write_bytes(data[:end])
-        life = Life(decode_header(data)[0], [path])
+        life = Incarnation(decode_header(data)[0], [path])
         assert list(read_life(life)) == RECORDS[:16]
         assert f"{end - last} bytes cut off" in life.torn
     path.write_bytes(data)
-    life = Life(decode_header(data)[0], [path])
+    life = Incarnation(decode_header(data)[0], [path])
     assert list(read_life(life)) == RECORDS[:24] and not life.torn
 
 
@@ -60,7 +60,7 @@
     data = bytearray(path.read_bytes())
     data[head + BLOCK.size + 3] ^= 0xFF
     path.write_bytes(data)
-    with pytest.raises(BadBlock, match="checksum.*more behind it"):
+    with pytest.raises(CorruptBlockError, match="checksum.*more behind it"):
         lives(tmp_path)
 
 
@@ -71,10 +71,10 @@
     middle = tmp_path / "pilot-0-1-0001.qcap"
     whole = middle.read_bytes()
     middle.write_bytes(whole[:-5])
-    with pytest.raises(BadBlock):
+    with pytest.raises(CorruptBlockError):
         lives(tmp_path)
     middle.unlink()
-    with pytest.raises(BadBlock, match="1 is missing"):
+    with pytest.raises(CorruptBlockError, match="1 is missing"):
         lives(tmp_path)
 
 
@@ -85,15 +85,15 @@
     assert found == [[r[0], r[2], *r[2:]] for r in RECORDS]
     data = path.read_bytes()
     path.write_bytes(HEAD.pack(MAGIC, VERSION + 1, 0) + data[HEAD.size :])
-    with pytest.raises(BadBlock, match="reads up to"):
+    with pytest.raises(CorruptBlockError, match="reads up to"):
         lives(tmp_path)
     path.write_bytes(b"nothing of the kind")
-    with pytest.raises(BadBlock, match="no capture"):
+    with pytest.raises(CorruptBlockError, match="no capture"):
         lives(tmp_path)
 
 
 def test_segments_rotate_and_the_index_finds_a_span(tmp_path):
-    made = Capture(str(tmp_path), "pilot-0", "pilot-0-1", {}, 4096)
+    made = RecordingWriter(str(tmp_path), "pilot-0", "pilot-0-1", {}, 4096)
     for at in range(1, 201):
         made.put(["request", float(at), float(at), 1, 1, "", os.urandom(256)])
         if at % 10 == 0:
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EROFS])
 def test_a_disk_that_fails_stops_the_capture_and_not_the_pilot(tmp_path, code):
-    class Failing(Capture):
+    class Failing(RecordingWriter):
         def segment(self):
             raise OSError(code, os.strerror(code))
 
@@ -126,7 +126,7 @@
 
 
 def test_a_disk_that_does_not_keep_up_stops_the_capture_and_not_the_pilot(tmp_path):
-    class Stuck(Capture):
+    class Stuck(RecordingWriter):
         def run(self):
             """Takes nothing."""
 
@@ -208,7 +208,7 @@
 
 
 def test_blocks_of_noise_are_no_blocks():
-    with pytest.raises(BadBlock):
+    with pytest.raises(CorruptBlockError):
         list(blocks(b"x" * 100, 0))
-    with pytest.raises(BadBlock):
+    with pytest.raises(CorruptBlockError):
         decode_header(b"QC")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,20 +19,20 @@
 import pytest
 from live import Client, Discovery, Endpoint, Listening, Process, Proxy, configuration, frame, settings, wait_until
 
-from quillstep.controller.health_checker import Prober, check, load_of
+from quillstep.controller.health_checker import HealthChecker, check, load_of
 from quillstep.net.http import ask, get, next_event
 from quillstep.net.poller import Poller
 from quillstep.platform import configuration as platform_configuration
 from quillstep.platform.__main__ import Signals
-from quillstep.platform.discovery_watch import DIAL_MS, Watch
+from quillstep.platform.discovery_watch import DIAL_MS, DiscoveryWatch
 from quillstep.platform.endpoint_list import address_of, read_list
-from quillstep.platform.protocol.codec import FrameCodec
-from quillstep.platform.protocol.connections import FrameFront, FrameLimits
+from quillstep.platform.protocol.codec import MessageCodec
+from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
 from quillstep.platform.protocol.validation import Known
-from quillstep.platform.service import LivePilot
+from quillstep.platform.service import PlatformController
 
 KNOWN = Known(4, frozenset(live.ZONES), {"lookup": 0, "issue": 1}, 1200.0)
-LIMITS = FrameLimits(64, 64)
+LIMITS = ConnectionLimits(64, 64)
 
 
 def member(name="s", **other):
@@ -56,7 +56,9 @@
 
     def __init__(self, limits=LIMITS):
         self.news = []
-        self.front = FrameFront("127.0.0.1:0", limits, KNOWN, lambda news, key=None, add=None: self.news.append(news))
+        self.front = ConnectionManager(
+            "127.0.0.1:0", limits, KNOWN, lambda news, key=None, add=None: self.news.append(news)
+        )
         self.poller = self.front.poller
         self.poller.poll.register(self.poller.listener, 1)
         self.open = []
@@ -95,7 +97,7 @@
     sock = steps.dial()
     steps.poller.accept()
     (peer,) = steps.poller.peers.values()
-    peer.begun_ms -= 2 * LIMITS.handshake_ms  # the process stood still after its accept
+    peer.begun_ms -= 2 * LIMITS.handshake_timeout_ms  # the process stood still after its accept
     sock.sendall(frame(attach(1)))
     wait_until(lambda: peer.sock.fileno() in steps.readable(), "the joining's bytes")
     steps.poller.tend()
@@ -106,7 +108,7 @@
     steps.dial()
     steps.poller.accept()
     (peer,) = steps.poller.peers.values()
-    peer.begun_ms -= 2 * LIMITS.handshake_ms
+    peer.begun_ms -= 2 * LIMITS.handshake_timeout_ms
     steps.poller.tend()
     assert peer.gone and not steps.poller.peers
 
@@ -130,7 +132,7 @@
 
 
 def test_strangers_that_fill_all_room_give_way_to_who_joins():
-    steps = Steps(FrameLimits(8, 8))
+    steps = Steps(ConnectionLimits(8, 8))
     try:
         for _ in range(8):
             steps.dial()
@@ -223,7 +225,9 @@
 
 
 def test_a_poller_that_has_ended_wakes_nobody_elses_descriptor():
-    poller = Poller("127.0.0.1:0", LIMITS, lambda: FrameCodec(4096), lambda *_: None, lambda *_: None, silent_ms=1e9)
+    poller = Poller(
+        "127.0.0.1:0", LIMITS, lambda: MessageCodec(4096), lambda *_: None, lambda *_: None, idle_timeout_ms=1e9
+    )
     thread = threading.Thread(target=poller.run)
     thread.start()
     poller.end()
@@ -251,7 +255,7 @@
     """A pilot whose deciding thread is this one: `taken` takes what was brought."""
     path = configuration(tmp_path, "127.0.0.1:1", [member("s0"), member("s1", locality="b")])
     told = platform_configuration.read({"BALANCER_CONFIG": str(path)})
-    made = LivePilot(told, platform_configuration.pilot_facts(told, str(path)))
+    made = PlatformController(told, platform_configuration.pilot_facts(told, str(path)))
     made.take_list(made.first)
     made.steps = Steps()
     made.steps.front.bring = made.bring
@@ -301,8 +305,8 @@
     taken(pilot)
     (newer,) = streams_of(pilot, second)
     assert pilot.at == {1: newer} and 1 in pilot.orders.proxies
-    joins = [row for row in pilot.rounds.incoming.streams if row[1]]
-    assert joins[-1][2] == "b" and pilot.rounds.incoming.streams[-1][1]
+    joins = [row for row in pilot.rounds.incoming.proxy_streams if row[1]]
+    assert joins[-1][2] == "b" and pilot.rounds.incoming.proxy_streams[-1][1]
 
 
 def test_a_joining_that_comes_with_its_connections_end_is_a_joining_and_a_leaving(pilot):
@@ -311,7 +315,7 @@
     pilot.steps.poller.accept()
     while pilot.steps.poller.peers:
         taken(pilot)
-    assert [row[:2] for row in pilot.rounds.incoming.streams] == [(1, True), (1, False)]
+    assert [row[:2] for row in pilot.rounds.incoming.proxy_streams] == [(1, True), (1, False)]
     assert not pilot.at and not pilot.orders.proxies and not pilot.steps.poller.peers
 
 
@@ -355,7 +359,7 @@
 def watched(script, whole=b"", revision=1, **other):
     found = []
     discovery = Scripted(script, whole)
-    watch = Watch(discovery.address, revision, 0.0, lambda news: found.append(news[1]), **other)
+    watch = DiscoveryWatch(discovery.address, revision, 0.0, lambda news: found.append(news[1]), **other)
     watch.start()
     return discovery, watch, found
 
@@ -437,7 +441,7 @@
 @pytest.mark.parametrize(("lines", "told", "revision"), [case[1:] for case in CASES], ids=[case[0] for case in CASES])
 def test_lines_of_a_watch_in_each_order(lines, told, revision):
     found = []
-    watch = Watch("127.0.0.1:1", 1, 0.0, lambda news: found.append(news[1]))
+    watch = DiscoveryWatch("127.0.0.1:1", 1, 0.0, lambda news: found.append(news[1]))
     for at, (number, name, complete) in enumerate(lines):
         watch.take(list_line(number, member(name), complete=complete), first=not at)
     assert [next(iter(news.addresses)) for news in found] == told and watch.revision == watch.seen == revision
@@ -445,7 +449,7 @@
 
 def test_a_whole_list_with_a_spoilt_entry_and_a_lower_revision_is_no_change_that_goes_back():
     found = []
-    watch = Watch("127.0.0.1:1", 9, 0.0, lambda news: found.append(news[1]))
+    watch = DiscoveryWatch("127.0.0.1:1", 9, 0.0, lambda news: found.append(news[1]))
     watch.take(list_line(2, member("s"), member("t", size="x"), complete=True))
     watch.take(list_line(3, member("u")))
     assert [sorted(news.addresses) for news in found] == [["s"], ["u"]] and watch.seen == 3 and watch.owed
@@ -453,7 +457,7 @@
 
 def test_a_whole_list_by_other_numbers_forgets_what_an_earlier_one_held():
     found = []
-    watch = Watch("127.0.0.1:1", 1, 0.0, lambda news: found.append(news[1]))
+    watch = DiscoveryWatch("127.0.0.1:1", 1, 0.0, lambda news: found.append(news[1]))
     for line in (list_line(7, member("s"), complete=True), list_line(2, member("t", size="x"), complete=True)):
         watch.take(line)
     watch.take(list_line(7, member("u")))
@@ -494,7 +498,7 @@
         failed.append(news)
 
     discovery = Scripted(lambda sock, _: (Scripted.line(sock, list_line(2, member("t"))), stays(sock)))
-    watch = Watch(discovery.address, 1, 0.0, put)
+    watch = DiscoveryWatch(discovery.address, 1, 0.0, put)
     watch.start()
     try:
         wait_until(lambda: len(failed) == 2, "the line again on the next watch")
@@ -513,7 +517,7 @@
             sock.setblocking(False)
             sock.connect_ex(old.getsockname())
         discovery, found = Discovery(), []
-        watch = Watch(f"127.0.0.1:{old.getsockname()[1]}", 1, 0.0, found.append)
+        watch = DiscoveryWatch(f"127.0.0.1:{old.getsockname()[1]}", 1, 0.0, found.append)
         watch.start()
         try:
             wait_until(lambda: watch.dials and (hangs == "dial" or watch.sock), "a dial that hangs")
@@ -573,7 +577,7 @@
         found.append(news)
         answered.set()
 
-    prober = Prober(1, 1000.0, put)
+    prober = HealthChecker(1, 1000.0, put)
     real = prober.wanted.put_nowait
 
     def put_and_wait(item):
@@ -620,7 +624,7 @@
     """One thread; each endpoint answers something else that can't be read, and a fault of ours comes between."""
     endpoints = [Body(text.encode("latin-1")) for text in SPOILT_LOADS]
     good, found = Endpoint("s", "a"), []
-    prober = Prober(1, 1000.0, found.append, "/status/load")
+    prober = HealthChecker(1, 1000.0, found.append, "/status/load")
     try:
         for at, endpoint in enumerate(endpoints):
             prober.ask(at, *address_of(endpoint.address))
@@ -688,7 +692,7 @@
 def test_a_configuration_that_cannot_be_used_is_told_in_one_sentence(tmp_path, what):
     change, at = BAD[what]
     path = configuration(tmp_path, **{"discovery": "127.0.0.1:1", "members": [], **change})
-    with pytest.raises(platform_configuration.Fault) as found:
+    with pytest.raises(platform_configuration.ConfigurationError) as found:
         platform_configuration.pilot_facts(platform_configuration.read({"BALANCER_CONFIG": str(path)}), str(path))
     assert at in str(found.value) and str(path) in str(found.value) and "\n" not in str(found.value)
 
@@ -699,7 +703,7 @@
     path = configuration(tmp_path, "127.0.0.1:1", [], settings={**settings(), "lanes": lanes, "zones": zones})
     facts = platform_configuration.pilot_facts(platform_configuration.read({"BALANCER_CONFIG": str(path)}), str(path))
     assert facts.known.zones == set(zones) and facts.start.zones == zones
-    assert facts.classes == ["pay, final", "v.2"] and facts.start.classes[0].agreed_ms == 400.0005
+    assert facts.classes == ["pay, final", "v.2"] and facts.start.classes[0].latency_objective_ms == 400.0005
 
 
 def test_a_proxy_of_a_zone_whose_name_holds_a_comma_is_served(tmp_path):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -216,7 +216,7 @@
 )
 def test_service_is_credit_in_time_over_credit_asked(took, outcome, earned):
     fleet = small_day().fleet
-    late = [row.model_copy(update={"late_credit": 0.2}) for row in CLASSES]
+    late = [row.model_copy(update={"late_priority_weight": 0.2}) for row in CLASSES]
     fleet = fleet.model_copy(update={"classes": late})
     row = {"at": 0.0, "end": took, "class": "issue", "outcome": outcome, "tries": []}
     other = {"at": 0.0, "end": 1.0, "class": "lookup", "outcome": "ok", "tries": []}
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -13,8 +13,8 @@
 import pytest
 from fleet import MemoryPilot, order, pilot_record
 
-from quillstep.config.records import FilesRecord
-from quillstep.files.disk import STEPS, Disk, Refused, read_ack, safe_name
+from quillstep.config.controller import FileSettings
+from quillstep.files.disk import STEPS, Disk, UnusableFileError, read_ack, safe_name
 from quillstep.files.front import FileFront
 from quillstep.files.generation_files import Packer, contents_of, decode, manifest
 from quillstep.files.lane import Lane
@@ -139,7 +139,7 @@
 
 def test_a_second_pilot_on_one_root_is_refused(tmp_path):
     disk = Disk(str(tmp_path))
-    with pytest.raises(Refused, match="written by another pilot"):
+    with pytest.raises(UnusableFileError, match="written by another pilot"):
         Disk(str(tmp_path))
     disk.close()
     Disk(str(tmp_path)).close()
@@ -147,7 +147,7 @@
 
 def test_a_pilot_told_to_write_where_another_writes_ends_with_a_clear_line(tmp_path):
     disk = Disk(str(tmp_path / "root"))
-    record = pilot_record(files=FilesRecord(root=str(tmp_path / "root")))
+    record = pilot_record(files=FileSettings(root=str(tmp_path / "root")))
     path = tmp_path / "p.cue"
     path.write_bytes(msgspec.json.encode(record.model_dump()))
     command = [sys.executable, "-m", "quillstep.cli", "pilot", "--settings", str(path)]
@@ -179,7 +179,7 @@
 def test_paths_that_others_have_laid_are_refused(tmp_path, lay):
     pilot, disk = MemoryPilot(), Disk(str(tmp_path))
     lay(tmp_path)
-    with pytest.raises(Refused):
+    with pytest.raises(UnusableFileError):
         disk.swap("p", 1, *packed(pilot, 1, 1.0), set())
     disk.close()
 
@@ -187,7 +187,7 @@
 def test_a_root_that_everybody_may_write_is_refused(tmp_path):
     (tmp_path / "wide").mkdir()
     (tmp_path / "wide").chmod(0o777)
-    with pytest.raises(Refused, match="everybody"):
+    with pytest.raises(UnusableFileError, match="everybody"):
         Disk(str(tmp_path / "wide"))
 
 
@@ -196,11 +196,11 @@
     disk = Disk(str(tmp_path))
     (tmp_path / "p").mkdir()
     os.symlink("/etc/hostname", tmp_path / "p" / name)
-    with pytest.raises(Refused):
+    with pytest.raises(UnusableFileError):
         disk.read(name, "p")
     (tmp_path / "p" / name).unlink()
     (tmp_path / "p" / name).write_bytes(b"x" * 2000)
-    with pytest.raises(Refused):
+    with pytest.raises(UnusableFileError):
         disk.read(name, "p", most=1000)
     disk.close()
 
@@ -367,7 +367,9 @@
     """A file front on a core with a disk, its news taken in by hand."""
 
     def __init__(self, root, step=lambda name: None):
-        record = pilot_record(files=FilesRecord(root=str(root), poll_ms=5.0, silent_ms=60000.0, retry_ms=10.0))
+        record = pilot_record(
+            files=FileSettings(root=str(root), poll_interval_ms=5.0, idle_timeout_ms=60000.0, retry_backoff_ms=10.0)
+        )
         self.pilot = MemoryPilot(record=record)
         self.news, self.ready = [], threading.Condition()
         self.taps = []
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from quillstep.invariants import judge
-from quillstep.routing.ack_latency import LATE, LOST, ON_ITS_WAY, STALLS, Pace, UsualCost
+from quillstep.routing.ack_latency import LATE, LOST, ON_ITS_WAY, STALLS, AckLatency, LineCostEstimate
 from quillstep.routing.resources import LINE, OUT, terms_of
-from quillstep.routing.retry_policies import LOOSEST, Ways, allowed_way
+from quillstep.routing.retry_policies import LOOSEST, RetryPolicies, allowed_way
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.xds.resources import LEDS
 
@@ -16,7 +16,7 @@
 
 
 def pace(*answers, usual=None):
-    made, now = Pace(LATE_MS, STALL_MS, usual), 0.0
+    made, now = AckLatency(LATE_MS, STALL_MS, usual), 0.0
     for lines, took in answers:
         made.answered(lines, now, now + took)
         now += took
@@ -42,11 +42,11 @@
 
 
 def test_few_slow_proxies_do_not_move_what_is_usual():
-    usual = UsualCost()
+    usual = LineCostEstimate()
     for at in range(200):
         usual.add(5.0 if at % 10 == 0 else 0.04)
     assert usual.line_ms() == 0.04
-    assert UsualCost().line_ms() is None
+    assert LineCostEstimate().line_ms() is None
 
 
 @pytest.mark.parametrize(
@@ -220,7 +220,7 @@
 
 
 def test_a_tighter_way_is_in_force_when_it_is_acknowledged_and_the_last_exchange_is_over():
-    ways = Ways([UNSAFE], [1000.0])
+    ways = RetryPolicies([UNSAFE], [1000.0])
     ways.join(1, True, 0)
     ways.allowed = [2]
     ways.send(1, "a", {0: 2})
@@ -239,7 +239,7 @@
 
 @pytest.mark.parametrize("steps", [["refuse"], ["rejoin"], ["leave"], ["unknown"]])
 def test_what_is_not_known_to_be_tight_counts_as_loose(steps):
-    ways = Ways([UNSAFE], [1000.0])
+    ways = RetryPolicies([UNSAFE], [1000.0])
     ways.join(1, "unknown" not in steps, 0)
     ways.send(1, "a", {0: 2})
     if "refuse" in steps:
@@ -253,7 +253,7 @@
 
 
 def test_a_looser_way_counts_from_its_sending_on():
-    ways = Ways([KEYED], [1000.0])
+    ways = RetryPolicies([KEYED], [1000.0])
     ways.join(1, True, 0)
     ways.send(1, "a", {0: LOOSEST})
     assert ways.loosest(1, 0, 0.0) == LOOSEST
@@ -265,7 +265,7 @@
 @given(st.lists(st.sampled_from(["loosen", "tighten", "ack", "nack", "apply", "begin", "rejoin", "wait"]), max_size=30))
 def test_no_exchange_goes_by_a_way_that_is_not_counted(steps):
     """A proxy on its own side of the stream: whatever it goes by, the pilot has counted."""
-    ways, now, nonce = Ways([UNSAFE], [100.0]), 0.0, 0
+    ways, now, nonce = RetryPolicies([UNSAFE], [100.0]), 0.0, 0
     ways.join(1, True, 0)
     holds, waits, words, running = 0, [], [], []
     for step in steps:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,16 +13,17 @@
 import pytest
 from live import Client, Discovery, Endpoint, Proxy, configuration, frame, settings, sums, wait_until
 
-from quillstep.controller.event_queue import Lanes
+from quillstep.controller.event_queue import EventQueue
+from quillstep.planner.messages import DownstreamStats, UpstreamStats
 from quillstep.platform import configuration as platform_configuration
-from quillstep.platform.discovery_watch import LINE_MOST, Lines, Watch
-from quillstep.platform.endpoint_list import Unreadable, read_list
+from quillstep.platform.discovery_watch import LINE_MOST, DiscoveryWatch, Lines
+from quillstep.platform.endpoint_list import MalformedListError, read_list
 from quillstep.platform.protocol import validation
-from quillstep.platform.protocol.codec import FrameCodec
-from quillstep.platform.protocol.connections import FrameLimits, add_arrivals, add_sums
-from quillstep.platform.protocol.updates import FrameOrders
-from quillstep.platform.service import LivePilot, limits_of
-from quillstep.simulator.decode import fields, start_facts
+from quillstep.platform.protocol.codec import MessageCodec
+from quillstep.platform.protocol.connections import ConnectionLimits, add_arrivals, add_sums
+from quillstep.platform.protocol.updates import ProtocolOutput
+from quillstep.platform.service import PlatformController, limits_of
+from quillstep.simulator.decode import fields, planner_config_of_start
 
 KNOWN = validation.Known(4, frozenset("ab"), {"lookup": 0, "issue": 1}, 1200.0)
 
@@ -31,7 +32,7 @@
 
 @pytest.mark.parametrize("size", [1, 3, 7, 1000])
 def test_frames_come_whole_however_their_bytes_are_cut(size):
-    codec = FrameCodec(4096)
+    codec = MessageCodec(4096)
     data = b"".join(frame({"t": "hb", "n": number, "text": "ü" * number}) for number in range(20))
     found = [event for at in range(0, len(data), size) for event in codec.receive(data[at : at + size])]
     assert [what["n"] for _, what in found] == list(range(20)) and not codec.buffer
@@ -47,7 +48,7 @@
     ],
 )  # fmt: skip
 def test_what_cannot_be_read_breaks_the_connection_after_what_could(data, started):
-    codec = FrameCodec(4096)
+    codec = MessageCodec(4096)
     codec.started = started
     events = codec.receive(frame({"t": "hb"}) + data) if started else codec.receive(data)
     assert [kind for kind, _ in events] == (["message", "broken"] if started else ["broken"])
@@ -55,7 +56,7 @@
 
 
 def test_a_length_is_judged_before_its_body_is_held():
-    codec = FrameCodec(4096)
+    codec = MessageCodec(4096)
     codec.started = True
     codec.receive((2**20).to_bytes(4, "big"))
     assert codec.receive(b"x")[0][0] == "broken" and not codec.buffer
@@ -83,7 +84,7 @@
 def test_a_good_message_is_read_and_one_without_a_field_is_not(kind):
     READS[kind](GOOD[kind], KNOWN)
     for name in GOOD[kind].keys() - {"util"}:
-        with pytest.raises(validation.Spoilt, match=name):
+        with pytest.raises(validation.InvalidMessageError, match=name):
             READS[kind]({key: value for key, value in GOOD[kind].items() if key != name}, KNOWN)
 
 
@@ -102,7 +103,7 @@
     ],
 )  # fmt: skip
 def test_a_field_out_of_range_or_of_another_type_spoils_its_message(kind, name, value):
-    with pytest.raises(validation.Spoilt):
+    with pytest.raises(validation.InvalidMessageError):
         READS[kind]({**GOOD[kind], name: value}, KNOWN)
 
 
@@ -114,15 +115,15 @@
 
 
 def test_reports_add_up_while_the_deciding_thread_is_late_and_joins_are_kept():
-    lanes = Lanes(2, 1)
+    lanes = EventQueue(2, 1)
     rows = [
-        ("s", 4, 1, 10.0, 1000.0, {"util": 0.2}), ("s", 6, 6, 0.0, 1000.0, {}),
-        ("s", 2, 0, 40.0, 1000.0, {"util": 0.9}),
+        UpstreamStats("s", 4, 1, 10.0, 1000.0, {"util": 0.2}), UpstreamStats("s", 6, 6, 0.0, 1000.0, {}),
+        UpstreamStats("s", 2, 0, 40.0, 1000.0, {"util": 0.9}),
     ]  # fmt: skip
     for row in [rows[0], rows[0], *rows]:
         lanes.bring((0.0, ("sums", row)), ("a", "s"), add_sums)
     for arrived in (3, 4):
-        lanes.bring((0.0, ("arrivals", (0, 1, arrived, 1, 500.0))), (0, 1), add_arrivals)
+        lanes.bring((0.0, ("arrivals", DownstreamStats(0, 1, arrived, 1, 500.0))), (0, 1), add_arrivals)
     lanes.bring((0.0, ("join", 1)))
     found = [news for _, news in lanes.take(10)]
     assert found[:3] == [("sums", rows[0]), ("sums", rows[0]), ("join", 1)]
@@ -143,7 +144,7 @@
 
     def round(self, orders):
         cost = dict.fromkeys(self.users, 0)
-        bound = {proxy for kind, proxy, *_ in orders if kind == "bind"}
+        bound = {proxy for kind, proxy, *_ in orders if kind == "assign_table"}
         for kind, *what in orders:
             getattr(self, kind)(cost, bound, *what)
         return {proxy: lines + 1 for proxy, lines in cost.items() if lines}  # and its mark
@@ -151,20 +152,20 @@
     def using(self, table):
         return [proxy for proxy, classes in self.users.items() if table in classes.values()]
 
-    def line(self, cost, bound, table, endpoint, weight):
+    def set_weight(self, cost, bound, table, endpoint, weight):
         lines = self.tables.setdefault(table, {})
         lines[endpoint] = weight
         for proxy in self.using(table):
             if proxy not in bound:
                 cost[proxy] += 1
 
-    def level(self, cost, bound, table, places, allowed, tries):
+    def set_admission(self, cost, bound, table, places, allowed, tries):
         self.levels.setdefault(table, {}).update({place: (allowed, tries) for place in places})
         for proxy in self.using(table):
             if proxy not in bound:
                 cost[proxy] += len(places)
 
-    def withdraw(self, cost, bound, endpoint, out):
+    def set_ejected(self, cost, bound, endpoint, out):
         (self.out.add if out else self.out.discard)(endpoint)
         for proxy, classes in self.users.items():
             # Who is bound in this round is told with the table.  What was shut out before a binding is let back by
@@ -175,7 +176,7 @@
                 cost[proxy] += 1
                 (told.add if out else told.discard)(endpoint)
 
-    def bind(self, cost, bound, proxy, table, places):
+    def assign_table(self, cost, bound, proxy, table, places):
         self.users[proxy] = dict.fromkeys(places, table)
         lines = self.tables[table]
         cost[proxy] += 1 + len(lines) + len(self.levels.get(table, {})) + len(self.out & lines.keys())
@@ -186,7 +187,7 @@
 def test_orders_come_to_the_same_messages_lines_and_tables_by_both_ways(seed):
     draw = random.Random(seed)
     names, places = [f"s{at}" for at in range(8)], range(2)
-    writer, meaning, held = FrameOrders(["lookup", "issue"], None, None, None), Meaning(places), {}
+    writer, meaning, held = ProtocolOutput(["lookup", "issue"], None, None, None), Meaning(places), {}
     for proxy in range(5):
         writer.join(proxy)
         meaning.users[proxy] = {}
@@ -195,27 +196,27 @@
         held[proxy].tables, held[proxy].levels, held[proxy].out = {"lookup": {}, "issue": {}}, {}, set()
         held[proxy].say = lambda *_: None
     for serial in range(40):
-        orders = [("line", 0, draw.choice(names), draw.randint(1, 20)) for _ in range(draw.randint(0, 3))]
+        orders = [("set_weight", 0, draw.choice(names), draw.randint(1, 20)) for _ in range(draw.randint(0, 3))]
         orders = list({order[2]: order for order in orders if order[2] not in meaning.out}.values())
         if draw.random() < 0.3:
-            orders.append(("level", 0, [draw.choice(places)], draw.randint(1, 9) / 2.0, draw.randint(0, 2)))
+            orders.append(("set_admission", 0, [draw.choice(places)], draw.randint(1, 9) / 2.0, draw.randint(0, 2)))
         toggled = draw.choice(names)
         if draw.random() < 0.4:
-            orders.append(("withdraw", toggled, toggled not in meaning.out))
+            orders.append(("set_ejected", toggled, toggled not in meaning.out))
         unbound = [proxy for proxy, classes in meaning.users.items() if not classes]
         if unbound and draw.random() < 0.3:
-            orders.append(("bind", draw.choice(unbound), 0, list(places)))
-        if any(order[0] == "bind" for order in orders) and 0 not in meaning.tables:
-            orders.insert(0, ("line", 0, names[0], 1))
+            orders.append(("assign_table", draw.choice(unbound), 0, list(places)))
+        if any(order[0] == "assign_table" for order in orders) and 0 not in meaning.tables:
+            orders.insert(0, ("set_weight", 0, names[0], 1))
         expected = meaning.round(orders)
         for kind, *what in orders:
             getattr(writer, kind)(*what)
         if orders:
-            writer.receipt(serial)
+            writer.request_ack(serial)
         found = {}
         for proxy, message in writer.flush():
             before = held[proxy].lines
-            for _, part in FrameCodec(2**20).receive(message):
+            for _, part in MessageCodec(2**20).receive(message):
                 held[proxy].apply(part)
             found[proxy] = held[proxy].lines - before
         assert found == expected, orders
@@ -229,32 +230,32 @@
 
 
 def test_a_proxy_that_nothing_concerns_gets_nothing_and_its_marks_are_its_own():
-    writer = FrameOrders(["lookup", "issue"], None, None, None)
+    writer = ProtocolOutput(["lookup", "issue"], None, None, None)
     for proxy in (0, 1):
         writer.join(proxy)
-    writer.line(0, "s", 10)
-    writer.bind(0, 0, [0, 1])
-    writer.receipt(7)
+    writer.set_weight(0, "s", 10)
+    writer.assign_table(0, 0, [0, 1])
+    writer.request_ack(7)
     assert [proxy for proxy, _ in writer.flush()] == [0] and writer.flush() == []
     assert not writer.answered(1, 7) and writer.answered(0, 7) and not writer.answered(0, 7)
-    writer.level(0, [0], 3.5, 1)
+    writer.set_admission(0, [0], 3.5, 1)
     ((_, message),) = writer.flush()
-    ((_, part),) = FrameCodec(4096).receive(message)
+    ((_, part),) = MessageCodec(4096).receive(message)
     assert part == {"t": "assign", "routes": ["lookup"], "admit": 3.5, "policy": 1}
 
 
 @pytest.mark.parametrize("classes", [63, 64, 130])
 def test_more_classes_than_a_message_has_parts_go_in_messages_of_their_own(classes):
     names = [f"c{at}" for at in range(classes)]
-    writer = FrameOrders(names, None, None, None)
+    writer = ProtocolOutput(names, None, None, None)
     writer.join(0)
-    writer.line(0, "s", 10)
-    writer.bind(0, 0, range(classes))
+    writer.set_weight(0, "s", 10)
+    writer.assign_table(0, 0, range(classes))
     for place in range(classes):
-        writer.level(0, [place], 1.0 + place, 1)
-    writer.receipt(7)
+        writer.set_admission(0, [place], 1.0 + place, 1)
+    writer.request_ack(7)
     ((_, message),) = writer.flush()
-    parts = [part for _, part in FrameCodec(2**20).receive(message)]
+    parts = [part for _, part in MessageCodec(2**20).receive(message)]
     runs = "".join("+" if part.get("continued") else "." for part in parts).split(".")
     assert max(map(len, runs)) < 64 and runs[-1] == "" and len(runs) - 1 == -(-len(parts) // 64)
     assert {name: part["admit"] for part in parts if "admit" in part for name in part["routes"]} == {
@@ -290,26 +291,26 @@
     "told", [[], {"revision": "4", "complete": True, "members": []}, {"revision": 1, "complete": True}]
 )
 def test_what_is_no_list_is_not_read(told):
-    with pytest.raises(Unreadable):
+    with pytest.raises(MalformedListError):
         read_list(told, 0.0)
 
 
 def test_changes_that_go_back_are_dropped_and_a_line_without_end_is_not_held():
     found = []
-    watch = Watch("127.0.0.1:1", 5, 0.0, found.append)
+    watch = DiscoveryWatch("127.0.0.1:1", 5, 0.0, found.append)
     for revision, complete in ((4, False), (6, False), (2, True)):
         watch.take(json.dumps({"revision": revision, "complete": complete, "members": [member()]}).encode())
     assert [news.revision for _, news in found] == [6, 2] and watch.revision == 2
     lines = Lines()
     assert lines.feed(b"a\nb") == [b"a"] and lines.feed(b"c\n") == [b"bc"]
-    with pytest.raises(Unreadable):
+    with pytest.raises(MalformedListError):
         lines.feed(b"x" * (LINE_MOST + 1))
 
 
 def test_a_watch_that_ends_falls_silent_or_moves_is_dialled_anew_from_where_it_was(monkeypatch):
     monkeypatch.setattr("quillstep.platform.discovery_watch.SILENT_MS", 1200.0)
     first, second, found = Discovery(), Discovery(), []
-    watch = Watch(first.address, 1, 0.0, found.append)
+    watch = DiscoveryWatch(first.address, 1, 0.0, found.append)
     watch.start()
     try:
         wait_until(lambda: first.asked, "a first dial")
@@ -338,8 +339,12 @@
     line = "start i=0 randomSeed=1 " + " ".join(f"{key}={value}" for key, value in flat.items() if " " not in value)
     path = configuration(tmp_path, "127.0.0.1:1", [])
     facts = platform_configuration.pilot_facts(platform_configuration.read({"BALANCER_CONFIG": str(path)}), str(path))
-    assert (facts.start, facts.classes) == start_facts(fields(line)[1])
-    assert facts.start.channel_rate == 3000.0 and facts.start.may_probe and facts.start.load_by_probe
+    assert (facts.start, facts.classes) == planner_config_of_start(fields(line)[1])
+    assert (
+        facts.start.channel_lines_per_s == 3000.0
+        and facts.start.health_checks_allowed
+        and facts.start.load_from_health_checks
+    )
     assert facts.known == KNOWN and facts.probe_path == "/status/load"
 
 
@@ -367,9 +372,9 @@
 def test_a_file_that_is_no_configuration_is_named(tmp_path, text):
     path = tmp_path / "config.json"
     path.write_bytes(text.encode("latin-1"))
-    with pytest.raises(platform_configuration.Fault, match=str(path)):
+    with pytest.raises(platform_configuration.ConfigurationError, match=str(path)):
         platform_configuration.read({"BALANCER_CONFIG": str(path)})
-    with pytest.raises(platform_configuration.Fault, match="BALANCER_CONFIG"):
+    with pytest.raises(platform_configuration.ConfigurationError, match="BALANCER_CONFIG"):
         platform_configuration.read({})
 
 
@@ -496,18 +501,18 @@
     discovery = Discovery(members)
     path = configuration(tmp_path, discovery.address, members)
     told = platform_configuration.read({"BALANCER_CONFIG": str(path)})
-    pilot = LivePilot(told, platform_configuration.pilot_facts(told, str(path)))
+    pilot = PlatformController(told, platform_configuration.pilot_facts(told, str(path)))
     planner, believed = pilot.rounds.planner, {}
-    real = planner.round
+    real = planner.run_interval
 
     def counted(incoming, orders):
-        for name, tries, failed, *_ in incoming.sums:
+        for name, tries, failed, *_ in incoming.upstream_stats:
             row = believed.setdefault(name, [0, 0])
             row[0] += tries
             row[1] += failed
         real(incoming, orders)
 
-    planner.round = counted
+    planner.run_interval = counted
     thread = threading.Thread(target=pilot.run, args=(None,), daemon=True)
     thread.start()
     pilot.address = pilot.front.poller.address
@@ -547,6 +552,6 @@
     told = platform_configuration.read({"BALANCER_CONFIG": str(path)})
     facts = platform_configuration.pilot_facts(told, str(path))
     limits = limits_of(told, facts)
-    assert isinstance(limits, FrameLimits) and limits.connections_most < 256
+    assert isinstance(limits, ConnectionLimits) and limits.max_connections < 256
     # Who has not joined gives way to who comes, so that room is left for all: see test_crossings.py.
-    assert limits.connections_most >= limits.strangers_most >= facts.known.proxies
+    assert limits.max_connections >= limits.max_unregistered >= facts.known.proxies
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -10,11 +10,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from test_tables import settled
 
-from quillstep.config.records import ChannelRecord, LimitsRecord
+from quillstep.config.controller import LimitSettings
+from quillstep.config.fleet import ChannelSettings
 from quillstep.model_checking import fuzz, message_limit_model, mutants, rollback_model, stream_model
 from quillstep.model_checking.bounded_model import search
 from quillstep.model_checking.explore import explore
-from quillstep.routing.message_quota import KEPT_FREE, Ration
+from quillstep.routing.message_quota import KEPT_FREE, MessageQuota
 from quillstep.routing.resources import LINE, OUT, POOL
 from quillstep.tracing.spans import FileExporter, Spans, read
 from quillstep.xds import resources
@@ -60,7 +61,7 @@
     st.sampled_from([(5, 1000.0), (20, 10000.0)]),
 )
 def test_no_more_messages_leave_than_the_limit_whatever_is_asked(steps, limit):
-    ration, now, left = Ration(*limit), 0.0, deque()
+    ration, now, left = MessageQuota(*limit), 0.0, deque()
     for number, (wait, urgent) in enumerate(steps):
         now += wait
         room = ration.room(number, now)
@@ -76,7 +77,7 @@
 
 
 def test_a_proxy_gets_no_message_beyond_its_limit_and_drains_have_room_left():
-    record = pilot_record(fleet=fleet(channel=ChannelRecord(messages_most=6, messages_over_ms=4000.0)))
+    record = pilot_record(fleet=fleet(channel=ChannelSettings(max_messages=6, message_window_ms=4000.0)))
     pilot = MemoryPilot(record=record)
     proxy = pilot.join("p0")
     pilot.run(6000)
@@ -102,7 +103,7 @@
 
     @initialize()
     def start(self):
-        limits = LimitsRecord(in_flight_most=4)
+        limits = LimitSettings(max_in_flight=4)
         self.pilots = [MemoryPilot(record=pilot_record(seed=at, limits=limits)) for at in (1, 2)]
         self.held, self.refuses, self.at = {}, {}, {}
         self.messages = {}
