--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 	$(PYTHON) -m quillstep.cli --log-level warning day examples/days/bad-day.cue --record .day
 
 test: $(STAMP)
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/mypy
 	$(PYTHON) -m pytest -q
--- a/quillstep/planner/planner.py
+++ b/quillstep/planner/planner.py
@@ -189,16 +189,16 @@
                     self.urgent |= record.ready
                     record.ready, record.gone_ms = False, now
         for endpoint, zone, state, listed, started_ms in update.entries:
-            record = self.endpoints.get(endpoint)
-            if record is None or started_ms > record.started_ms:
-                sent, withdrawn = (record.sent, record.withdrawn) if record else ({}, False)
-                record = Endpoint(zone, bool(sent), listed, started_ms, sent=sent, withdrawn=withdrawn)
-                self.endpoints[endpoint] = record
+            known = self.endpoints.get(endpoint)
+            if known is None or started_ms > known.started_ms:
+                sent, withdrawn = (known.sent, known.withdrawn) if known else ({}, False)
+                known = Endpoint(zone, bool(sent), listed, started_ms, sent=sent, withdrawn=withdrawn)
+                self.endpoints[endpoint] = known
                 self.urgent |= bool(sent) and not withdrawn
             ready = state == "in_service"
-            self.urgent |= record.ready and not ready
-            record.ready, record.listed = ready, listed
-            record.gone_ms = now if state == "terminated" else None
+            self.urgent |= known.ready and not ready
+            known.ready, known.listed = ready, listed
+            known.gone_ms = now if state == "terminated" else None
 
     def take_stream(self, stream: ProxyStreamEvent, now: float) -> None:
         if self.proxies.pop(stream.proxy, None):
--- a/quillstep/simulator/host.py
+++ b/quillstep/simulator/host.py
@@ -38,7 +38,7 @@
         self.instances: dict[str, Instance] = {}
         self.banks: dict[int, list[EndpointEntry]] = {}
         self.now_ms = 0.0
-        self.filling: list[EndpointEntry] | None = None
+        self.filling: list[EndpointEntry] = []
         self.entries_due = 0
 
     def serve(self, source: Iterable[bytes], sink: TextIO) -> None:
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -11,7 +11,7 @@
 
 import msgspec
 from envoy.service.discovery.v3 import discovery_pb2
-from fleet import MemoryPilot, order, pilot_record
+from memory_fleet import MemoryPilot, order, pilot_record
 
 from quillstep.config.controller import ControllerSettings, RolloutGateSettings
 from quillstep.config.cue import ConfigError
--- /dev/null
+++ b/tests/file_generations.py
@@ -0,0 +1,19 @@
+"""Generations of files for tests."""
+
+from quillstep.files.generation_files import Packer, manifest
+from quillstep.routing.resources import content
+
+
+def contents(weight=5.0, lines=12):
+    """A small whole set."""
+    rows = {("pool", 0): (), ("share", 0): (), ("routes",): ((0, 0, None, 1), (1, 0, 3.0, 0)), ("entry",): ()}
+    rows.update({("line", 0, at): ("127.0.0.1", 9000 + at, float(at)) for at in range(1, lines)})
+    rows["line", 0, lines] = ("127.0.0.1", 9000 + lines, weight)
+    return {key: content(key, what) for key, what in rows.items()}
+
+
+def packed(pilot, number, weight, form="protobuf"):
+    packer = Packer(pilot.encoder, form, 4)
+    made = contents(weight)
+    files = packer.files(made)
+    return files, manifest("e", number, number, 0.0, files)
--- a/tests/test_files.py
+++ b/tests/files/test_files.py
@@ -11,39 +11,25 @@
 
 import msgspec
 import pytest
-from fleet import MemoryPilot, order, pilot_record
+from file_generations import contents, packed
+from memory_fleet import MemoryPilot, order, pilot_record
 
 from quillstep.config.controller import FileSettings
 from quillstep.files.disk import STEPS, Disk, UnusableFileError, read_ack, safe_name
 from quillstep.files.front import FileFront
-from quillstep.files.generation_files import Packer, contents_of, decode, manifest
+from quillstep.files.generation_files import contents_of, decode
 from quillstep.files.lane import Lane
-from quillstep.routing.resources import LINE, OUT, POOL, ROUTES, content
+from quillstep.routing.resources import LINE, OUT, POOL, ROUTES
 from quillstep.testbed.file_subscriber import read_generation
 
 WAIT_S = 20.0
 
 
-def contents(weight=5.0, lines=12):
-    """A small whole set."""
-    rows = {("pool", 0): (), ("share", 0): (), ("routes",): ((0, 0, None, 1), (1, 0, 3.0, 0)), ("entry",): ()}
-    rows.update({("line", 0, at): ("127.0.0.1", 9000 + at, float(at)) for at in range(1, lines)})
-    rows["line", 0, lines] = ("127.0.0.1", 9000 + lines, weight)
-    return {key: content(key, what) for key, what in rows.items()}
-
-
-def packed(pilot, number, weight, form="protobuf"):
-    packer = Packer(pilot.encoder, form, 4)
-    made = contents(weight)
-    files = packer.files(made)
-    return files, manifest("e", number, number, 0.0, files)
-
-
 WRITER = """
 import os, signal, sys
 sys.path.insert(0, "tests")
-from fleet import MemoryPilot
-from test_files import packed
+from memory_fleet import MemoryPilot
+from file_generations import packed
 from quillstep.files.disk import Disk
 
 def step(name):
--- a/tests/test_reports.py
+++ b/tests/load_reports/test_load_reports.py
@@ -12,9 +12,9 @@
 import pytest
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
-from fleet import MemoryPilot, fleet, pilot_record, small_day
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from memory_fleet import MemoryPilot, fleet, pilot_record, small_day
 
 from quillstep.bench.load_reports import measure
 from quillstep.bench.sampling import sampled
--- a/tests/fleet.py
+++ b/tests/memory_fleet.py
@@ -141,6 +141,14 @@
         return self.core.channel.waiting
 
 
+def settled(proxies=1, **limits):
+    """A pilot whose proxies hold what they should."""
+    pilot = MemoryPilot(**limits)
+    for at in range(proxies):
+        pilot.join(f"p{at}", "ab"[at % 2])
+    return pilot.run(3000)
+
+
 def order(pilot, write):
     """One order by hand, past the module, sent at once."""
     tables = pilot.core.tables
--- a/tests/test_proof.py
+++ b/tests/model_checking/test_model_checking.py
@@ -4,11 +4,10 @@
 
 import pytest
 from envoy.service.discovery.v3 import discovery_pb2
-from fleet import MemoryPilot, fleet, order, pilot_record
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from test_tables import settled
+from memory_fleet import MemoryPilot, fleet, order, pilot_record, settled
 
 from quillstep.config.controller import LimitSettings
 from quillstep.config.fleet import ChannelSettings
--- a/tests/test_rules.py
+++ b/tests/planner/test_planner.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from helpers import ChannelModel, PlannerHarness, class_facts, entry, facts
+from planner_harness import ChannelModel, PlannerHarness, class_facts, entry, facts
 
 from quillstep.planner.messages import EndpointListUpdate
 
--- a/tests/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -9,9 +9,9 @@
 import threading
 import time
 
-import live
+import platform_peers as live
 import pytest
-from live import Client, Discovery, Endpoint, Proxy, configuration, frame, settings, sums, wait_until
+from platform_peers import Client, Discovery, Endpoint, Proxy, configuration, frame, settings, sums, wait_until
 
 from quillstep.controller.event_queue import EventQueue
 from quillstep.planner.messages import DownstreamStats, UpstreamStats
--- a/tests/test_crossings.py
+++ b/tests/platform/test_races.py
@@ -15,9 +15,20 @@
 import time
 
 import h11
-import live
+import platform_peers as live
 import pytest
-from live import Client, Discovery, Endpoint, Listening, Process, Proxy, configuration, frame, settings, wait_until
+from platform_peers import (
+    Client,
+    Discovery,
+    Endpoint,
+    Listening,
+    Process,
+    Proxy,
+    configuration,
+    frame,
+    settings,
+    wait_until,
+)
 
 from quillstep.controller.health_checker import HealthChecker, check, load_of
 from quillstep.net.http import ask, get, next_event
--- a/tests/test_capture.py
+++ b/tests/recording/test_recording.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from fleet import small_day
+from memory_fleet import small_day
 
 from quillstep.recording import CorruptBlockError, Header, Incarnation, RecordingWriter, lives, read_life
 from quillstep.recording.format import (
--- a/tests/test_whatif.py
+++ b/tests/replay/test_whatif.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from fleet import CLASSES, fleet, pilot_record, small_day
+from memory_fleet import CLASSES, fleet, pilot_record, small_day
 
 from quillstep.config.cue import ConfigError
 from quillstep.config.loading import changed, parse_changes
--- a/tests/test_late.py
+++ b/tests/routing/test_ack_latency.py
@@ -1,9 +1,9 @@
 """Orders that are late, stall their proxy, are lost; old versions in the counts; ways of trying again in force."""
 
 import pytest
-from fleet import MemoryPilot, order, small_day
 from hypothesis import given
 from hypothesis import strategies as st
+from memory_fleet import MemoryPilot, order, small_day
 
 from quillstep.invariants import judge
 from quillstep.routing.ack_latency import LATE, LOST, ON_ITS_WAY, STALLS, AckLatency, LineCostEstimate
--- a/tests/test_tables.py
+++ b/tests/routing/test_tables.py
@@ -1,10 +1,10 @@
 """What counts as held, what is sent again, and in which sequence; without sockets."""
 
 import pytest
-from fleet import MemoryPilot, order, pilot_record
-from fleet import fleet as fleet_record
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from memory_fleet import MemoryPilot, order, pilot_record, settled
+from memory_fleet import fleet as fleet_record
 
 from quillstep.config.fleet import ChannelSettings
 from quillstep.routing import Tables
@@ -15,13 +15,6 @@
 OUT_3 = "xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/withdrawn/3"
 
 
-def settled(proxies=1, **limits):
-    pilot = MemoryPilot(**limits)
-    for at in range(proxies):
-        pilot.join(f"p{at}", "ab"[at % 2])
-    return pilot.run(3000)
-
-
 def test_a_joining_proxy_comes_to_hold_all_lines_and_routes_last():
     pilot = settled()
     proxy = pilot.proxies["p0"]
--- a/tests/test_store.py
+++ b/tests/store/test_store.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from fleet import MemoryPilot, pilot_record, small_day
 from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
+from memory_fleet import MemoryPilot, pilot_record, small_day
 
 from quillstep.bench import crash
 from quillstep.cli.main import cli
--- a/tests/test_days.py
+++ b/tests/testbed/test_scenarios.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from fleet import CLASSES, TIMES, small_day
+from memory_fleet import CLASSES, TIMES, small_day
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
 from quillstep.controller.health_checker import load_of
--- a/tests/test_lineage.py
+++ b/tests/tracing/test_tracing.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from fleet import fleet, small_day
+from memory_fleet import fleet, small_day
 
 from quillstep.cli.main import cli
 from quillstep.invariants import Evidence, judge
--- a/tests/test_streams.py
+++ b/tests/xds/test_streams.py
@@ -11,8 +11,8 @@
 from envoy.config.route.v3 import route_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
-from fleet import small_day
 from hyperframe.frame import ContinuationFrame, DataFrame, HeadersFrame, PingFrame, SettingsFrame
+from memory_fleet import small_day
 
 from quillstep.testbed.scenarios.plan import plan
 from quillstep.testbed.scenarios.runner import Arm
