--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -44,8 +44,8 @@
         what = "reports_cut" if span % 2 else "reports_heavy"
         base["troubles"].append({"at_s": SPAN_S * span, "for_s": SPAN_S, "what": what, "count": proxies})
     lines = max(3900.0, LINES_A_PROXY * proxies)
-    base["fleet"]["channel"].update(lines_per_s=lines, max_queued_lines=lines * 1.8)
-    base["limits"].update(max_connections=max(2048, 2 * proxies), max_queued_events=max(4096, 4 * proxies))
+    base["fleet"]["channel"].update(lines_per_s=lines, lines_waiting_most=lines * 1.8)
+    base["limits"].update(connections_most=max(2048, 2 * proxies), news_most=max(4096, 4 * proxies))
     base["proxy_processes"] = max(1, min(4, proxies // 32))
     base["warm_up_s"] = 6.0 + proxies / 60.0
     base["reports"] = {**WAYS[way], **more}
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -128,7 +128,7 @@
     """Slow endpoints that a pilot has learnt, its crash, and drains while it comes back."""
     base = day_of(32, 150.0, KILL_S + DOWN_S + AFTER_S + 4.0, 1).model_dump()
     for row in base["fleet"]["classes"]:
-        row.update(latency_objective_ms=400.0, deadline_ms=1500.0)
+        row.update(agreed_ms=400.0, cut_off_ms=1500.0)
     base["endpoints"] = [{**base["endpoints"][0], "each_zone": 4}]
     count = 16 // SLOW_PART
     last = KILL_S + DOWN_S + AFTER_S + 4.0
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -45,7 +45,7 @@
     """Proxies that apply a line in 3 ms and move between two pilots, each of which learns slots of its own."""
     base = day_of(proxies, 3.0 * proxies, 16.0, 2).model_dump()
     for row in base["fleet"]["classes"]:
-        row.update(latency_objective_ms=400.0, deadline_ms=1500.0)
+        row.update(agreed_ms=400.0, cut_off_ms=1500.0)
     base["limits"]["spreads"] = splits_updates
     base["fleet"]["proxies"]["line_ms"] = SLOW_LINE_MS
     base["warm_up_s"] += 4.0
--- a/quillstep/planner/messages.py
+++ b/quillstep/planner/messages.py
@@ -1,5 +1,6 @@
 """What a caller passes to the planner, and what the planner calls back.
 
+Statistics come in by the thousand a control interval: slotted dataclasses are read as fast as local variables.
 Times are milliseconds with fractions, and ids are as the caller received them.  The caller makes one `Planner`
 (see `quillstep.planner.planner`) at each start and calls its `run_interval` once with all that was observed since the
 last call.
@@ -80,7 +81,8 @@
     is_fresh: bool = False  # it holds nothing from earlier updates
 
 
-class UpstreamStats(NamedTuple):
+@dataclass(slots=True)
+class UpstreamStats:
     """What proxies met at one endpoint."""
 
     endpoint: EndpointId
@@ -91,7 +93,8 @@
     load: dict[str, float]  # the load report by metric
 
 
-class DownstreamStats(NamedTuple):
+@dataclass(slots=True)
+class DownstreamStats:
     """What reached one proxy of one class."""
 
     class_index: int
--- a/quillstep/platform/protocol/connections.py
+++ b/quillstep/platform/protocol/connections.py
@@ -108,7 +108,7 @@
         row = validation.usage(fields, self.known)
         if self.proxies.get(peer, row.proxy) != row.proxy:
             raise InvalidMessageError("it is of another proxy")
-        self.bring(("arrivals", row), row[:2], add_arrivals)
+        self.bring(("arrivals", row), (row.class_index, row.proxy), add_arrivals)
 
     def receipt(self, peer: Connection, fields: dict[str, Any]) -> None:
         proxy, serial = validation.receipt(fields, self.known)
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -38,7 +38,12 @@
 
 def plain(value):
     """A value as JSON has it, so that a typed one equals the bare one of before."""
-    return json.loads(json.dumps(value, default=str))
+    return json.loads(json.dumps(value, default=bare))
+
+
+def bare(value):
+    """A record as the list of its values."""
+    return list(dataclasses.astuple(value)) if dataclasses.is_dataclass(value) else str(value)
 
 
 # the simulator's wire
--- a/tests/load_reports/test_load_reports.py
+++ b/tests/load_reports/test_load_reports.py
@@ -183,7 +183,7 @@
         made.take(found, until)
         _, arrivals = made.hand_over(until)
     honest = 10.0 * (proxies - 1)
-    assert (sum(row[2] for row in arrivals) <= honest * 4 / 3 + 1.0) is kept
+    assert (sum(row.requests for row in arrivals) <= honest * 4 / 3 + 1.0) is kept
 
 
 # counted once, aged, in sequence or not
@@ -591,7 +591,7 @@
 
 def test_sampled_sums_are_unbiased_and_their_error_is_as_stated():
     """Over all turns of a cycle the expected sum is the true one; one turn's error is far below 15 in 100."""
-    found = sampled(proxies=600, endpoints=12, rows_per_s=30000.0, seconds=130.0, seed=3)
+    found = sampled(proxies=600, endpoints=12, work_per_s=30000.0, seconds=130.0, seed=3)
     assert found["groups"] > 1
     assert abs(found["bias"]) < 0.02 and found["error_rms"] < 0.15
 
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -110,8 +110,9 @@
 def test_tries_that_all_failed_need_no_mean_and_more_may_be_unanswered_than_arrived():
     told = {**GOOD["upstream_stats"], "fail": 9}
     del told["mean"]
-    assert validation.sums(told, KNOWN)[1][:4] == ("s", 9, 9, 0.0)
-    assert validation.usage({**GOOD["client_stats"], "count": 1, "fail": 4}, KNOWN)[2:4] == (1, 4)
+    assert validation.sums(told, KNOWN)[1] == UpstreamStats("s", 9, 9, 0.0, 1000.0, {"util": 0.6})
+    usage = validation.usage({**GOOD["client_stats"], "count": 1, "fail": 4}, KNOWN)
+    assert (usage.requests, usage.unanswered) == (1, 4)
 
 
 def test_reports_add_up_while_the_deciding_thread_is_late_and_joins_are_kept():
@@ -127,8 +128,8 @@
     lanes.bring((0.0, ("join", 1)))
     found = [news for _, news in lanes.take(10)]
     assert found[:3] == [("sums", rows[0]), ("sums", rows[0]), ("join", 1)]
-    assert found[3] == ("sums", ("s", 12, 7, pytest.approx(22.0), 3000.0, {"util": 0.9}))
-    assert found[4] == ("arrivals", (0, 1, 7, 2, 1000.0)) and not lanes.take(10)
+    assert found[3] == ("sums", UpstreamStats("s", 12, 7, pytest.approx(22.0), 3000.0, {"util": 0.9}))
+    assert found[4] == ("arrivals", DownstreamStats(0, 1, 7, 2, 1000.0)) and not lanes.take(10)
 
 
 # orders
@@ -506,10 +507,10 @@
     real = planner.run_interval
 
     def counted(incoming, orders):
-        for name, tries, failed, *_ in incoming.upstream_stats:
-            row = believed.setdefault(name, [0, 0])
-            row[0] += tries
-            row[1] += failed
+        for stats in incoming.upstream_stats:
+            row = believed.setdefault(stats.endpoint, [0, 0])
+            row[0] += stats.attempts
+            row[1] += stats.failures
         real(incoming, orders)
 
     planner.run_interval = counted
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -835,9 +835,10 @@
     seams = {
         "poller": "import quillstep.net.poller as at; at.Poller.tend = lambda self: 1 / 0",
         "watch": (
-            "import quillstep.platform.discovery_watch as at; at.AGAIN_MS = None; at.Watch.follow = lambda *_: None"
+            "import quillstep.platform.discovery_watch as at; at.AGAIN_MS = None; "
+            "at.DiscoveryWatch.follow = lambda *_: None"
         ),
-        "deciding": "import quillstep.platform.service as at; at.LivePilot.turn = lambda self: 1 / 0",
+        "deciding": "import quillstep.platform.service as at; at.PlatformController.turn = lambda self: 1 / 0",
     }
     code = f"{seams[thread]}; import sys; from quillstep.platform.__main__ import main; sys.exit(main())"
     done = subprocess.run(
--- a/tests/replay/test_whatif.py
+++ b/tests/replay/test_whatif.py
@@ -10,6 +10,7 @@
 
 from quillstep.config.cue import ConfigError
 from quillstep.config.loading import changed, parse_changes
+from quillstep.planner.messages import EndpointEntry
 from quillstep.replay.inference import SPAN_MS, fit, infer
 from quillstep.replay.model import VirtualDay
 from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay, apart, read_daybook
@@ -21,7 +22,7 @@
 
 
 def entries(state="in_service", numbers=range(1, 7), started=0.0):
-    return [(number, "ab"[number % 2], state, 1.0, started) for number in numbers]
+    return [EndpointEntry(number, "ab"[number % 2], state, 1.0, started) for number in numbers]
 
 
 def addresses(numbers=range(1, 7)):
@@ -129,7 +130,7 @@
     def hidden(at, number):
         return ("error", 2.0) if number in (2, 5) and int(at // 2000.0) % 2 else ("ok", 22.0)
 
-    day = book(tries=hidden, rate=120.0, local_ejection_failures=8)
+    day = book(tries=hidden, rate=120.0, ejects=8)
     found = compare(day, {}, {"fleet.proxies.ejects": 1}, 3)
     assert found["gain"] > 0.0 and found["gain"] > 2.0 * found["noise"]
     assert found["changed_fate"]["won"] > found["changed_fate"]["lost"]
--- a/tests/routing/test_ack_latency.py
+++ b/tests/routing/test_ack_latency.py
@@ -6,6 +6,7 @@
 from memory_fleet import MemoryPilot, order, small_day
 
 from quillstep.invariants import judge
+from quillstep.planner.messages import EndpointEntry
 from quillstep.routing.ack_latency import LATE, LOST, ON_ITS_WAY, STALLS, AckLatency, LineCostEstimate
 from quillstep.routing.resources import LINE, OUT, terms_of
 from quillstep.routing.retry_policies import LOOSEST, RetryPolicies, allowed_way
@@ -177,7 +178,7 @@
     pilot.run(9000)
     core = pilot.core
     held = list(pilot.proxies.values())
-    core.roster("partial", [(3, "b", "terminated", 1.0, 0.0)], {})
+    core.roster("partial", [EndpointEntry(3, "b", "terminated", 1.0, 0.0)], {})
     core.heard(pilot.now)
     for _ in range(60):
         pilot.now += 10.0
@@ -186,7 +187,7 @@
             proxy.pump()
             if at >= stale:
                 proxy.read()
-    core.roster("partial", [(3, "b", "in_service", 1.0, pilot.now)], {})
+    core.roster("partial", [EndpointEntry(3, "b", "in_service", 1.0, pilot.now)], {})
     core.heard(pilot.now)
     core.tables.cold[3] = pilot.now
     order(pilot, lambda tables: (tables.line(0, 3, 2.0), tables.withdraw(3, False, "")))
