--- /dev/null
+++ b/quillstep/planner/admission.py
@@ -0,0 +1,166 @@
+"""Admission limits and retry policies under overload.
+
+What the learned capacity cannot serve is shed, from the class with the least priority per work first.  Retries are
+allowed only while there is capacity for them.
+"""
+
+from collections.abc import Sequence
+
+from quillstep.planner.capacity import (
+    LATE_RELATIVE_LATENCY,
+    TARGET_UTILIZATION,
+    CapacityEstimator,
+    warm_up_fraction,
+)
+from quillstep.planner.outliers import endpoints_in_use
+from quillstep.planner.state import (
+    CONTROL_INTERVAL_MS,
+    NO_RETRY,
+    RETRY_IF_NOT_STARTED,
+    SETTLING_INTERVALS,
+    ClassState,
+    FleetState,
+)
+
+UNLIMITED_REQUESTS_PER_S = 1e6
+MIN_SHEDDING_UTILIZATION = 0.7  # of the fleet, below which nothing needs to be shed
+CALM_UTILIZATION = 0.5  # of the fleet, below which any failure may be retried
+REOPENING_FRACTION = 0.15  # of the offered work, that is admitted again each interval below the shedding utilization
+MAX_SHED_SHARE = 0.9  # of one class, so that what happens to the rest still shows
+ADMITTED_SHARE_GAIN = 0.5  # how far one interval moves a class's smoothed admitted share
+CLIENT_ATTEMPTS = 3  # that a client is taken to make of a request that is rejected each time
+RATE_GAIN_RISE = 1.05  # each interval
+RATE_GAIN_FALL = 0.95  # each interval
+MAX_RATE_GAIN = 2.0
+
+
+class AdmissionController:
+    """Chooses the admission limit and the retry policy of each class.
+
+    Attributes:
+        admitted_fraction: The part of the offered work that is admitted.
+        min_admitted_fraction: The least part that is admitted; it rises while the fleet is not loaded.
+        rate_gain: The sum of the rate limits over what they should admit: uneven arrivals fill only some of them.
+    """
+
+    def __init__(self, fleet: FleetState, capacity: CapacityEstimator) -> None:
+        self.fleet, self.capacity = fleet, capacity
+        self.admitted_fraction = 1.0
+        self.min_admitted_fraction = 1.0
+        self.rate_gain = 1.0
+
+    def update(self, now_ms: float, is_interval_due: bool) -> None:
+        """Sets the limits and retry policies; what is learned over time moves only where an interval is due."""
+        in_use = endpoints_in_use(self.fleet)
+        usable_weight = sum(
+            (endpoint.listed_weight or 1.0) * warm_up_fraction(self.fleet.config, endpoint, now_ms)
+            for endpoint in in_use
+        )
+        if is_interval_due:
+            self.capacity.learn(in_use, usable_weight)
+        first_attempt_rates = self.first_attempt_rates()
+        # Endpoints that fail or return count at once, before the load on the others shows it.
+        utilization = self.capacity.effective_utilization
+        allowed_per_s = (
+            TARGET_UTILIZATION
+            * self.capacity.per_proxy
+            * len(self.fleet.proxies)
+            * usable_weight
+            / max(1.0, utilization)
+        )
+        self._update_admitted_fraction(allowed_per_s, sum(first_attempt_rates), now_ms, is_interval_due)
+        self._update_rate_gain(allowed_per_s, is_interval_due)
+        if not self.capacity.is_learned():
+            self.admitted_fraction = usable_weight / self._listed_weight()
+        self._shed(first_attempt_rates, now_ms, is_interval_due)
+
+    def first_attempt_rates(self) -> list[float]:
+        """Requests per second of each class without the repeats of rejected ones, which are no further demand."""
+        rates = []
+        for rate, state in zip(self.fleet.request_rates(), self.fleet.classes, strict=True):
+            rejected_share = 1.0 - state.smoothed_admitted_share
+            rates.append(rate / sum(rejected_share**attempt for attempt in range(CLIENT_ATTEMPTS)))
+        return rates
+
+    def _update_admitted_fraction(
+        self, allowed_per_s: float, offered_per_s: float, now_ms: float, is_interval_due: bool
+    ) -> None:
+        capacity, utilization = self.capacity, self.capacity.effective_utilization
+        # What a proxy brings that comes from another controller may have been limited there: it counts as new load.
+        has_taken_over = (
+            now_ms - self.fleet.last_takeover_ms < SETTLING_INTERVALS * CONTROL_INTERVAL_MS
+            and utilization > CALM_UTILIZATION
+        )
+        may_shed = has_taken_over or utilization > MIN_SHEDDING_UTILIZATION or self.admitted_fraction < 1.0
+        if may_shed and capacity.per_proxy and offered_per_s:
+            self.admitted_fraction = min(1.0, allowed_per_s / offered_per_s)
+        else:
+            self.admitted_fraction = 1.0
+        # Reopens whatever the demand seems to be: rejected requests come again and look like demand.  Failing
+        # attempts count as utilization, so that this does not reopen a fleet that fails at a low load.
+        if utilization > MIN_SHEDDING_UTILIZATION or has_taken_over:
+            self.min_admitted_fraction = self.admitted_fraction
+        elif is_interval_due:
+            self.min_admitted_fraction = min(1.0, self.min_admitted_fraction + REOPENING_FRACTION)
+        self.admitted_fraction = max(self.admitted_fraction, self.min_admitted_fraction)
+
+    def _update_rate_gain(self, allowed_per_s: float, is_interval_due: bool) -> None:
+        """Raises the rate limits while less than allowed is admitted, halves what was added under load."""
+        capacity = self.capacity
+        if (
+            capacity.effective_utilization > MIN_SHEDDING_UTILIZATION
+            or capacity.relative_latency > LATE_RELATIVE_LATENCY
+        ):
+            self.rate_gain = 1.0 + 0.5 * (self.rate_gain - 1.0)
+        elif is_interval_due and self.admitted_fraction < 1.0:
+            step = RATE_GAIN_RISE if capacity.goodput_per_s < allowed_per_s else RATE_GAIN_FALL
+            self.rate_gain = min(MAX_RATE_GAIN, max(1.0, self.rate_gain * step))
+
+    def _listed_weight(self) -> float:
+        return sum(endpoint.listed_weight or 1.0 for endpoint in self.fleet.endpoints.values()) or 1.0
+
+    def _shed(self, first_attempt_rates: Sequence[float], now_ms: float, is_interval_due: bool) -> None:
+        """Takes what may not be admitted from the classes, the one with the least priority per work first.
+
+        A class's work is taken as its latency objective, as nothing reports the work itself.
+        """
+        rows = zip(first_attempt_rates, self.fleet.config.classes, strict=True)
+        work = [rate * row.latency_objective_ms for rate, row in rows]
+        excess = (1.0 - self.admitted_fraction) * sum(work)
+        is_settling = self.fleet.is_settling(now_ms)
+        classes = self.fleet.classes
+        for index in sorted(range(len(work)), key=lambda index: classes[index].priority_per_work):
+            shed = min(excess, MAX_SHED_SHARE * work[index])
+            excess -= shed
+            state = classes[index]
+            # A request is rejected for good only where each of the client's attempts is.
+            admitted_share = 1.0 - (shed / work[index]) ** (1.0 / CLIENT_ATTEMPTS) if work[index] > 0 else 1.0
+            if is_interval_due:
+                state.smoothed_admitted_share += ADMITTED_SHARE_GAIN * (admitted_share - state.smoothed_admitted_share)
+            state.retry_policy = self._retry_policy(state, is_settling)
+            state.admission_limit = self.admission_limit(index, admitted_share)
+
+    def _retry_policy(self, state: ClassState, is_settling: bool) -> int:
+        utilization = self.capacity.effective_utilization
+        if utilization < CALM_UTILIZATION and not is_settling:
+            return state.calm_retry_policy
+        return RETRY_IF_NOT_STARTED if utilization < 1.0 else NO_RETRY
+
+    def admission_limit(self, class_index: int, admitted_share: float) -> float:
+        """The limit that admits a share of a class: the share itself, or requests per second at each proxy.
+
+        The rate is one for all proxies: the max-min fair one, under which the sum of what they admit fits.
+        """
+        if self.fleet.config.admission != "rate":
+            return admitted_share
+        if admitted_share >= 1.0:
+            return UNLIMITED_REQUESTS_PER_S
+        rates = sorted(proxy.request_rates[class_index] for proxy in self.fleet.proxies.values())
+        total = sum(proxy.request_rates[class_index] for proxy in self.fleet.proxies.values())
+        left = self.rate_gain * admitted_share * total
+        for position, rate in enumerate(rates):
+            unserved = len(rates) - position
+            if rate * unserved >= left:
+                return left / unserved
+            left -= rate
+        return UNLIMITED_REQUESTS_PER_S
--- /dev/null
+++ b/quillstep/planner/assignment.py
@@ -0,0 +1,118 @@
+"""Assigns tables to proxies: the calendar, or before it a subset of it.
+
+A proxy that joins keeps what it holds until it is assigned the calendar.  Where many join at once, the calendars for
+all of them fill the channel for seconds; a proxy that may hold no usable endpoint is assigned a subset first, which is
+small.  A subset is not kept up to date: it bridges the time until the calendar.
+"""
+
+from collections.abc import Callable, Iterable
+
+from quillstep.planner.messages import EndpointId, PlannerOutput
+from quillstep.planner.state import CalendarTable, FleetState, JoinedProxy
+from quillstep.planner.update_budget import TRUSTED_PACE_FRACTION, UpdateBudget
+
+FIRST_SUBSET_TABLE = 1000  # below are the tables of the calendars
+
+
+class TableAssigner:
+    """Writes assignments as far as the update budget allows; each assignment is one message to its proxy."""
+
+    def __init__(self, fleet: FleetState, budget: UpdateBudget) -> None:
+        self.fleet, self.budget = fleet, budget
+        self._subsets: dict[int, list[EndpointId]] = {}  # what each subset table lists
+
+    def proxies_without_usable_endpoint(self) -> list[int]:
+        """The proxies that are assigned a subset before anything else, in the order they joined.
+
+        A proxy that joins may hold only endpoints that are ejected or, after a start, that no list here names any
+        more.  It needs a subset where endpoints are ejected, or where the calendars of all that wait would
+        take much of the drain grace.
+        """
+        waiting = [number for number, proxy in self.fleet.proxies.items() if not proxy.has_calendar]
+        ejected = self.fleet.ejected_endpoints()
+        endpoints = self.fleet.endpoints
+        calendar_lines = len(waiting) * (len(endpoints) + self.budget.lines_per_message)
+        has_usable = any(state.published_slots and not state.is_ejected for state in endpoints.values())
+        fits_grace = calendar_lines <= TRUSTED_PACE_FRACTION * self.budget.drain_grace_lines
+        if not has_usable or (not ejected and fits_grace):
+            return []
+        return [number for number in waiting if may_lack_endpoint(self.fleet.proxies[number], ejected)]
+
+    def proxies_awaiting_calendar(self) -> list[int]:
+        """The proxies without a calendar, those that most requests reach first."""
+        waiting = [
+            (sum(proxy.request_rates), number) for number, proxy in self.fleet.proxies.items() if not proxy.has_calendar
+        ]
+        return [number for _, number in sorted(waiting, reverse=True)]
+
+    def assign_calendar(self, proxies: Iterable[int], output: PlannerOutput) -> int:
+        """Assigns the calendar to these proxies while there is budget, and returns the messages that makes."""
+
+        def assign(number: int, table: CalendarTable, ejected: set[EndpointId]) -> list[EndpointId]:
+            output.assign_table(number, table.number, table.classes)
+            return self._published_endpoints(table)
+
+        return self._assign(proxies, len(self.fleet.endpoints), True, assign)
+
+    def assign_subsets(self, proxies: Iterable[int], output: PlannerOutput) -> int:
+        """Assigns subsets to these proxies while there is budget, and returns the messages that makes."""
+
+        def assign(number: int, table: CalendarTable, ejected: set[EndpointId]) -> list[EndpointId]:
+            subset = self._subset_for(number, self._published_endpoints(table), ejected)
+            subset_table = FIRST_SUBSET_TABLE + number * (1 + len(self.fleet.config.zones)) + table.number
+            self._write_subset(subset_table, subset, table, output)
+            self.fleet.proxies[number].subsets.append(subset)
+            output.assign_table(number, subset_table, table.classes)
+            return subset
+
+        return self._assign(proxies, self.fleet.config.initial_table_size, False, assign)
+
+    def _assign(
+        self,
+        proxies: Iterable[int],
+        expected_lines: int,
+        is_calendar: bool,
+        assign: Callable[[int, CalendarTable, set[EndpointId]], list[EndpointId]],
+    ) -> int:
+        budget, ejected, messages = self.budget, self.fleet.ejected_endpoints(), 0
+        for number in proxies:
+            if not budget.can_take_assignment(expected_lines):
+                break
+            proxy = self.fleet.proxies[number]
+            proxy.subsets, proxy.has_calendar = [], is_calendar
+            for table in self.fleet.tables:
+                if table.zone not in (None, proxy.zone):
+                    continue
+                listed = assign(number, table, ejected)
+                budget.written_lines += 1 + len(table.classes) + len(listed) + len(ejected.intersection(listed))
+            budget.written_lines += budget.lines_per_message
+            messages += 1
+        return messages
+
+    def _published_endpoints(self, table: CalendarTable) -> list[EndpointId]:
+        return [id_ for id_, state in self.fleet.endpoints.items() if state.published_slots.get(table.number)]
+
+    def _subset_for(self, number: int, published: list[EndpointId], ejected: set[EndpointId]) -> list[EndpointId]:
+        """Every n-th endpoint of a calendar that is in service; the proxy's number says with which it begins."""
+        endpoints = self.fleet.endpoints
+        usable = [id_ for id_ in published if id_ not in ejected]
+        usable = [id_ for id_ in usable if endpoints[id_].is_in_service] or usable
+        step = max(1, len(usable) // max(1, self.fleet.config.initial_table_size))
+        return usable[number % step :: step]
+
+    def _write_subset(
+        self, subset_table: int, subset: list[EndpointId], table: CalendarTable, output: PlannerOutput
+    ) -> None:
+        """Writes a subset with the calendar's slots, in place of what its table listed before."""
+        for endpoint in self._subsets.get(subset_table, ()):
+            if endpoint not in subset:
+                output.set_weight(subset_table, endpoint, 0)
+        for endpoint in subset:
+            slots = self.fleet.endpoints[endpoint].published_slots[table.number]
+            output.set_weight(subset_table, endpoint, slots)
+        self._subsets[subset_table] = subset
+
+
+def may_lack_endpoint(proxy: JoinedProxy, ejected: set[EndpointId]) -> bool:
+    """Whether all endpoints of one of a proxy's subsets, or all that it joined with, may be ejected."""
+    return not proxy.subsets or any(subset and ejected.issuperset(subset) for subset in proxy.subsets)
--- a/quillstep/planner/messages.py
+++ b/quillstep/planner/messages.py
@@ -10,7 +10,7 @@
 from typing import Any, Literal, NamedTuple, Protocol
 
 EndpointId = Any  # a number or a text
-EndpointState = Literal["in_service", "terminating", "terminated"]
+ListedState = Literal["in_service", "terminating", "terminated"]
 EndpointListKind = Literal["partial", "complete", "persisted", "error"]
 
 
@@ -58,7 +58,7 @@
 
     endpoint: EndpointId
     zone: str
-    state: str  # an EndpointState
+    state: str  # a ListedState
     weight: float
     started_ms: float
 
--- /dev/null
+++ b/quillstep/planner/outliers.py
@@ -0,0 +1,91 @@
+"""Outlier detection: an endpoint is an outlier where statistics suggest it and health checks confirm it.
+
+Outliers stay out of the calendar while other endpoints can hold it.  An outlier comes back after health checks that it
+passed, with a low Q value from which it learns its way up.
+"""
+
+from quillstep.planner.capacity import TARGET_UTILIZATION
+from quillstep.planner.messages import EndpointId, PlannerOutput
+from quillstep.planner.q_learning import mean_q_value
+from quillstep.planner.state import EndpointState, FleetState
+
+MAX_OUTLIER_FRACTION = 0.8  # of the endpoints in service; high, as a zone that is cut off sees only its own as healthy
+MIN_FAILED_HEALTH_CHECKS = 2  # in a row, to confirm an outlier
+MIN_PASSED_HEALTH_CHECKS = 2  # in a row, to restore one
+RESTORED_Q_FRACTION = 0.1  # of the mean Q value
+MAX_UNCHECKED_FAILURES = 2  # since the last success, beyond which health checks are requested
+
+
+def detect_outliers(fleet: FleetState, output: PlannerOutput) -> None:
+    """Marks and restores outliers, and requests the health checks that are due."""
+    in_service = {id_: endpoint for id_, endpoint in fleet.endpoints.items() if endpoint.is_in_service}
+    outliers = sum(endpoint.is_outlier for endpoint in in_service.values())
+    allowed = int(len(in_service) * MAX_OUTLIER_FRACTION) - outliers
+    # Where those that answer are full too, it is overload and no fault of the silent ones.
+    others_have_capacity = _utilization_of_answering(fleet, in_service) < TARGET_UTILIZATION
+    for id_, endpoint in in_service.items():
+        is_suspected = is_unreachable(fleet, endpoint) and others_have_capacity
+        if endpoint.is_outlier and endpoint.passed_health_checks >= MIN_PASSED_HEALTH_CHECKS:
+            _restore(fleet, endpoint)
+        elif not endpoint.is_outlier and is_suspected and allowed > 0:
+            endpoint.is_outlier, endpoint.passed_health_checks = True, 0
+            fleet.has_urgent_change = True
+            allowed -= 1
+            output.log_note(f"{id_} is shut out: {endpoint.failures_since_success} tries since its last good answer")
+        if _needs_health_check(fleet, endpoint):
+            output.request_health_check(id_)
+
+
+def is_unreachable(fleet: FleetState, endpoint: EndpointState) -> bool:
+    """Whether as many attempts in a row failed as make a proxy avoid it, and health checks confirm that.
+
+    A slow or overloaded endpoint still answers some attempts; one that is unreachable answers none.
+    """
+    return (
+        endpoint.failures_since_success >= _min_failures(fleet)
+        and endpoint.failed_health_checks >= MIN_FAILED_HEALTH_CHECKS
+    )
+
+
+def endpoints_in_use(fleet: FleetState) -> list[EndpointState]:
+    """The endpoints that proxies can use, also where no more may be marked as outliers.
+
+    Those that are not published yet are idle, and would hide that all others are full; they count only where none is
+    published.
+    """
+    usable = [
+        endpoint
+        for endpoint in fleet.endpoints.values()
+        if endpoint.is_in_service and not endpoint.is_outlier and not is_unreachable(fleet, endpoint)
+    ]
+    return [endpoint for endpoint in usable if endpoint.published_slots and not endpoint.is_ejected] or usable
+
+
+def _min_failures(fleet: FleetState) -> int:
+    return max(1, fleet.config.local_ejection_failures)
+
+
+def _utilization_of_answering(fleet: FleetState, in_service: dict[EndpointId, EndpointState]) -> float:
+    """The mean utilization of the endpoints that answer; full where none does."""
+    min_failures = _min_failures(fleet)
+    answering = [
+        endpoint.utilization
+        for endpoint in in_service.values()
+        if endpoint.failures_since_success < min_failures and endpoint.utilization is not None
+    ]
+    return sum(answering) / len(answering) if answering else 1.0
+
+
+def _restore(fleet: FleetState, endpoint: EndpointState) -> None:
+    endpoint.is_outlier, endpoint.failures_since_success = False, 0
+    endpoint.q_value = mean_q_value(fleet) * RESTORED_Q_FRACTION
+    fleet.has_urgent_change = True
+
+
+def _needs_health_check(fleet: FleetState, endpoint: EndpointState) -> bool:
+    config = fleet.config
+    return config.health_checks_allowed and (
+        config.load_from_health_checks
+        or endpoint.is_outlier
+        or endpoint.failures_since_success > MAX_UNCHECKED_FAILURES
+    )
--- /dev/null
+++ b/quillstep/planner/state.py
@@ -0,0 +1,256 @@
+"""What the planner knows between control intervals: endpoints, joined proxies, classes, and what changed lately.
+
+`FleetState` follows the observations; the other modules of this package read it, and write the learned values and the
+published values of its records.  Times are milliseconds of the caller's clock.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from quillstep.planner.messages import (
+    ClassConfig,
+    DownstreamStats,
+    EndpointEntry,
+    EndpointId,
+    EndpointListUpdate,
+    HealthCheckResult,
+    PlannerConfig,
+    ProxyStreamEvent,
+    UpstreamStats,
+)
+
+CONTROL_INTERVAL_MS = 1000.0
+SETTLING_INTERVALS = 5  # until reports show what a proxy that joined or left has changed
+SHARED_TABLE = 0  # the calendar of all classes that may leave their zone; the tables of the zones follow
+REQUEST_RATE_RETENTION = 0.7  # the part of a smoothed request rate that is left after one control interval
+
+NO_RETRY = 0
+RETRY_IF_NOT_STARTED = 1  # one retry, after proof that the attempt never ran
+RETRY_ANY_FAILURE = 2  # one retry, after any failure
+MAX_PROXY_STALL_OBJECTIVES = 2.5  # latency objectives that a proxy may stand still between two attempts
+
+
+class CalendarTable(NamedTuple):
+    """One table that holds a calendar; a zone's table lists only that zone's endpoints."""
+
+    number: int
+    zone: str | None
+    classes: list[int]
+
+
+class PublishedAdmission(NamedTuple):
+    """What a table's proxies were last sent for a class."""
+
+    limit: float
+    retry_policy: int
+
+
+@dataclass(slots=True)
+class EndpointState:
+    """One listed endpoint: what is listed, observed and learned of it, and what has been published."""
+
+    zone: str
+    is_in_service: bool
+    listed_weight: float
+    started_ms: float
+    # Observed since the last control interval.
+    reported_load: float | None = None  # the newest
+    attempts: float = 0
+    failures: float = 0
+    total_success_ms: float = 0.0
+    # Learned.
+    q_value: float | None = None  # None until a load has been reported
+    q_updated_ms: float | None = None
+    utilization: float | None = None  # smoothed; failing attempts count as load
+    failures_since_success: float = 0
+    failed_health_checks: int = 0  # in a row
+    passed_health_checks: int = 0  # in a row
+    is_outlier: bool = False
+    # Published.
+    published_slots: dict[int, int] = field(default_factory=dict)  # by table
+    is_ejected: bool = False  # proxies keep it out of all tables
+    delisted_ms: float | None = None  # since when it is no longer listed, or listed as terminated
+
+
+@dataclass(slots=True)
+class JoinedProxy:
+    """A proxy with an open stream, and the requests per second that reach it of each class."""
+
+    zone: str
+    request_rates: list[float]
+    subsets: list[list[EndpointId]] = field(default_factory=list)  # the endpoints of each subset that it was assigned
+    has_calendar: bool = False
+    has_reported: bool = False
+
+
+@dataclass(slots=True)
+class ClassState:
+    """One class: the limits that the planner chose for it, and what was published."""
+
+    calm_retry_policy: int  # while nothing is loaded or changing
+    priority_per_work: float  # the priority weight a millisecond of the latency objective
+    retry_policy: int = RETRY_IF_NOT_STARTED
+    admission_limit: float = 1.0
+    smoothed_admitted_share: float = 1.0
+    published: dict[int, PublishedAdmission] = field(default_factory=dict)  # by table
+
+
+class FleetState:
+    """The endpoints, proxies and classes of one planner, from a start to the next.
+
+    Attributes:
+        tables: The tables that hold calendars; they follow from the configuration.
+        has_urgent_change: Something changed that must be published before the next control interval is due.
+        must_watch_again: Discovery reported an error; the watch is requested again when the next interval is due.
+        last_proxy_change_ms: When a proxy left, or joined while it held another controller's updates.
+        last_takeover_ms: When a proxy last joined while it held another controller's updates.
+    """
+
+    def __init__(self, config: PlannerConfig) -> None:
+        self.config = config
+        self.endpoints: dict[EndpointId, EndpointState] = {}
+        self.proxies: dict[int, JoinedProxy] = {}
+        self.classes = [class_state(row, config) for row in config.classes]
+        self.tables = calendar_tables(config)
+        self.has_urgent_change = False
+        self.must_watch_again = False
+        self.last_proxy_change_ms = self.last_takeover_ms = float("-inf")
+
+    def apply_endpoint_list(self, update: EndpointListUpdate, now_ms: float) -> None:
+        """Follows an endpoint list or a change of it."""
+        if update.kind == "error":
+            # Not asked again at once: a call that failed may have met an overloaded discovery.
+            self.must_watch_again = True
+            return
+        if update.kind != "partial":
+            self._delist_all_but({entry.endpoint for entry in update.entries}, now_ms)
+        for entry in update.entries:
+            self._apply_entry(entry, now_ms)
+
+    def _delist_all_but(self, listed: set[EndpointId], now_ms: float) -> None:
+        for endpoint, state in self.endpoints.items():
+            if endpoint not in listed and state.delisted_ms is None:
+                self.has_urgent_change |= state.is_in_service
+                state.is_in_service, state.delisted_ms = False, now_ms
+
+    def _apply_entry(self, entry: EndpointEntry, now_ms: float) -> None:
+        state = self.endpoints.get(entry.endpoint)
+        if state is None or entry.started_ms > state.started_ms:
+            state = self._restarted(entry, state)
+            self.endpoints[entry.endpoint] = state
+        is_in_service = entry.state == "in_service"
+        self.has_urgent_change |= state.is_in_service and not is_in_service
+        state.is_in_service, state.listed_weight = is_in_service, entry.weight
+        state.delisted_ms = now_ms if entry.state == "terminated" else None
+
+    def _restarted(self, entry: EndpointEntry, before: EndpointState | None) -> EndpointState:
+        """An endpoint that has just started: only what is published of the one before still holds."""
+        state = EndpointState(entry.zone, False, entry.weight, entry.started_ms)
+        if before is not None:
+            state.is_in_service = bool(before.published_slots)
+            state.published_slots, state.is_ejected = before.published_slots, before.is_ejected
+        self.has_urgent_change |= bool(state.published_slots) and not state.is_ejected
+        return state
+
+    def apply_proxy_stream(self, event: ProxyStreamEvent, now_ms: float) -> None:
+        """Follows a proxy that joined or left; one that joins again starts anew."""
+        if self.proxies.pop(event.proxy, None):
+            self.last_proxy_change_ms = now_ms
+        if event.is_open:
+            expected = event.expected_requests_per_s / max(1, len(self.classes))
+            self.proxies[event.proxy] = JoinedProxy(event.zone, [expected] * len(self.classes))
+            if not event.is_fresh:
+                self.last_takeover_ms = self.last_proxy_change_ms = now_ms
+                self.has_urgent_change = True
+
+    def apply_upstream_stats(self, rows: Iterable[UpstreamStats]) -> None:
+        """Adds up what proxies met at each endpoint."""
+        for stats in rows:
+            state = self.endpoints.get(stats.endpoint)
+            if state is None:
+                continue
+            state.attempts += stats.attempts
+            state.failures += stats.failures
+            if stats.failures >= stats.attempts:
+                state.failures_since_success += stats.failures
+            else:
+                state.failures_since_success = 0
+            state.total_success_ms += stats.mean_success_ms * (stats.attempts - stats.failures)
+            state.reported_load = stats.load.get("util", state.reported_load)
+
+    def apply_health_checks(self, results: Iterable[HealthCheckResult]) -> None:
+        """Counts the outcomes of health checks, and takes their load reports.
+
+        A failed check reads as full load: a full endpoint that falls silent must not keep its last, lower figure.
+        """
+        for result in results:
+            state = self.endpoints.get(result.endpoint)
+            if state is None:
+                continue
+            if result.is_healthy:
+                state.reported_load = result.load.get("util", state.reported_load)
+                state.failed_health_checks = 0
+                state.passed_health_checks += 1
+            else:
+                state.reported_load = 1.0
+                state.failed_health_checks += 1
+                state.passed_health_checks = 0
+
+    def apply_downstream_stats(self, rows: Iterable[DownstreamStats]) -> None:
+        """Smooths the request rate of each proxy and class, by the time that each report covers."""
+        for stats in rows:
+            proxy, window_ms = self.proxies.get(stats.proxy), stats.window_ms
+            if proxy is None or window_ms <= 0:
+                continue
+            step = 1.0 - REQUEST_RATE_RETENTION ** (window_ms / CONTROL_INTERVAL_MS)
+            proxy.has_reported = True
+            rates, index = proxy.request_rates, stats.class_index
+            rates[index] += step * (stats.requests * 1000.0 / window_ms - rates[index])
+
+    def request_rates(self) -> list[float]:
+        """Requests per second of each class, over all joined proxies."""
+        proxies = self.proxies.values()
+        return [sum(proxy.request_rates[index] for proxy in proxies) for index in range(len(self.classes))]
+
+    def ejected_endpoints(self) -> set[EndpointId]:
+        """The endpoints that proxies were told to keep out of all tables."""
+        return {endpoint for endpoint, state in self.endpoints.items() if state.is_ejected}
+
+    def all_proxies_have_calendar(self) -> bool:
+        """Whether no joined proxy still waits for the calendar."""
+        return all(proxy.has_calendar for proxy in self.proxies.values())
+
+    def is_settling(self, now_ms: float) -> bool:
+        """Whether proxies joined or left so lately that reports do not show it yet."""
+        return now_ms - self.last_proxy_change_ms < SETTLING_INTERVALS * CONTROL_INTERVAL_MS
+
+
+def class_state(row: ClassConfig, config: PlannerConfig) -> ClassState:
+    """The state of a class at a start, with the retry policy that its semantics allow while the fleet is calm."""
+    priority_per_work = row.priority_weight / max(row.latency_objective_ms, 1.0)
+    return ClassState(_calm_retry_policy(row, config), priority_per_work)
+
+
+def _calm_retry_policy(row: ClassConfig, config: PlannerConfig) -> int:
+    """Any failure may be retried only where a repeat is safe, or recognised wherever and whenever it arrives."""
+    # A repeat may arrive after the wait for the first attempt, a stall of the proxy and a delayed update.
+    longest_repeat_ms = (
+        config.attempt_timeout_factor + MAX_PROXY_STALL_OBJECTIVES
+    ) * row.latency_objective_ms + config.max_update_delay_ms
+    is_key_shared = row.idempotency_scope == "all" or (row.idempotency_scope == "zone" and row.home_zone_only)
+    is_idempotent = row.semantics == "keyed" and is_key_shared and row.idempotency_window_ms >= longest_repeat_ms
+    return RETRY_ANY_FAILURE if row.semantics == "safe" or is_idempotent else RETRY_IF_NOT_STARTED
+
+
+def calendar_tables(config: PlannerConfig) -> list[CalendarTable]:
+    """One table that all classes share, and one a zone for the classes that may not leave their zone."""
+    home_classes = [index for index, row in enumerate(config.classes) if row.home_zone_only]
+    shared_classes = [index for index, row in enumerate(config.classes) if not row.home_zone_only]
+    tables = []
+    if shared_classes:
+        tables.append(CalendarTable(SHARED_TABLE, None, shared_classes))
+    if home_classes:
+        for number, zone in enumerate(config.zones, SHARED_TABLE + 1):
+            tables.append(CalendarTable(number, zone, home_classes))
+    return tables
--- a/quillstep/platform/service.py
+++ b/quillstep/platform/service.py
@@ -238,8 +238,10 @@
 def believed(planner: Planner) -> dict[str, Any]:
     """What the module goes by, to be held against what the endpoints say."""
     return {
-        "load": round(planner.pressure, 2), "let_in": round(planner.fit, 2), "answered_per_s": round(planner.flow, 1),
-        "out": [endpoint for endpoint, record in planner.endpoints.items() if record.out],
+        "load": round(planner.capacity.mean_utilization, 2),
+        "let_in": round(planner.admission.admitted_fraction, 2),
+        "answered_per_s": round(planner.capacity.goodput_per_s, 1),
+        "out": [endpoint for endpoint, state in planner.fleet.endpoints.items() if state.is_outlier],
     }  # fmt: skip
 
 
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -1,6 +1,6 @@
 """One pilot under test: a planner, a clock, and a writer that keeps its orders as tuples."""
 
-from quillstep.planner import planner as rules
+from quillstep.planner.assignment import FIRST_SUBSET_TABLE
 from quillstep.planner.messages import (
     ClassConfig,
     DownstreamStats,
@@ -12,6 +12,7 @@
     ProxyStreamEvent,
     UpstreamStats,
 )
+from quillstep.planner.planner import INTERVAL_TIMER, Planner
 
 TYPES = {
     "endpoint_lists": EndpointListUpdate,
@@ -55,11 +56,9 @@
 class PlannerHarness:
     """Writes what the planner orders to `orders`, anew each round; `first` keeps those of the start."""
 
-    rules = rules
-
     def __init__(self, start_facts, entries, proxies=2):
         self.facts = start_facts
-        self.planner = rules.Planner(start_facts, 7)
+        self.planner = Planner(start_facts, 7)
         self.now = 1000.0
         self.orders = []
         self.ordered_levels = {}
@@ -89,23 +88,23 @@
 
     def settle(self, util=0.5, tries=10, failed=0, turns=12):
         """Turns of even traffic, the same load at every endpoint."""
-        sums = [(e, tries, failed, 200.0, 1000.0, {"util": util}) for e in self.planner.endpoints]
-        arrivals = [(place, p, tries // 2, 0, 1000.0) for place in (0, 1) for p in self.planner.proxies]
+        sums = [(e, tries, failed, 200.0, 1000.0, {"util": util}) for e in self.planner.fleet.endpoints]
+        arrivals = [(place, p, tries // 2, 0, 1000.0) for place in (0, 1) for p in self.planner.fleet.proxies]
         for _ in range(turns):
             self.turn(upstream_stats=sums, downstream_stats=arrivals)
 
     def record(self, endpoint):
-        return self.planner.endpoints[endpoint]
+        return self.planner.fleet.endpoints[endpoint]
 
     def slots(self, table=0):
-        used = {e: r for e, r in self.planner.endpoints.items() if not r.withdrawn}
-        return {e: r.sent[table] for e, r in used.items() if r.sent.get(table)}
+        used = {e: r for e, r in self.planner.fleet.endpoints.items() if not r.is_ejected}
+        return {e: r.published_slots[table] for e, r in used.items() if r.published_slots.get(table)}
 
     def levels(self):
         return [self.ordered_levels[place] for place in sorted(self.ordered_levels)]
 
     def wakes(self):
-        return sum(order[0] == "set_timer" and order[1] == rules.TURN for order in self.orders)
+        return sum(order[0] == "set_timer" and order[1] == INTERVAL_TIMER for order in self.orders)
 
 
 class ChannelModel:
@@ -137,18 +136,17 @@
                 held = self.held.setdefault(order[1], set())
                 (held.add if order[3] else held.discard)(order[2])
             if order[0] == "assign_table":
-                held = sum(1 + self.pilot.record(endpoint).withdrawn for endpoint in self.held[order[2]])
+                held = sum(1 + self.pilot.record(endpoint).is_ejected for endpoint in self.held[order[2]])
                 joins[order[1]] = joins.get(order[1], 0) + 1 + len(order[3]) + held
                 self.users.setdefault(order[1], {}).update(dict.fromkeys(order[3], order[2]))
         toggles = [order[1] for order in orders if order[0] == "set_ejected"]
-        pieces = self.pilot.rules.PIECES
-        changes = sum(order[0] in ("set_weight", "set_admission") and order[1] < pieces for order in orders)
-        for number, proxy in self.pilot.planner.proxies.items():
+        changes = sum(order[0] in ("set_weight", "set_admission") and order[1] < FIRST_SUBSET_TABLE for order in orders)
+        for number, proxy in self.pilot.planner.fleet.proxies.items():
             # A withdrawal is a line at each proxy that holds a table with that endpoint; one without a table of ours
             # may hold it, and one that is bound in this round is told with its table.
             holds = {endpoint for table in self.users.get(number, {}).values() for endpoint in self.held[table]}
             told = [endpoint for endpoint in toggles if number not in self.users or endpoint in holds]
-            cost = joins[number] if number in joins else (changes if proxy.bound else 0) + len(told)
+            cost = joins[number] if number in joins else (changes if proxy.has_calendar else 0) + len(told)
             if cost:
                 lines = cost + 1 + self.pilot.facts.lines_per_message
                 self.queue.append([lines, orders[-1][1], number if number in joins else None])
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -528,17 +528,20 @@
                 for name, (tries, failed) in proxy.try_all(endpoints, 12).items():
                     collectors[proxy.zone].say(sums(proxy.zone, name, tries, failed))
                 proxy.report(12)
-            if planner.endpoints["s2"].out:
+            if planner.fleet.endpoints["s2"].is_outlier:
                 break
             time.sleep(0.1)
-        assert planner.endpoints["s2"].out
+        assert planner.fleet.endpoints["s2"].is_outlier
         wait_until(lambda: all("s2" not in proxy.usable() for proxy in proxies), "the dead one out at every proxy")
         passed = {name: [each.tries, each.failed] for name, each in endpoints.items()}
         wait_until(lambda: believed == passed, "all that passed is believed")
-        assert not any(planner.endpoints[name].out for name in endpoints.keys() - {"s2"})
+        assert not any(planner.fleet.endpoints[name].is_outlier for name in endpoints.keys() - {"s2"})
         for name in endpoints.keys() - {"s2"}:
             util = endpoints[name].util
-            wait_until(lambda name=name, util=util: abs(planner.endpoints[name].busy - util) < 0.05, f"{name}'s load")
+            wait_until(
+                lambda name=name, util=util: abs(planner.fleet.endpoints[name].utilization - util) < 0.05,
+                f"{name}'s load",
+            )
     finally:
         pilot.stops = True
         thread.join(live.WAIT_S)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -365,9 +365,9 @@
         assert not [n for url, names, _ in proxy.log if url == LEDS for n in names if "/table-0/" in n]
         assert holds(again, proxy, version.lines)
     again.run(9000)
-    module = again.core.planner.endpoints
+    module = again.core.planner.fleet.endpoints
     for proxy in proxies:
-        assert holds(again, proxy, {e: record.sent[0] for e, record in module.items()})
+        assert holds(again, proxy, {e: record.published_slots[0] for e, record in module.items()})
 
 
 # the store on disk
