--- a/quillstep/planner/admission.py
+++ b/quillstep/planner/admission.py
@@ -14,10 +14,8 @@
 )
 from quillstep.planner.outliers import endpoints_in_use
 from quillstep.planner.state import (
-    CONTROL_INTERVAL_MS,
     NO_RETRY,
     RETRY_IF_NOT_STARTED,
-    SETTLING_INTERVALS,
     ClassState,
     FleetState,
 )
@@ -29,8 +27,8 @@
 MAX_SHED_SHARE = 0.9  # of one class, so that what happens to the rest still shows
 ADMITTED_SHARE_GAIN = 0.5  # how far one interval moves a class's smoothed admitted share
 CLIENT_ATTEMPTS = 3  # that a client is taken to make of a request that is rejected each time
-RATE_GAIN_RISE = 1.05  # each interval
-RATE_GAIN_FALL = 0.95  # each interval
+RATE_GAIN_INCREASE = 1.05  # each interval
+RATE_GAIN_DECREASE = 0.95  # each interval
 MAX_RATE_GAIN = 2.0
 
 
@@ -59,15 +57,7 @@
         if is_interval_due:
             self.capacity.learn(in_use, usable_weight)
         first_attempt_rates = self.first_attempt_rates()
-        # Endpoints that fail or return count at once, before the load on the others shows it.
-        utilization = self.capacity.effective_utilization
-        allowed_per_s = (
-            TARGET_UTILIZATION
-            * self.capacity.per_proxy
-            * len(self.fleet.proxies)
-            * usable_weight
-            / max(1.0, utilization)
-        )
+        allowed_per_s = self._allowed_per_s(usable_weight)
         self._update_admitted_fraction(allowed_per_s, sum(first_attempt_rates), now_ms, is_interval_due)
         self._update_rate_gain(allowed_per_s, is_interval_due)
         if not self.capacity.is_learned():
@@ -82,23 +72,25 @@
             rates.append(rate / sum(rejected_share**attempt for attempt in range(CLIENT_ATTEMPTS)))
         return rates
 
+    def _allowed_per_s(self, usable_weight: float) -> float:
+        """What may be admitted; it follows endpoints that fail or return before the load on the others shows them."""
+        capacity_per_s = TARGET_UTILIZATION * self.capacity.per_proxy * len(self.fleet.proxies) * usable_weight
+        return capacity_per_s / max(1.0, self.capacity.effective_utilization)
+
     def _update_admitted_fraction(
         self, allowed_per_s: float, offered_per_s: float, now_ms: float, is_interval_due: bool
     ) -> None:
         capacity, utilization = self.capacity, self.capacity.effective_utilization
         # What a proxy brings that comes from another controller may have been limited there: it counts as new load.
-        has_taken_over = (
-            now_ms - self.fleet.last_takeover_ms < SETTLING_INTERVALS * CONTROL_INTERVAL_MS
-            and utilization > CALM_UTILIZATION
-        )
-        may_shed = has_taken_over or utilization > MIN_SHEDDING_UTILIZATION or self.admitted_fraction < 1.0
+        has_migrated = self.fleet.has_recent_migration(now_ms) and utilization > CALM_UTILIZATION
+        may_shed = has_migrated or utilization > MIN_SHEDDING_UTILIZATION or self.admitted_fraction < 1.0
         if may_shed and capacity.per_proxy and offered_per_s:
             self.admitted_fraction = min(1.0, allowed_per_s / offered_per_s)
         else:
             self.admitted_fraction = 1.0
         # Reopens whatever the demand seems to be: rejected requests come again and look like demand.  Failing
         # attempts count as utilization, so that this does not reopen a fleet that fails at a low load.
-        if utilization > MIN_SHEDDING_UTILIZATION or has_taken_over:
+        if utilization > MIN_SHEDDING_UTILIZATION or has_migrated:
             self.min_admitted_fraction = self.admitted_fraction
         elif is_interval_due:
             self.min_admitted_fraction = min(1.0, self.min_admitted_fraction + REOPENING_FRACTION)
@@ -113,7 +105,7 @@
         ):
             self.rate_gain = 1.0 + 0.5 * (self.rate_gain - 1.0)
         elif is_interval_due and self.admitted_fraction < 1.0:
-            step = RATE_GAIN_RISE if capacity.goodput_per_s < allowed_per_s else RATE_GAIN_FALL
+            step = RATE_GAIN_INCREASE if capacity.goodput_per_s < allowed_per_s else RATE_GAIN_DECREASE
             self.rate_gain = min(MAX_RATE_GAIN, max(1.0, self.rate_gain * step))
 
     def _listed_weight(self) -> float:
--- a/quillstep/planner/assignment.py
+++ b/quillstep/planner/assignment.py
@@ -5,11 +5,11 @@
 small.  A subset is not kept up to date: it bridges the time until the calendar.
 """
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 
 from quillstep.planner.messages import EndpointId, PlannerOutput
 from quillstep.planner.state import CalendarTable, FleetState, JoinedProxy
-from quillstep.planner.update_budget import TRUSTED_PACE_FRACTION, UpdateBudget
+from quillstep.planner.update_budget import TRUSTED_RATE_FRACTION, UpdateBudget
 
 FIRST_SUBSET_TABLE = 1000  # below are the tables of the calendars
 
@@ -33,7 +33,7 @@
         endpoints = self.fleet.endpoints
         calendar_lines = len(waiting) * (len(endpoints) + self.budget.lines_per_message)
         has_usable = any(state.published_slots and not state.is_ejected for state in endpoints.values())
-        fits_grace = calendar_lines <= TRUSTED_PACE_FRACTION * self.budget.drain_grace_lines
+        fits_grace = calendar_lines <= TRUSTED_RATE_FRACTION * self.budget.drain_grace_lines
         if not has_usable or (not ejected and fits_grace):
             return []
         return [number for number in waiting if may_lack_endpoint(self.fleet.proxies[number], ejected)]
@@ -47,48 +47,48 @@
 
     def assign_calendar(self, proxies: Iterable[int], output: PlannerOutput) -> int:
         """Assigns the calendar to these proxies while there is budget, and returns the messages that makes."""
-
-        def assign(number: int, table: CalendarTable, ejected: set[EndpointId]) -> list[EndpointId]:
-            output.assign_table(number, table.number, table.classes)
-            return self._published_endpoints(table)
-
-        return self._assign(proxies, len(self.fleet.endpoints), True, assign)
+        return self._assign(proxies, True, len(self.fleet.endpoints), output)
 
     def assign_subsets(self, proxies: Iterable[int], output: PlannerOutput) -> int:
         """Assigns subsets to these proxies while there is budget, and returns the messages that makes."""
+        return self._assign(proxies, False, self.fleet.config.initial_table_size, output)
 
-        def assign(number: int, table: CalendarTable, ejected: set[EndpointId]) -> list[EndpointId]:
-            subset = self._subset_for(number, self._published_endpoints(table), ejected)
-            subset_table = FIRST_SUBSET_TABLE + number * (1 + len(self.fleet.config.zones)) + table.number
-            self._write_subset(subset_table, subset, table, output)
-            self.fleet.proxies[number].subsets.append(subset)
-            output.assign_table(number, subset_table, table.classes)
-            return subset
-
-        return self._assign(proxies, self.fleet.config.initial_table_size, False, assign)
-
-    def _assign(
-        self,
-        proxies: Iterable[int],
-        expected_lines: int,
-        is_calendar: bool,
-        assign: Callable[[int, CalendarTable, set[EndpointId]], list[EndpointId]],
-    ) -> int:
+    def _assign(self, proxies: Iterable[int], is_calendar: bool, expected_lines: int, output: PlannerOutput) -> int:
         budget, ejected, messages = self.budget, self.fleet.ejected_endpoints(), 0
         for number in proxies:
-            if not budget.can_take_assignment(expected_lines):
+            if not budget.has_capacity_for_assignment(expected_lines):
                 break
             proxy = self.fleet.proxies[number]
             proxy.subsets, proxy.has_calendar = [], is_calendar
             for table in self.fleet.tables:
                 if table.zone not in (None, proxy.zone):
                     continue
-                listed = assign(number, table, ejected)
-                budget.written_lines += 1 + len(table.classes) + len(listed) + len(ejected.intersection(listed))
+                endpoints = self._published_endpoints(table)
+                if is_calendar:
+                    output.assign_table(number, table.number, table.classes)
+                else:
+                    endpoints = self._assign_subset(number, table, endpoints, ejected, output)
+                budget.written_lines += 1 + len(table.classes) + len(endpoints) + len(ejected.intersection(endpoints))
             budget.written_lines += budget.lines_per_message
             messages += 1
         return messages
 
+    def _assign_subset(
+        self,
+        number: int,
+        table: CalendarTable,
+        published: list[EndpointId],
+        ejected: set[EndpointId],
+        output: PlannerOutput,
+    ) -> list[EndpointId]:
+        """Assigns a proxy its subset of one table, and returns the endpoints of the subset."""
+        subset = self._subset_for(number, published, ejected)
+        subset_table = FIRST_SUBSET_TABLE + number * (1 + len(self.fleet.config.zones)) + table.number
+        self._write_subset(subset_table, subset, table, output)
+        self.fleet.proxies[number].subsets.append(subset)
+        output.assign_table(number, subset_table, table.classes)
+        return subset
+
     def _published_endpoints(self, table: CalendarTable) -> list[EndpointId]:
         return [id_ for id_, state in self.fleet.endpoints.items() if state.published_slots.get(table.number)]
 
--- a/quillstep/planner/publishing.py
+++ b/quillstep/planner/publishing.py
@@ -28,7 +28,7 @@
 MIN_RELATIVE_CHANGE = 0.1  # of what was published, up to which a value is not published again
 URGENT_RANK = -1e9  # at and below: drains, failures, and warming endpoints that must lose slots
 ADDED_ENDPOINT_SLOTS = 3 * SLOTS_PER_ENDPOINT  # what an added or restored endpoint ranks as at least
-FORGET_AFTER_MS = 20 * CONTROL_INTERVAL_MS  # after an endpoint left the list, until it is removed and forgotten
+DELISTED_RETENTION_MS = 20 * CONTROL_INTERVAL_MS  # after an endpoint left the list, until its lines are removed
 NOT_PUBLISHED = PublishedAdmission(0.0, -1)
 
 
@@ -66,7 +66,7 @@
         joined = len(fleet.proxies)
         return cls(joined, len(zones), users, joined - sum(map(bool, waiting)), subset_users)
 
-    def told_of_ejection(self, change: EndpointChange) -> int:
+    def ejection_receivers(self, change: EndpointChange) -> int:
         """How many proxies an ejection or restore is sent to: a subset without the endpoint needs none."""
         return self.outside_subsets + self.subset_users[change.endpoint] if change.is_ejected else self.joined
 
@@ -152,13 +152,13 @@
         """The lines that a change makes, over all proxies."""
         lines = sum(audience.users[table] for table in change.slots)
         if change.is_ejected != self.fleet.endpoints[change.endpoint].is_ejected:
-            lines += audience.told_of_ejection(change)
+            lines += audience.ejection_receivers(change)
         return lines
 
     def _count(self, change: EndpointChange, cost: int, audience: Audience, written: WrittenUpdates) -> None:
         """Adds a change to what is written, before it is."""
         if change.is_ejected != self.fleet.endpoints[change.endpoint].is_ejected:
-            written.subset_messages += audience.told_of_ejection(change) - audience.outside_subsets
+            written.subset_messages += audience.ejection_receivers(change) - audience.outside_subsets
             reached = min(audience.joined, audience.outside_subsets + written.subset_messages)
         else:
             reached = audience.with_calendar if cost else 0
@@ -180,10 +180,10 @@
         """What should be published, given the wanted slots by table and endpoint."""
         for id_, state in self.fleet.endpoints.items():
             slots = {table: calendar.get(id_, 0) for table, calendar in wanted.items()}
-            is_listed = any(slots.values())
-            if self._can_forget(state, now_ms):
+            holds_slots = any(slots.values())
+            if self._can_remove(state, now_ms):
                 yield EndpointChange(0.0, id_, dict.fromkeys(state.published_slots, 0), False)
-            elif is_listed:
+            elif holds_slots:
                 change = self._slots_change(id_, state, slots, now_ms)
                 if change:
                     yield change
@@ -215,7 +215,7 @@
         """Whether it is not in service, or still warming up."""
         return not state.is_in_service or warm_up_fraction(self.fleet.config, state, now_ms) < 1.0
 
-    def _can_forget(self, state: EndpointState, now_ms: float) -> bool:
+    def _can_remove(self, state: EndpointState, now_ms: float) -> bool:
         """Whether an endpoint left the list for good, so that its lines can be removed.
 
         Endpoints are replaced under new ids all day, and tables would grow.  A proxy without the calendar may still
@@ -223,7 +223,7 @@
         """
         return (
             state.delisted_ms is not None
-            and now_ms - state.delisted_ms >= FORGET_AFTER_MS
+            and now_ms - state.delisted_ms >= DELISTED_RETENTION_MS
             and state.is_ejected
             and self.fleet.all_proxies_have_calendar()
         )
--- a/quillstep/planner/q_learning.py
+++ b/quillstep/planner/q_learning.py
@@ -41,12 +41,12 @@
 
 def mean_q_value(fleet: FleetState) -> float:
     """What an endpoint without a report counts as; 1 where none has reported, as in the paper's equal start."""
-    known = [
+    q_values = [
         endpoint.q_value
         for endpoint in fleet.endpoints.values()
         if endpoint.q_value is not None and endpoint.is_in_service
     ]
-    return sum(known) / len(known) if known else 1.0
+    return sum(q_values) / len(q_values) if q_values else 1.0
 
 
 def _update_q_value(endpoint: EndpointState, reward: float, now_ms: float) -> None:
--- a/quillstep/planner/state.py
+++ b/quillstep/planner/state.py
@@ -104,7 +104,7 @@
         has_urgent_change: Something changed that must be published before the next control interval is due.
         must_watch_again: Discovery reported an error; the watch is requested again when the next interval is due.
         last_proxy_change_ms: When a proxy left, or joined while it held another controller's updates.
-        last_takeover_ms: When a proxy last joined while it held another controller's updates.
+        last_migration_ms: When a proxy last joined while it held another controller's updates.
     """
 
     def __init__(self, config: PlannerConfig) -> None:
@@ -115,7 +115,7 @@
         self.tables = calendar_tables(config)
         self.has_urgent_change = False
         self.must_watch_again = False
-        self.last_proxy_change_ms = self.last_takeover_ms = float("-inf")
+        self.last_proxy_change_ms = self.last_migration_ms = float("-inf")
 
     def apply_endpoint_list(self, update: EndpointListUpdate, now_ms: float) -> None:
         """Follows an endpoint list or a change of it."""
@@ -161,7 +161,7 @@
             expected = event.expected_requests_per_s / max(1, len(self.classes))
             self.proxies[event.proxy] = JoinedProxy(event.zone, [expected] * len(self.classes))
             if not event.is_fresh:
-                self.last_takeover_ms = self.last_proxy_change_ms = now_ms
+                self.last_migration_ms = self.last_proxy_change_ms = now_ms
                 self.has_urgent_change = True
 
     def apply_upstream_stats(self, rows: Iterable[UpstreamStats]) -> None:
@@ -221,6 +221,10 @@
         """Whether no joined proxy still waits for the calendar."""
         return all(proxy.has_calendar for proxy in self.proxies.values())
 
+    def has_recent_migration(self, now_ms: float) -> bool:
+        """Whether a proxy that came from another controller joined so lately that reports do not show it yet."""
+        return now_ms - self.last_migration_ms < SETTLING_INTERVALS * CONTROL_INTERVAL_MS
+
     def is_settling(self, now_ms: float) -> bool:
         """Whether proxies joined or left so lately that reports do not show it yet."""
         return now_ms - self.last_proxy_change_ms < SETTLING_INTERVALS * CONTROL_INTERVAL_MS
--- a/quillstep/planner/update_budget.py
+++ b/quillstep/planner/update_budget.py
@@ -9,7 +9,7 @@
 
 from quillstep.planner.messages import PlannerConfig, PlannerOutput
 
-TRUSTED_PACE_FRACTION = 0.5  # of the channel's usual pace
+TRUSTED_RATE_FRACTION = 0.5  # of the channel's usual pace
 MAX_ACK_SERIALS = 64  # in use at a time
 MAX_QUEUE_FRACTION = 0.93  # of the channel's limit, that all updates may fill
 JOIN_QUEUE_FRACTION = 0.5  # of the same, that assignments of the calendar may fill
@@ -42,7 +42,7 @@
         self._acked_lines = 0.0  # what left by the acks, at `_acked_ms`
         self._acked_ms = 0.0
         self._serial = 0
-        self._trusted_lines_per_ms = TRUSTED_PACE_FRACTION * config.channel_lines_per_s / 1000.0
+        self._trusted_lines_per_ms = TRUSTED_RATE_FRACTION * config.channel_lines_per_s / 1000.0
         # A limit that is not configured holds nothing back.
         self.max_queued_lines = config.max_queued_lines or float("inf")
         self.drain_grace_lines = config.drain_grace_ms * config.channel_lines_per_s / 1000.0 or float("inf")
@@ -81,7 +81,7 @@
         """Whether so much waits that no change is written at all."""
         return self.queued_lines > JOIN_QUEUE_FRACTION * self.max_queued_lines
 
-    def can_take_assignment(self, expected_lines: float) -> bool:
+    def has_capacity_for_assignment(self, expected_lines: float) -> bool:
         """Whether one more proxy may be assigned tables; an empty channel takes one of any size.
 
         No more than is sent until an ack arrives: a drain may have to wait behind it.
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -1,4 +1,4 @@
-"""One pilot under test: a planner, a clock, and a writer that keeps its orders as tuples."""
+"""One planner under test: its observations, a clock, and an output that keeps its calls as tuples."""
 
 from quillstep.planner.assignment import FIRST_SUBSET_TABLE
 from quillstep.planner.messages import (
@@ -14,7 +14,9 @@
 )
 from quillstep.planner.planner import INTERVAL_TIMER, Planner
 
-TYPES = {
+SEED = 7
+JUST_OVER_AN_INTERVAL_MS = 1001.0
+OBSERVATION_TYPES = {
     "endpoint_lists": EndpointListUpdate,
     "proxy_streams": ProxyStreamEvent,
     "upstream_stats": UpstreamStats,
@@ -23,7 +25,7 @@
 }
 
 
-def class_facts(semantics="safe", priority_weight=1.0, **other):
+def class_config(semantics="safe", priority_weight=1.0, **other):
     row = {
         "latency_objective_ms": 1000.0,
         "idempotency_scope": "all",
@@ -34,9 +36,9 @@
     return ClassConfig(semantics=semantics, priority_weight=priority_weight, **row)
 
 
-def facts(**other):
+def planner_config(**other):
     base = {
-        "classes": [class_facts(), class_facts("unsafe", 3.0)], "health_checks_allowed": True, "admission": "share",
+        "classes": [class_config(), class_config("unsafe", 3.0)], "health_checks_allowed": True, "admission": "share",
         "channel_lines_per_s": 3000.0, "lines_per_message": 6.0, "max_queued_lines": 5000.0, "initial_capacity": 0.2,
         "warm_up_ms": 18000.0, "overload_multiple": 3.0, "local_ejection_failures": 5, "attempt_timeout_factor": 0.8,
         "max_update_delay_ms": 800.0, "initial_table_size": 5, "drain_grace_ms": 3000.0, "zones": ["a", "b"],
@@ -48,106 +50,117 @@
     return EndpointEntry(endpoint, zone, state, weight, started)
 
 
-def typed(name, rows):
-    """Plain tuples as the planner's messages of this kind."""
-    return [TYPES[name](*row) for row in rows] if name in TYPES else rows
+def typed(kind, rows):
+    """Plain tuples as the planner's messages of this kind; acks have no type of their own."""
+    return [OBSERVATION_TYPES[kind](*row) if kind in OBSERVATION_TYPES else row for row in rows]
 
 
 class PlannerHarness:
-    """Writes what the planner orders to `orders`, anew each round; `first` keeps those of the start."""
+    """Runs a planner; `written` holds its calls of the newest run, `written_at_start` those of the first."""
 
-    def __init__(self, start_facts, entries, proxies=2):
-        self.facts = start_facts
-        self.planner = Planner(start_facts, 7)
+    def __init__(self, config, entries, proxies=2):
+        self.config = config
+        self.planner = Planner(config, SEED)
+        self.fleet, self.capacity, self.admission = self.planner.fleet, self.planner.capacity, self.planner.admission
+        self.budget = self.planner.budget
         self.now = 1000.0
-        self.orders = []
-        self.ordered_levels = {}
-        streams = [(at, True, "ab"[at % 2], 10.0, True) for at in range(proxies)]
-        self.first = self.round(endpoint_lists=[("persisted", entries)], proxy_streams=streams)
+        self.written = []
+        self.written_admission = {}  # limit and retry policy by class
+        streams = [(number, True, "ab"[number % 2], 10.0, True) for number in range(proxies)]
+        self.written_at_start = self.observe(endpoint_lists=[("persisted", entries)], proxy_streams=streams)
 
     def __getattr__(self, name):
-        return lambda *args: self.orders.append((name, *args))
+        return lambda *args: self.written.append((name, *args))
 
     def assign_table(self, proxy, table, classes):
-        self.orders.append(("assign_table", proxy, table, list(classes)))
+        self.written.append(("assign_table", proxy, table, list(classes)))
 
-    def set_admission(self, table, classes, allowed, tries):
-        self.ordered_levels.update({place: (allowed, tries) for place in classes})
+    def set_admission(self, table, classes, limit, retry_policy):
+        self.written_admission.update({index: (limit, retry_policy) for index in classes})
 
-    def round(self, after=0.0, **incoming):
+    def observe(self, after=0.0, **observations):
+        """Passes observations to the planner, so many milliseconds after the ones before."""
         self.now += after
-        self.orders = []
-        observed = {
-            name: [TYPES[name](*row) if name in TYPES else row for row in rows] for name, rows in incoming.items()
-        }
+        self.written = []
+        observed = {kind: typed(kind, rows) for kind, rows in observations.items()}
         self.planner.run_interval(Observations(self.now, **observed), self)
-        return self.orders
+        return self.written
 
-    def turn(self, **incoming):
-        return self.round(after=1001.0, **incoming)
+    def run_interval(self, **observations):
+        """The same, when the next control interval is due."""
+        return self.observe(after=JUST_OVER_AN_INTERVAL_MS, **observations)
 
-    def settle(self, util=0.5, tries=10, failed=0, turns=12):
-        """Turns of even traffic, the same load at every endpoint."""
-        sums = [(e, tries, failed, 200.0, 1000.0, {"util": util}) for e in self.planner.fleet.endpoints]
-        arrivals = [(place, p, tries // 2, 0, 1000.0) for place in (0, 1) for p in self.planner.fleet.proxies]
-        for _ in range(turns):
-            self.turn(upstream_stats=sums, downstream_stats=arrivals)
+    def settle(self, util=0.5, attempts=10, failures=0, intervals=12):
+        """Control intervals of even traffic, the same load at every endpoint."""
+        fleet = self.fleet
+        upstream = [(e, attempts, failures, 200.0, 1000.0, {"util": util}) for e in fleet.endpoints]
+        downstream = [(index, p, attempts // 2, 0, 1000.0) for index in (0, 1) for p in fleet.proxies]
+        for _ in range(intervals):
+            self.run_interval(upstream_stats=upstream, downstream_stats=downstream)
 
-    def record(self, endpoint):
-        return self.planner.fleet.endpoints[endpoint]
+    def endpoint(self, endpoint):
+        return self.fleet.endpoints[endpoint]
 
     def slots(self, table=0):
-        used = {e: r for e, r in self.planner.fleet.endpoints.items() if not r.is_ejected}
-        return {e: r.published_slots[table] for e, r in used.items() if r.published_slots.get(table)}
+        """The published slots of a table's endpoints that are not ejected."""
+        used = {e: state for e, state in self.fleet.endpoints.items() if not state.is_ejected}
+        return {e: state.published_slots[table] for e, state in used.items() if state.published_slots.get(table)}
 
-    def levels(self):
-        return [self.ordered_levels[place] for place in sorted(self.ordered_levels)]
+    def limits(self):
+        """The published limit and retry policy of each class."""
+        return [self.written_admission[index] for index in sorted(self.written_admission)]
 
-    def wakes(self):
-        return sum(order[0] == "set_timer" and order[1] == INTERVAL_TIMER for order in self.orders)
+    def interval_timers(self):
+        return sum(call[0] == "set_timer" and call[1] == INTERVAL_TIMER for call in self.written)
 
 
 class ChannelModel:
-    """A pilot's channel, counted line by line; each message that leaves is answered with its receipt."""
-
-    def __init__(self, pilot, pace):
-        self.pilot, self.pace, self.queue, self.most, self.held = pilot, pace, [], 0.0, {}
-        self.users = {}  # by proxy, the table of each class
-        self.reached = {}  # by proxy, when its first table of ours left the channel
-        self.take(pilot.first)
-
-    def round(self, after, **incoming):
-        room, receipts = self.pilot.facts.channel_lines_per_s * self.pace * after / 1000.0, []
-        while self.queue and room >= self.queue[0][0]:
-            room -= self.queue[0][0]
-            _, serial, number = self.queue.pop(0)
-            receipts.append(serial)
-            if number is not None:
-                self.reached.setdefault(number, self.pilot.now)
+    """A planner's channel, counted line by line; each message that leaves is acknowledged."""
+
+    def __init__(self, harness, pace):
+        self.harness, self.pace, self.queue, self.max_queued_lines = harness, pace, [], 0.0
+        self.listed = {}  # the endpoints of each table
+        self.tables = {}  # by proxy, the table of each class
+        self.reached = {}  # by proxy, when its first assigned table left the channel
+        self.take(harness.written_at_start)
+
+    def observe(self, after, **observations):
+        capacity, acks = self.harness.config.channel_lines_per_s * self.pace * after / 1000.0, []
+        while self.queue and capacity >= self.queue[0][0]:
+            capacity -= self.queue[0][0]
+            _, serial, assigned_proxy = self.queue.pop(0)
+            acks.append(serial)
+            if assigned_proxy is not None:
+                self.reached.setdefault(assigned_proxy, self.harness.now)
         if self.queue:
-            self.queue[0][0] -= room
-        self.take(self.pilot.round(after, acks=receipts, **incoming))
-        return self.pilot.orders
-
-    def take(self, orders):
-        joins = {}
-        for order in orders:
-            if order[0] == "set_weight":
-                held = self.held.setdefault(order[1], set())
-                (held.add if order[3] else held.discard)(order[2])
-            if order[0] == "assign_table":
-                held = sum(1 + self.pilot.record(endpoint).is_ejected for endpoint in self.held[order[2]])
-                joins[order[1]] = joins.get(order[1], 0) + 1 + len(order[3]) + held
-                self.users.setdefault(order[1], {}).update(dict.fromkeys(order[3], order[2]))
-        toggles = [order[1] for order in orders if order[0] == "set_ejected"]
-        changes = sum(order[0] in ("set_weight", "set_admission") and order[1] < FIRST_SUBSET_TABLE for order in orders)
-        for number, proxy in self.pilot.planner.fleet.proxies.items():
-            # A withdrawal is a line at each proxy that holds a table with that endpoint; one without a table of ours
-            # may hold it, and one that is bound in this round is told with its table.
-            holds = {endpoint for table in self.users.get(number, {}).values() for endpoint in self.held[table]}
-            told = [endpoint for endpoint in toggles if number not in self.users or endpoint in holds]
-            cost = joins[number] if number in joins else (changes if proxy.has_calendar else 0) + len(told)
+            self.queue[0][0] -= capacity
+        self.take(self.harness.observe(after, acks=acks, **observations))
+        return self.harness.written
+
+    def take(self, written):
+        """Queues the messages of one run."""
+        assigned_lines = {}
+        for call in written:
+            if call[0] == "set_weight":
+                listed = self.listed.setdefault(call[1], set())
+                (listed.add if call[3] else listed.discard)(call[2])
+            if call[0] == "assign_table":
+                lines = sum(1 + self.harness.endpoint(endpoint).is_ejected for endpoint in self.listed[call[2]])
+                assigned_lines[call[1]] = assigned_lines.get(call[1], 0) + 1 + len(call[3]) + lines
+                self.tables.setdefault(call[1], {}).update(dict.fromkeys(call[3], call[2]))
+        ejections = [call[1] for call in written if call[0] == "set_ejected"]
+        changes = sum(call[0] in ("set_weight", "set_admission") and call[1] < FIRST_SUBSET_TABLE for call in written)
+        for number, proxy in self.harness.fleet.proxies.items():
+            # An ejection is a line at each proxy that holds a table with that endpoint; one without an assigned table
+            # may hold it, and one that is assigned the calendar in this run gets it with its table.
+            holds = {endpoint for table in self.tables.get(number, {}).values() for endpoint in self.listed[table]}
+            sent = [endpoint for endpoint in ejections if number not in self.tables or endpoint in holds]
+            cost = (
+                assigned_lines[number]
+                if number in assigned_lines
+                else (changes if proxy.has_calendar else 0) + len(sent)
+            )
             if cost:
-                lines = cost + 1 + self.pilot.facts.lines_per_message
-                self.queue.append([lines, orders[-1][1], number if number in joins else None])
-        self.most = max(self.most, sum(cost for cost, *_ in self.queue))
+                lines = cost + 1 + self.harness.config.lines_per_message
+                self.queue.append([lines, written[-1][1], number if number in assigned_lines else None])
+        self.max_queued_lines = max(self.max_queued_lines, sum(cost for cost, *_ in self.queue))
