--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -54,7 +54,7 @@
         self.facts = planner_config(record.fleet)
         channel, proxies = record.fleet.channel, record.fleet.proxies
         self.planner = PLANNERS[record.planner_kind](self.facts, record.seed)
-        self.next_round = ControlIntervals(self.planner, record.batch_window_ms)
+        self.control_intervals = ControlIntervals(self.planner, record.batch_window_ms)
         classes = record.fleet.classes
         self.ways = RetryPolicies([allowed_way(row.semantics) for row in classes], [row.deadline_ms for row in classes])
         stall_ms = (
@@ -107,14 +107,14 @@
 
     @property
     def incoming(self) -> Observations:
-        return self.next_round.incoming
+        return self.control_intervals.pending
 
     @property
     def rounds(self) -> int:
-        return self.next_round.count
+        return self.control_intervals.completed
 
     def heard(self, now_ms: float) -> None:
-        self.next_round.heard(now_ms)
+        self.control_intervals.record_arrival(now_ms)
 
     def roster(self, kind: str, entries: list[EndpointEntry], addresses: dict[int, tuple[str, int]]) -> None:
         """News of the list; entries as the interface has them."""
@@ -318,7 +318,7 @@
         """When the next round is due."""
         if not self.listed:
             return float("inf")
-        return min(self.next_round.due_ms(), self.plain.due_ms(), self.intake.due_ms())
+        return min(self.control_intervals.due_ms(), self.plain.due_ms(), self.intake.due_ms())
 
     def next_ms(self) -> float:
         """When `step` has something to do next."""
@@ -331,7 +331,7 @@
         return due if self.by_inbox else min(due, self.intake.plan_ms())
 
     def round(self, now_ms: float) -> None:
-        incoming = self.next_round.begin(now_ms)
+        incoming = self.control_intervals.start(now_ms)
         intake = self.plain if self.by_inbox else self.intake
         if intake.due_ms() <= now_ms:
             incoming.upstream_stats, incoming.downstream_stats = intake.hand_over(now_ms)
@@ -345,7 +345,9 @@
         self.ordered.pop(self.tables.number - ORDERS_KEPT, None)
         if self.orders is not None:
             self.orders = []
-        self.next_round.call(incoming, CoreOutput(self) if self.orders is None else RecordingOutput(self, self.orders))
+        self.control_intervals.run(
+            incoming, CoreOutput(self) if self.orders is None else RecordingOutput(self, self.orders)
+        )
         self.book.flush()
         self.channel.put(self.tables.commit(), now_ms)
         self.tell_held(now_ms)
@@ -391,7 +393,7 @@
         """Nothing to do: the roster's stream is dialled anew by itself, and brings what was missed."""
 
     def set_timer(self, token: int, at_ms: float) -> None:
-        self.core.next_round.wake(token, at_ms)
+        self.core.control_intervals.set_timer(token, at_ms)
 
     def log_note(self, text: str) -> None:
         self.core.log.info("note", reason=text)
--- a/quillstep/controller/event_queue.py
+++ b/quillstep/controller/event_queue.py
@@ -1,68 +1,94 @@
-"""What comes to the deciding thread, in two lanes: news, and sums of load reports.  News always goes first.
+"""The queue between the threads that receive events and the deciding thread: two bounded deques, events and statistics.
 
-Both are bounded; whoever brings more waits in its own thread, or where it must not wait, has what adds up added up.
+Events always go first.  A producer that may block waits in its own thread while its deque is full; one that must not
+block has its statistics merged into one entry for each key instead.
 """
 
 import threading
 import time
 from collections import deque
 from collections.abc import Callable, Hashable
+from typing import Generic, TypeVar
 
-Entry = tuple[float, tuple]  # when it came, what it is
+EventT = TypeVar("EventT")
 
 
-class EventQueue:
-    """`max_queued_events` and `sums_most` entries at most; a put blocks while its lane is full."""
+class EventQueue(Generic[EventT]):
+    """A bounded queue with many producers and one consumer; every method may be called from any thread.
 
-    def __init__(self, max_queued_events: int, sums_most: int) -> None:
+    `lock` guards all fields.  An entry is the time of its arrival in milliseconds and the event.
+    """
+
+    def __init__(self, max_events: int, max_stats: int) -> None:
         self.lock = threading.Lock()
-        self.some = threading.Condition(self.lock)
-        self.room = threading.Condition(self.lock)
-        self.news: deque[Entry] = deque()
-        self.sums: deque[Entry] = deque()
-        self.added: dict[Hashable, Entry] = {}  # what came while the lane of news was full, added up by its key
-        self.most = {id(self.news): max_queued_events, id(self.sums): sums_most}
+        self.not_empty = threading.Condition(self.lock)
+        self.not_full = threading.Condition(self.lock)
+        self.max_events, self.max_stats = max_events, max_stats
+        self.events: deque[tuple[float, EventT]] = deque()
+        self.stats: deque[tuple[float, EventT]] = deque()
+        self.merged: dict[Hashable, tuple[float, EventT]] = {}  # what came while `events` was full, by key
+
+    def put(self, arrived_ms: float, event: EventT) -> None:
+        """Queue an event; block while there is no room."""
+        self._put_blocking(self.events, self.max_events, (arrived_ms, event))
 
-    def put(self, entry: Entry) -> None:
-        self.enter(self.news, entry)
+    def put_stats(self, arrived_ms: float, event: EventT) -> None:
+        """Queue statistics, which are drained after all events; block while there is no room."""
+        self._put_blocking(self.stats, self.max_stats, (arrived_ms, event))
 
-    def put_sums(self, entry: Entry) -> None:
-        self.enter(self.sums, entry)
+    def put_nowait(
+        self,
+        arrived_ms: float,
+        event: EventT,
+        key: Hashable = None,
+        merge: Callable[[EventT, EventT], EventT] | None = None,
+    ) -> None:
+        """Queue an event without ever blocking.
 
-    def bring(self, entry: Entry, key: Hashable = None, add: Callable[[Entry, Entry], Entry] | None = None) -> None:
-        """Never waits: without `add` the entry is kept in any case, with it what comes to a full lane adds up."""
+        Args:
+            arrived_ms: When it arrived.
+            event: The event; without `merge` it is queued even where there is no room.
+            key: Which events may be merged with each other.
+            merge: Makes one event of an older and a newer one of the same key, where there is no room.  The arrival
+                of the oldest stands.
+        """
         with self.lock:
-            if add is None or len(self.news) < self.most[id(self.news)]:
-                self.news.append(entry)
+            if merge is None or len(self.events) < self.max_events:
+                self.events.append((arrived_ms, event))
+            elif key in self.merged:
+                first_ms, older = self.merged[key]
+                self.merged[key] = (first_ms, merge(older, event))
             else:
-                self.added[key] = add(self.added[key], entry) if key in self.added else entry
-            self.some.notify()
+                self.merged[key] = (arrived_ms, event)
+            self.not_empty.notify()
 
-    def enter(self, lane: deque[Entry], entry: Entry) -> None:
+    def wait(self, timeout_s: float) -> None:
+        """Block until any entry is queued, or the timeout is over."""
+        deadline_s = time.monotonic() + timeout_s
         with self.lock:
-            while len(lane) >= self.most[id(lane)]:
-                self.room.wait()
-            lane.append(entry)
-            self.some.notify()
+            while not self.events and not self.stats and not self.merged:
+                remaining_s = deadline_s - time.monotonic()
+                if remaining_s <= 0 or not self.not_empty.wait(remaining_s):
+                    return
 
-    def wait(self, seconds: float) -> None:
-        """Until there is anything in either lane, or the time is over."""
-        until = time.monotonic() + seconds
+    def drain(self, max_events: int) -> list[tuple[float, EventT]]:
+        """Remove up to `max_events` events and, once no event is left, what was merged and one entry of statistics."""
         with self.lock:
-            while not self.news and not self.sums and not self.added:
-                left = until - time.monotonic()
-                if left <= 0 or not self.some.wait(left):
-                    return
+            drained = [self.events.popleft() for _ in range(min(max_events, len(self.events)))]
+            if self.merged and not self.events:
+                drained += self.merged.values()
+                self.merged = {}
+            if self.stats and not self.events:
+                drained.append(self.stats.popleft())
+            if drained:
+                self.not_full.notify_all()
+            return drained
 
-    def take(self, max_queued_events: int) -> list[Entry]:
-        """News up to so many, and after them one entry of sums."""
+    def _put_blocking(
+        self, entries: deque[tuple[float, EventT]], max_entries: int, entry: tuple[float, EventT]
+    ) -> None:
         with self.lock:
-            found = [self.news.popleft() for _ in range(min(max_queued_events, len(self.news)))]
-            if self.added and not self.news:
-                found += self.added.values()
-                self.added = {}
-            if self.sums and not self.news:
-                found.append(self.sums.popleft())
-            if found:
-                self.room.notify_all()
-            return found
+            while len(entries) >= max_entries:
+                self.not_full.wait()
+            entries.append(entry)
+            self.not_empty.notify()
--- a/quillstep/controller/health_checker.py
+++ b/quillstep/controller/health_checker.py
@@ -1,7 +1,4 @@
-"""Health checks: HTTP/1.1 on blocking sockets in a few threads; load from the answer's ORCA header, or its body.
-
-The published forms are read: `TEXT name=value, ...`, `JSON {...}` and `BIN base64`.
-"""
+"""Active health checks: HTTP/1.1 on blocking sockets in a few threads, with the load report that an answer carries."""
 
 import base64
 import math
@@ -9,95 +6,116 @@
 import threading
 import time
 from collections.abc import Callable
-from typing import Any
 
 import h11
 import msgspec
 import structlog
 
 from quillstep.net.http import get
+from quillstep.planner.messages import EndpointId, HealthCheckResult
+
+LOAD_HEADER = "endpoint-load-metrics"
+MAX_BODY_BYTES = 16 * 1024
+MAX_QUEUED_CHECKS = 1024
+# Metrics of the published load report (ORCA) by the names that the planner reads.
+METRIC_NAMES = {"cpu_utilization": "util", "rps_fractional": "qps", "rps": "qps", "eps": "eps"}
 
-HEADER = "endpoint-load-metrics"
-ANSWER_MOST = 16 * 1024
-NAMES = {"cpu_utilization": "util", "rps_fractional": "qps", "rps": "qps", "eps": "eps"}
 
+def parse_load_report(text: str) -> dict[str, float]:
+    """Return the metrics of a load report by the planner's names; what can't be read is left out.
 
-def load_of(header: str) -> dict[str, float]:
-    """A load report by our names; what can't be read is left out."""
-    kind, _, body = header.strip().partition(" ")
-    found: dict[str, float] = {}
+    Reads the published forms of ORCA's header: `TEXT name=value, ...`, `JSON {...}`, `BIN base64`, and pairs alone.
+    """
+    form, _, body = text.strip().partition(" ")
+    metrics: dict[str, float] = {}
     try:
-        if kind == "BIN":
-            found = binary(base64.b64decode(body, validate=True))
-        elif kind == "JSON":
-            told = msgspec.json.decode(body)
-            told.update(told.pop("named_metrics", {}))
-            found = {name: value for name, value in told.items() if isinstance(value, int | float)}
+        if form == "BIN":
+            metrics = _parse_binary(base64.b64decode(body, validate=True))
+        elif form == "JSON":
+            metrics = _parse_json(body)
         else:
-            pairs = (body if kind == "TEXT" else header).split(",")
-            split = (pair.partition("=") for pair in pairs)
-            found = {name.strip(): float(value) for name, equals, value in split if equals}
-        clean = {name.removeprefix("named_metrics."): float(value) for name, value in found.items()}
+            metrics = _parse_pairs(body if form == "TEXT" else text)
+        values = {name.removeprefix("named_metrics."): float(value) for name, value in metrics.items()}
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError):
         return {}
-    return {NAMES.get(name, name): value for name, value in clean.items() if math.isfinite(value)}
+    return {METRIC_NAMES.get(name, name): value for name, value in values.items() if math.isfinite(value)}
+
+
+def _parse_pairs(text: str) -> dict[str, float]:
+    pairs = (pair.partition("=") for pair in text.split(","))
+    return {name.strip(): float(value) for name, equals, value in pairs if equals}
+
+
+def _parse_json(text: str) -> dict[str, float]:
+    report = msgspec.json.decode(text)
+    report.update(report.pop("named_metrics", {}))
+    return {name: value for name, value in report.items() if isinstance(value, int | float)}
 
 
-def binary(data: bytes) -> dict[str, float]:
-    """Raises ValueError.  Only who meets this form needs the library for it."""
+def _parse_binary(data: bytes) -> dict[str, float]:
+    # Imported here: only a deployment that sends this form needs the library.
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3 import orca_load_report_pb2
 
     try:
         report = orca_load_report_pb2.OrcaLoadReport.FromString(data)
-    except DecodeError as trouble:
-        raise ValueError(str(trouble)) from None
-    found = {"cpu_utilization": report.cpu_utilization, "rps_fractional": report.rps_fractional}
-    return {**found, **report.named_metrics}
+    except DecodeError as error:
+        raise ValueError(str(error)) from error
+    metrics = {"cpu_utilization": report.cpu_utilization, "rps_fractional": report.rps_fractional}
+    return {**metrics, **report.named_metrics}
 
 
-def check(host: str, port: int, timeout_ms: float, path: str = "/health") -> tuple[bool, dict[str, float]]:
-    """Ask one endpoint; whether it answered well, and its load, from the header or else the body."""
+def check_endpoint(host: str, port: int, timeout_ms: float, path: str = "/health") -> tuple[bool, dict[str, float]]:
+    """Check one endpoint; return whether it is healthy, and its load report from the header or else the body."""
     try:
-        answer = get((host, port), path, time.monotonic() + timeout_ms / 1000.0, ANSWER_MOST)
+        response = get((host, port), path, time.monotonic() + timeout_ms / 1000.0, MAX_BODY_BYTES)
     except (OSError, h11.ProtocolError):
         return False, {}
-    raw = answer.headers.get(HEADER.encode(), b"") or answer.body
-    return answer.status == 200, load_of(raw.decode("latin-1"))
+    report = response.headers.get(LOAD_HEADER.encode(), b"") or response.body
+    return response.status == 200, parse_load_report(report.decode("latin-1"))
 
 
 class HealthChecker:
-    """Asks endpoints; `put` is given ("probe", endpoint, answered, took_ms, load).  What finds no room is dropped."""
-
-    def __init__(self, threads: int, timeout_ms: float, put: Callable[[tuple], None], path: str = "/health") -> None:
-        self.timeout_ms, self.put, self.path = timeout_ms, put, path
-        self.wanted: queue.Queue[tuple[Any, str, int]] = queue.Queue(1024)
-        self.asked: set[Any] = set()
-        self.log = structlog.get_logger("probes")
-        for _ in range(threads):
-            threading.Thread(target=self.work, daemon=True).start()
-
-    def ask(self, endpoint: Any, host: str, port: int) -> None:
-        if endpoint in self.asked:
-            return  # one that takes long is not asked twice at once
-        self.asked.add(endpoint)  # first: a thread that has its answer at once takes it out again
+    """Checks endpoints on request, each at most once at a time; a request that finds the queue full is dropped.
+
+    The worker threads are daemons that end with the process: a check may hold one up to its timeout, and a stop must
+    not wait for it.
+    """
+
+    def __init__(
+        self, workers: int, timeout_ms: float, publish: Callable[[HealthCheckResult], None], path: str = "/health"
+    ) -> None:
+        """Start the worker threads, which call `publish` with each result."""
+        self.timeout_ms, self.publish, self.path = timeout_ms, publish, path
+        self.requests: queue.Queue[tuple[EndpointId, str, int]] = queue.Queue(MAX_QUEUED_CHECKS)
+        self.in_progress: set[EndpointId] = set()
+        self.log = structlog.get_logger("health_checks")
+        for number in range(workers):
+            threading.Thread(target=self._work, name=f"health-check-{number}", daemon=True).start()
+
+    def request(self, endpoint: EndpointId, host: str, port: int) -> None:
+        """Queue a check, unless one of this endpoint is in progress."""
+        if endpoint in self.in_progress:
+            return
+        self.in_progress.add(endpoint)  # first: a worker that is done at once removes it again
         try:
-            self.wanted.put_nowait((endpoint, host, port))
+            self.requests.put_nowait((endpoint, host, port))
         except queue.Full:
-            self.asked.discard(endpoint)
+            self.in_progress.discard(endpoint)
 
-    def work(self) -> None:
+    def _work(self) -> None:
         while True:
-            endpoint, host, port = self.wanted.get()
-            begun = time.monotonic()
-            answered, load = self.answer(host, port)
-            self.asked.discard(endpoint)
-            self.put(("probe", endpoint, answered, (time.monotonic() - begun) * 1000.0, load))
-
-    def answer(self, host: str, port: int) -> tuple[bool, dict[str, float]]:
-        """A fault of ours with one answer costs that answer, not the thread: a dozen such, and health is blind."""
+            endpoint, host, port = self.requests.get()
+            begun_s = time.monotonic()
+            is_healthy, load = self._check(host, port)
+            self.in_progress.discard(endpoint)
+            duration_ms = (time.monotonic() - begun_s) * 1000.0
+            self.publish(HealthCheckResult(endpoint, is_healthy, duration_ms, load))
+
+    def _check(self, host: str, port: int) -> tuple[bool, dict[str, float]]:
+        """A fault of the program costs that check, not its worker: without workers nothing would be checked at all."""
         try:
-            return check(host, port, self.timeout_ms, self.path)
+            return check_endpoint(host, port, self.timeout_ms, self.path)
         except Exception:
-            self.log.exception("a probe met a fault of ours", host=host, port=port)
+            self.log.exception("health check failed with an internal error", host=host, port=port)
             return False, {}
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -18,6 +18,7 @@
 from quillstep.controller.health_checker import HealthChecker
 from quillstep.load_reports.reader_pool import Processes
 from quillstep.load_reports.reader_thread import ThreadReader
+from quillstep.planner.messages import HealthCheckResult
 from quillstep.recording.writer import RecordingWriter
 from quillstep.store import Store
 from quillstep.store.writer import StoreWriter
@@ -60,7 +61,7 @@
         threading.stack_size(STACK_BYTES)
         sys.setswitchinterval(SWITCH_S)
         self.record = record
-        self.lanes = EventQueue(record.limits.max_queued_events, SUMS_MOST)
+        self.event_queue: EventQueue[tuple] = EventQueue(record.limits.max_queued_events, SUMS_MOST)
         self.socket_record = SocketRecord(record.socket_record)
         self.epoch = f"{record.name}-{os.getpid()}"
         self.decider = DecisionLoop(record, self.epoch, self.tap, self.put)
@@ -96,7 +97,9 @@
             self.processes.start()
         self.server = Server(record.listen, record.limits, self.put, self.reader)
         self.decider.streams.server = self.server
-        self.prober = HealthChecker(record.fleet.probes.max_concurrent, record.fleet.probes.timeout_ms, self.put)
+        self.health_checker = HealthChecker(
+            record.fleet.probes.max_concurrent, record.fleet.probes.timeout_ms, self.put_health_check
+        )
         self.stopping = False
         self.late = HdrHistogram(1, LATE_MOST, 2)  # of rounds behind the time they were due, tenths of a millisecond
         self.said_ms = 0.0
@@ -105,11 +108,15 @@
 
     def put(self, news: tuple) -> None:
         """Hand news to the deciding thread; blocks while its lane is full."""
-        self.lanes.put((self.now_ms(), news))
+        self.event_queue.put(self.now_ms(), news)
+
+    def put_health_check(self, result: HealthCheckResult) -> None:
+        """Hand over the outcome of a health check."""
+        self.put(("probe", *result))
 
     def put_sums(self, news: tuple) -> None:
         """Hand over what came of load reports; it is taken after all news."""
-        self.lanes.put_sums((self.now_ms(), news))
+        self.event_queue.put_stats(self.now_ms(), news)
 
     def tap(self, what: str, at_ms: float, **fields: Any) -> None:
         self.socket_record.tap(what, at_ms, **fields)
@@ -188,8 +195,8 @@
         """Wait for news or for what is due next, take it in, decide, send."""
         wait_s = (self.decider.next_ms() - self.now_ms()) / 1000.0
         if wait_s > 0:
-            self.lanes.wait(min(IDLE_S, wait_s))
-        for entry in self.lanes.take(BATCH):
+            self.event_queue.wait(min(IDLE_S, wait_s))
+        for entry in self.event_queue.drain(BATCH):
             self.take(*entry)
         now = self.now_ms()
         rounds = self.core.rounds
@@ -209,7 +216,7 @@
         if self.spans and self.core.rounds != rounds:
             self.spans.round(self.epoch, self.core.tables.number, now, self.now_ms(), late_ms=max(0.0, now - due))
         for endpoint, host, port in self.core.probes:
-            self.prober.ask(endpoint, host, port)
+            self.health_checker.request(endpoint, host, port)
         self.core.probes = []
         self.tell()
         self.socket_record.flush()
--- a/quillstep/load_reports/framing.py
+++ b/quillstep/load_reports/framing.py
@@ -12,7 +12,7 @@
 
 
 def framed(message: list[Any]) -> bytes:
-    return framing.framed(_encode(message))
+    return framing.add_length(_encode(message))
 
 
 def check(size: int, first: bytes) -> None:
@@ -28,4 +28,4 @@
 
     def feed(self, data: bytes) -> list[list[Any]]:
         self.held += data
-        return [_decode(body) for body in framing.bodies(self.held, check)]
+        return [_decode(body) for body in framing.remove_bodies(self.held, check)]
--- a/quillstep/load_reports/reader_process.py
+++ b/quillstep/load_reports/reader_process.py
@@ -21,7 +21,9 @@
 from quillstep.load_reports.reader_thread import say
 from quillstep.load_reports.validation import ReportAccount
 from quillstep.logging import configure_logging
-from quillstep.net.poller import Connection, Poller, now_ms
+from quillstep.net.clock import now_ms
+from quillstep.net.connection import Connection
+from quillstep.net.poller import Poller
 from quillstep.xds.grpc import UNIMPLEMENTED
 from quillstep.xds.http2 import GrpcConnection
 from quillstep.xds.server import LOAD
@@ -39,9 +41,9 @@
         self.poller = Poller(
             listen, limits, lambda: GrpcConnection(False, facts.max_message_bytes, limits.max_headers_bytes),
             self.event, self.closed,
-            idle_timeout_ms=limits.idle_timeout_ms + LONGEST * self.usual_ms, passed=self.work,
+            idle_timeout_ms=limits.idle_timeout_ms + LONGEST * self.usual_ms, after_pass=self.work,
         )  # fmt: skip
-        self.poller.listen_to(0, self.told)
+        self.poller.add_input(0, self.told)
         self.streams: dict[Connection, set[int]] = {}
         self.input = Frames()
         self.cpu_s = {"parse": 0.0, "fold": 0.0}
@@ -91,14 +93,14 @@
         if kind == "open":
             if event[2] != LOAD:
                 text = f"no method {event[2]} here: load reports alone"
-                peer.with_connection(lambda c: c.finish(stream, UNIMPLEMENTED, text))
+                peer.with_codec(lambda c: c.finish(stream, UNIMPLEMENTED, text))
                 return
-            peer.with_connection(lambda c: c.accept(stream))
+            peer.with_codec(lambda c: c.accept(stream))
             held.add(stream)
             self.desk.opened((peer, stream))
         elif kind == "message" and stream in held:
             self.desk.message((peer, stream), event[2], now_ms())
-            peer.hold(True)
+            peer.set_paused(True)
         elif kind == "end" and stream in held:
             if event[2]:
                 name = self.desk.lines[peer, stream].name
@@ -124,10 +126,10 @@
             peer.send(stream, data)
         for (peer, stream), status, text in outcome.ends:
             self.streams.get(peer, set()).discard(stream)
-            peer.with_connection(lambda c, s=stream, n=status, t=text: c.finish(s, n, t))  # type: ignore[misc]
+            peer.with_codec(lambda c, s=stream, n=status, t=text: c.finish(s, n, t))  # type: ignore[misc]
         for peer in {peer for (peer, _), _ in outcome.taken}:
             lines = (self.desk.lines.get((peer, stream)) for stream in self.streams.get(peer, ()))
-            peer.hold(any(line is not None and line.waits for line in lines))
+            peer.set_paused(any(line is not None and line.waits for line in lines))
         for name, life in outcome.hellos:
             self.say(["hello", name, life])
         say(self.log, self.desk.gatherer)
@@ -140,7 +142,7 @@
         begun = time.thread_time()
         found = self.desk.gatherer.hand_over(now_ms())
         self.cpu_s["fold"] += time.thread_time() - begun
-        spent = {"streams": self.poller.read_s, **self.cpu_s}
+        spent = {"streams": self.poller.io_cpu_s, **self.cpu_s}
         found["cpu_s"] = {name: round(each, 4) for name, each in spent.items()}
         found["held_bytes"] = self.desk.held_bytes
         self.say(["window", found])
--- a/quillstep/load_reports/reader_thread.py
+++ b/quillstep/load_reports/reader_thread.py
@@ -12,7 +12,7 @@
 from quillstep.load_reports.aggregator import Asked, ReportAggregator
 from quillstep.load_reports.reader_session import Desk
 from quillstep.load_reports.validation import ReportAccount
-from quillstep.net.poller import now_ms
+from quillstep.net.clock import now_ms
 from quillstep.xds.server import Peer
 
 IDLE_S = 0.5
@@ -85,11 +85,11 @@
         due_ms = self.desk.work(now_ms())
         outcome = self.desk.take_outcome()
         for (peer, stream), _ in outcome.taken:
-            peer.with_connection(lambda c, s=stream: c.taken(s))  # type: ignore[misc]
+            peer.with_codec(lambda c, s=stream: c.taken(s))  # type: ignore[misc]
         for (peer, stream), data in outcome.sends:
             peer.send(stream, data)
         for (peer, stream), status, text in outcome.ends:
-            peer.with_connection(lambda c, s=stream, n=status, t=text: c.finish(s, n, t))  # type: ignore[misc]
+            peer.with_codec(lambda c, s=stream, n=status, t=text: c.finish(s, n, t))  # type: ignore[misc]
         gatherer = self.desk.gatherer
         say(self.log, gatherer)
         if gatherer.due_ms() <= now_ms():
--- a/quillstep/net/__init__.py
+++ b/quillstep/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets for many peers: one poller, which is handed the protocol's codec."""
+"""Sockets: one thread that polls many connections, framing by length, and HTTP/1.1 as a client."""
--- a/quillstep/net/framing.py
+++ b/quillstep/net/framing.py
@@ -3,23 +3,30 @@
 import struct
 from collections.abc import Callable, Iterator
 
-HEAD = struct.Struct(">I")
+LENGTH = struct.Struct(">I")
 
 
-def framed(body: bytes) -> bytes:
-    return HEAD.pack(len(body)) + body
+def add_length(body: bytes) -> bytes:
+    """Return the body behind its length."""
+    return LENGTH.pack(len(body)) + body
 
 
-def bodies(held: bytearray, check: Callable[[int, bytes], None]) -> Iterator[bytes]:
-    """Take whole bodies off the head of what is held.
+def remove_bodies(buffer: bytearray, check: Callable[[int, bytes], None]) -> Iterator[bytes]:
+    """Remove complete bodies from the head of the buffer.
 
-    `check` gets a length and the first byte of the body, empty if it has not come, ahead of the rest; it may raise.
+    Args:
+        buffer: The bytes received so far; what is left in it is incomplete.
+        check: Is given each length and the first byte of its body, empty if it has not arrived, ahead of the rest, so
+            that a body is judged before it is buffered.  What it raises ends the iteration.
+
+    Yields:
+        Each complete body.
     """
-    while len(held) >= HEAD.size:
-        (size,) = HEAD.unpack_from(held)
-        check(size, bytes(held[HEAD.size : HEAD.size + 1]))
-        if len(held) < HEAD.size + size:
+    while len(buffer) >= LENGTH.size:
+        (length,) = LENGTH.unpack_from(buffer)
+        check(length, bytes(buffer[LENGTH.size : LENGTH.size + 1]))
+        if len(buffer) < LENGTH.size + length:
             return
-        body = bytes(held[HEAD.size : HEAD.size + size])
-        del held[: HEAD.size + size]
+        body = bytes(buffer[LENGTH.size : LENGTH.size + length])
+        del buffer[: LENGTH.size + length]
         yield body
--- a/quillstep/net/poller.py
+++ b/quillstep/net/poller.py
@@ -1,436 +1,326 @@
-"""Many connections served by one thread: blocking sockets, a poll that says which of them have something.
+"""Many connections served by one thread: blocking sockets, and a poll that tells which of them are ready.
 
-A thousand reader and writer threads cost a Python process more in fights for its interpreter than all that they read
-(measured, see docs/reports.md); one thread reads what has come, hands each event on, and writes what there is room
+A thread or two for each of a thousand connections would spend more on contention for the interpreter than on reading
+(figures in docs/reports.md).  One thread reads what has arrived, passes each event on, and writes what there is room
 for.  A peer that reads slowly, stalls, floods or breaks the protocol costs its own connection alone: it is read no
-further than its budget, and what it does not take has a bound and a time.
+further than its message budget, and what waits for it is bounded in bytes and time.
 """
 
 import contextlib
-import errno
-import os
 import select
 import socket
 import threading
 import time
 from collections import deque
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Generic, TypeVar
 
 import structlog
 
-CHUNK = 64 * 1024
-IDLE_MS = 500.0
-TEND_MS = 250.0
-REFUSED_MS = 1000.0  # between two lines of the log on connections that find no room
-ACCEPTS = 64  # connections taken between two looks at the others
-FULL = (errno.EMFILE, errno.ENFILE)
-READ, WRITE = select.POLLIN, select.POLLOUT
-ENDED = select.POLLHUP | select.POLLERR | select.POLLNVAL
-
+from quillstep.net.clock import now_ms
+from quillstep.net.codec import ProtocolError
+from quillstep.net.connection import CodecT, Connection, Limits
+from quillstep.net.listener import Listener
+from quillstep.net.wakeup import Wakeup
 
-Event = tuple
-
-
-class ProtocolError(Exception):
-    """The peer broke the protocol; the connection can't go on.  The text is for the log."""
+EventT = TypeVar("EventT")
 
+RECEIVE_BYTES = 64 * 1024
+MAX_POLL_MS = 500.0
+MAINTENANCE_INTERVAL_MS = 250.0
+READ, WRITE = select.POLLIN, select.POLLOUT
+ENDED = select.POLLHUP | select.POLLERR | select.POLLNVAL
 
-class Codec(Protocol):
-    """One connection's protocol without I/O; not safe for threads, its `Connection` holds a lock.
 
-    `receive` raises ConnectionBroken.  Until `started` a connection counts as a stranger's.
-    """
+class Poller(Generic[CodecT, EventT]):
+    """A listening socket and all connections that it accepted.
 
-    started: bool
-    held_bytes: int
-
-    def receive(self, data: bytes) -> list[Event]: ...
-    def send(self, stream: int, message: bytes) -> None: ...
-    def pump(self) -> bytes: ...
-    def ping(self) -> None: ...
-    def goodbye(self) -> bytes: ...
-
-
-class Limits(Protocol):
-    """What one connection may cost."""
-
-    @property
-    def max_unsent_bytes(self) -> int: ...
-    @property
-    def max_connections(self) -> int: ...
-    @property
-    def max_unregistered(self) -> int: ...
-    @property
-    def messages_per_s(self) -> float: ...
-    @property
-    def handshake_timeout_ms(self) -> float: ...
-    @property
-    def write_timeout_ms(self) -> float: ...
-    @property
-    def idle_timeout_ms(self) -> float: ...
-    @property
-    def ping_interval_ms(self) -> float: ...
-
-
-def now_ms() -> float:
-    return time.monotonic() * 1000.0
-
-
-class Connection:
-    """One connection.  `send`, `with_connection`, `unsent`, `stop` may be called from any thread and never block."""
-
-    def __init__(self, poller: "Poller", sock: socket.socket, codec: Any, order: int) -> None:
-        self.poller, self.sock, self.codec = poller, sock, codec
-        self.order = order  # its place among all that were accepted: of two, the later dialled later
-        self.lock = threading.Lock()
-        self.out = bytearray()  # what the socket has not taken yet; the poller's thread alone touches it
-        self.begun_ms = self.heard_ms = self.pinged_ms = self.written_ms = now_ms()
-        self.budget, self.counted_ms = poller.limits.messages_per_s, self.begun_ms
-        self.polled = READ
-        self.holds = False  # it is not read while this stands
-        self.touched = False
-        self.stopping = ""  # why it is to end
-        self.gone = False
-
-    @property
-    def started(self) -> bool:
-        return self.codec.started
-
-    def unsent(self) -> int:
-        return self.codec.held_bytes + len(self.out)
-
-    def send(self, stream: int, message: bytes) -> bool:
-        """Queue a message; False if the peer is over its bound and is cut off."""
-        with self.lock:
-            if self.stopping or self.gone:
-                return False
-            self.codec.send(stream, message)
-            over = self.unsent() > self.poller.limits.max_unsent_bytes + 2 * len(message)
-        if over:
-            self.stop("it reads more slowly than its bound allows")
-        self.poller.touch(self)
-        return not over
-
-    def with_connection(self, what: Callable[[Any], None]) -> None:
-        """Do something with the connection; the poller sees to the rest."""
-        with self.lock:
-            if not self.gone:
-                what(self.codec)
-        self.poller.touch(self)
-
-    def hold(self, holds: bool) -> None:
-        """Read no further for now, or on again."""
-        if self.holds != holds:
-            self.holds = holds
-            self.poller.touch(self)
-
-    def stop(self, reason: str) -> None:
-        """End the connection, after what can be sent at once."""
-        if not self.stopping:
-            self.stopping = reason
-        self.poller.touch(self)
-
-
-class Poller:
-    """A listening socket and all that it accepted.
-
-    `sink(peer, event)` and `closed(peer, reason)` are called in the poller's thread.  `passed`, where given, is called
-    after each pass and returns when, on the monotonic clock in milliseconds, the next one is due at the latest.
+    `schedule` and `stop` may be called from any thread; all else belongs to the thread that `run` is called in.
     """
 
     def __init__(
         self,
         listen: str,
         limits: Limits,
-        codec: Callable[[], Codec],
-        sink: Callable[[Connection, Event], None],
-        closed: Callable[[Connection, str], None],
+        make_codec: Callable[[], CodecT],
+        on_event: Callable[[Connection[CodecT], EventT], None],
+        on_closed: Callable[[Connection[CodecT], str], None],
         *,
         idle_timeout_ms: float,
-        passed: Callable[[], float] | None = None,
+        after_pass: Callable[[], float] | None = None,
     ) -> None:
-        self.limits, self.sink, self.closed, self.passed = limits, sink, closed, passed
-        self.codec, self.idle_timeout_ms = codec, idle_timeout_ms
-        host, _, port = listen.rpartition(":")
-        self.listener = socket.create_server((host.strip("[]"), int(port)), backlog=1024)
-        self.address = "{}:{}".format(*self.listener.getsockname()[:2])
+        """Bind the socket; nothing is accepted until `run`.
+
+        Args:
+            listen: Host and port, separated by a colon.
+            limits: What a connection may cost.
+            make_codec: Called for each connection.
+            on_event: Called with each event, in the poller's thread.
+            on_closed: Called with the reason after a connection was closed, in the poller's thread.
+            idle_timeout_ms: How long a registered peer that is not paused may be silent.
+            after_pass: Called after each pass; returns when on the monotonic clock, in milliseconds, the next pass is
+                due at the latest.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
+        self.limits, self.make_codec, self.idle_timeout_ms = limits, make_codec, idle_timeout_ms
+        self.on_event, self.on_closed, self.after_pass = on_event, on_closed, after_pass
         self.poll = select.poll()
-        self.listener.settimeout(0)  # several wait at once; the accepted ones block
-        self.peers: dict[int, Connection] = {}
-        self.strangers: dict[int, Connection] = {}  # those of them that have not started, oldest first
-        # Other descriptors; False from one of these ends the poller.
-        self.inputs: dict[int, Callable[[], bool]] = {}
-        self.touched: deque[Connection] = deque()
-        self.waker, woken = os.pipe()
-        os.set_blocking(self.waker, False)
-        os.set_blocking(woken, False)
-        # Closed with this object: who wakes a poller that has ended must not write to another's descriptor.
-        self.woken = os.fdopen(woken, "wb", buffering=0)
-        self.awake = False
-        self.ending = threading.Event()
+        self.listener = Listener(listen, self.poll)
+        self.address = self.listener.address
+        self.connections: dict[int, Connection[CodecT]] = {}  # by descriptor
+        self.unregistered: dict[int, Connection[CodecT]] = {}  # those of them that have not registered, oldest first
+        self.inputs: dict[int, Callable[[], bool]] = {}  # other descriptors and their handlers
+        self.scheduled: deque[Connection[CodecT]] = deque()
+        self.wakeup = Wakeup()
+        self.stopping = threading.Event()
         self.accepted = 0
-        self.accepting = True  # False: no descriptor is left, the listener is left alone until the next look
-        self.tended_ms = now_ms()
-        self.refused_ms = float("-inf")
-        self.read_s = 0.0  # processor time spent on sockets and streams
+        self.last_maintenance_ms = now_ms()
+        self.io_cpu_s = 0.0  # processor time spent on sockets and streams
         self.log = structlog.get_logger("net")
 
-    def listen_to(self, descriptor: int, take: Callable[[], bool]) -> None:
-        self.inputs[descriptor] = take
+    def add_input(self, descriptor: int, handler: Callable[[], bool]) -> None:
+        """Poll another descriptor, before `run`; the poller stops once its handler returns False."""
+        self.inputs[descriptor] = handler
 
-    def touch(self, peer: Connection) -> None:
-        """Have the poller's thread look at a peer."""
-        if not peer.touched:
-            peer.touched = True
-            self.touched.append(peer)
-            self.wake()
+    def schedule(self, connection: Connection[CodecT]) -> None:
+        """Have the poller's thread write, pause or close this connection as it now stands."""
+        if not connection.is_scheduled:
+            connection.is_scheduled = True
+            self.scheduled.append(connection)
+            self.wakeup.notify()
 
-    def wake(self) -> None:
-        if not self.awake:
-            self.awake = True
-            with contextlib.suppress(OSError):
-                self.woken.write(b"x")
-
-    def end(self) -> None:
-        """End all connections and the poller's thread, after what can be sent at once."""
-        self.ending.set()
-        self.awake = False
-        self.wake()
-
-    # the poller's thread
+    def stop(self) -> None:
+        """Have `run` close all connections, after what can be sent at once, and return."""
+        self.stopping.set()
+        self.wakeup.is_pending = False
+        self.wakeup.notify()
 
     def run(self) -> None:
-        self.poll.register(self.listener, READ)
-        self.poll.register(self.waker, READ)
-        for descriptor in self.inputs:
+        """Serve until `stop` is called or an input ends."""
+        for descriptor in (self.listener.sock.fileno(), self.wakeup.descriptor, *self.inputs):
             self.poll.register(descriptor, READ)
         due_ms = float("inf")
-        while not self.ending.is_set():
-            ready = self.poll.poll(min(IDLE_MS, max(0.0, due_ms - now_ms())))
-            begun = time.thread_time()
+        while not self.stopping.is_set():
+            ready = self.poll.poll(min(MAX_POLL_MS, max(0.0, due_ms - now_ms())))
+            begun_s = time.thread_time()
             for descriptor, events in ready:
-                if descriptor in self.peers:
-                    self.serve(self.peers[descriptor], events)
-                elif descriptor == self.waker:
-                    self.awake = False  # before the read: a wake after it writes again
-                    with contextlib.suppress(BlockingIOError):
-                        os.read(self.waker, 4096)
-                elif descriptor in self.inputs:
-                    if not self.inputs[descriptor]():
-                        self.ending.set()
-                else:
-                    self.accept()
-            self.look_at_touched()
-            if now_ms() - self.tended_ms > TEND_MS:
-                self.tend()
-            self.read_s += time.thread_time() - begun
-            due_ms = self.passed() if self.passed else float("inf")
-            self.look_at_touched()
+                self._serve(descriptor, events)
+            self.update_scheduled()
+            if now_ms() - self.last_maintenance_ms > MAINTENANCE_INTERVAL_MS:
+                self.run_maintenance()
+            self.io_cpu_s += time.thread_time() - begun_s
+            due_ms = self.after_pass() if self.after_pass else float("inf")
+            self.update_scheduled()
+        self._shut_down()
+
+    def _serve(self, descriptor: int, events: int) -> None:
+        if descriptor in self.connections:
+            self.handle_ready(self.connections[descriptor], events)
+        elif descriptor == self.wakeup.descriptor:
+            self.wakeup.clear()
+        elif descriptor in self.inputs:
+            if not self.inputs[descriptor]():
+                self.stopping.set()
+        else:
+            self.accept()
+
+    def _shut_down(self) -> None:
         self.listener.close()
-        for peer in list(self.peers.values()):
-            peer.stopping = peer.stopping or "the pilot stops"
-            self.look_at(peer)
-        os.close(self.waker)
+        for connection in list(self.connections.values()):
+            connection.close_reason = connection.close_reason or "the controller stops"
+            self.update(connection)
+        self.wakeup.close()
 
-    def accept(self) -> None:
-        """Take what waits, up to a number; the rest at the next pass, after a look at the others."""
-        for _ in range(ACCEPTS):
-            try:
-                sock, _ = self.listener.accept()
-            except BlockingIOError:
-                return
-            except OSError as trouble:
-                if trouble.errno in FULL and not self.give_up_a_stranger():
-                    self.refuse("no descriptor is left")
-                    self.listen_on(False)
-                return
-            self.take_in(sock)
+    # Accepting
 
-    def listen_on(self, accepting: bool) -> None:
-        """Look at the listener or not: one whose connections can't be taken would wake the poller all the time."""
-        if self.accepting != accepting:
-            self.accepting = accepting
-            self.poll.modify(self.listener, READ if accepting else 0)
+    def accept(self) -> None:
+        """Accept the connections that wait."""
+        self.listener.accept(self._add, self.evict_oldest_unregistered, self._log_rejection)
 
-    def take_in(self, sock: socket.socket) -> None:
-        limits = self.limits
+    def _add(self, sock: socket.socket) -> None:
         sock.settimeout(None)
-        if len(self.peers) >= limits.max_connections and not self.give_up_a_stranger():
-            self.refuse("too many connections")
+        if len(self.connections) >= self.limits.max_connections and not self.evict_oldest_unregistered():
+            self._log_rejection("too many connections")
             sock.close()
             return
-        while len(self.strangers) >= limits.max_unregistered:
-            self.give_up_a_stranger()
+        while len(self.unregistered) >= self.limits.max_unregistered:
+            self.evict_oldest_unregistered()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.accepted += 1
-        peer = Connection(self, sock, self.codec(), self.accepted)
-        self.peers[sock.fileno()] = self.strangers[sock.fileno()] = peer
+        connection = Connection(self, sock, self.make_codec(), self.accepted)
+        self.connections[sock.fileno()] = self.unregistered[sock.fileno()] = connection
         self.poll.register(sock, READ)
-        self.look_at(peer)
+        self.update(connection)
 
-    def refuse(self, reason: str) -> None:
-        """Say so, at most once a second."""
-        if now_ms() - self.refused_ms > REFUSED_MS:
-            self.refused_ms = now_ms()
-            self.log.warning("connection refused", reason=reason, most=len(self.peers))
+    def _log_rejection(self, reason: str) -> None:
+        self.listener.log_rejection(reason, len(self.connections))
 
-    def give_up_a_stranger(self) -> bool:
-        """End the oldest connection that has not started, so that silent ones by hundreds use up no descriptors.
+    def evict_oldest_unregistered(self) -> bool:
+        """Close the oldest connection that has not registered, so that silent ones can't exhaust the descriptors.
 
-        Read first: what has come may be its start.  This could harm one that starts late while many come at once; it
-        dials anew.
+        Its bytes are read first, since they may register it.  A peer that registers late while many connect at once
+        may lose its connection, and connects again.  Returns False if every connection has registered.
         """
-        while self.strangers:
-            if self.give_up(next(iter(self.strangers.values())), "too many connections have not started"):
+        while self.unregistered:
+            if self.evict_unregistered(next(iter(self.unregistered.values())), "too many unregistered connections"):
                 return True
         return False
 
-    def give_up(self, stranger: Connection, reason: str) -> bool:
-        """End a connection that has not started, after a last look at what it has sent; False if that starts it.
+    def evict_unregistered(self, connection: Connection[CodecT], reason: str) -> bool:
+        """Close a connection unless what it has sent registers it; return whether it is closed.
 
-        Found in reading: after a pause of the process its time was over while its start waited to be read.
+        Guards against a pause of the process in which its time passes while its registration waits to be read.
         """
-        self.serve(stranger, READ)
-        self.settle(stranger)
-        if stranger.gone:
+        self.handle_ready(connection, READ)
+        self._update_registration(connection)
+        if connection.is_closed:
             return True
-        if stranger.started:
+        if connection.is_registered:
             return False
-        self.finish(stranger, reason)
+        self.close_now(connection, reason)
         return True
 
-    def settle(self, peer: Connection) -> None:
-        """One that has started is no stranger any more."""
-        if peer.started:
-            self.strangers.pop(peer.sock.fileno(), None)
+    def _update_registration(self, connection: Connection[CodecT]) -> None:
+        if connection.is_registered:
+            self.unregistered.pop(connection.sock.fileno(), None)
 
-    def serve(self, peer: Connection, events: int) -> None:
-        """Read what has come, hand it on, write what there is room for."""
+    # Reading and writing
+
+    def handle_ready(self, connection: Connection[CodecT], events: int) -> None:
+        """Read what has arrived, pass it on, and write what there is room for."""
         if events & (READ | ENDED):
             try:
-                data = peer.sock.recv(CHUNK, socket.MSG_DONTWAIT)
+                data = connection.sock.recv(RECEIVE_BYTES, socket.MSG_DONTWAIT)
                 if not data:
-                    self.finish(peer, peer.stopping or "it closed the connection")
+                    self.close_now(connection, connection.close_reason or "it closed the connection")
                     return
-                self.take(peer, data)
+                self._receive(connection, data)
             except BlockingIOError:
                 pass
-            except ProtocolError as trouble:
-                self.say_goodbye(peer)
-                self.finish(peer, str(trouble))
+            except ProtocolError as error:
+                self._send_goodbye(connection)
+                self.close_now(connection, str(error))
                 return
-            except OSError as trouble:
-                self.finish(peer, peer.stopping or type(trouble).__name__)
+            except OSError as error:
+                self.close_now(connection, connection.close_reason or type(error).__name__)
                 return
-            except Exception as trouble:
-                self.fail(peer, trouble)
+            except Exception as error:
+                self._close_after_fault(connection, error)
                 return
-        if not peer.gone:
-            self.look_at(peer)
-
-    def fail(self, peer: Connection, trouble: Exception) -> None:
-        """A fault of ours while a connection was served: it ends that one, with its traceback, and not the thread."""
-        self.log.error("a connection met a fault of ours", exc_info=trouble)
-        self.finish(peer, f"{type(trouble).__name__}: {trouble}")
-
-    def take(self, peer: Connection, data: bytes) -> None:
-        peer.heard_ms = now_ms()
-        with peer.lock:
-            events = peer.codec.receive(data)
+        if not connection.is_closed:
+            self.update(connection)
+
+    def _close_after_fault(self, connection: Connection[CodecT], error: Exception) -> None:
+        """A fault of the program while it served a connection ends that one, with its traceback, not the thread."""
+        self.log.error("connection handler failed", exc_info=error)
+        self.close_now(connection, f"{type(error).__name__}: {error}")
+
+    def _receive(self, connection: Connection[CodecT], data: bytes) -> None:
+        connection.last_received_ms = now_ms()
+        with connection.lock:
+            events = connection.codec.receive(data)
         for event in events:
-            self.sink(peer, event)
+            self.on_event(connection, event)
         if events:
-            peer.budget -= len(events)
-            self.settle(peer)
-
-    def look_at_touched(self) -> None:
-        while self.touched:
-            peer = self.touched.popleft()
-            peer.touched = False
-            if not peer.gone:
-                self.look_at(peer)
-
-    def look_at(self, peer: Connection) -> None:
-        """Write what there is room for; poll it for what it may do; end it if it is to end."""
+            connection.message_budget -= len(events)
+            self._update_registration(connection)
+
+    def update_scheduled(self) -> None:
+        """Update all connections that were scheduled."""
+        while self.scheduled:
+            connection = self.scheduled.popleft()
+            connection.is_scheduled = False
+            if not connection.is_closed:
+                self.update(connection)
+
+    def update(self, connection: Connection[CodecT]) -> None:
+        """Write what there is room for, poll for what the connection may do, and close it if it is to be closed."""
         try:
-            with peer.lock:
-                peer.out += peer.codec.pump()
-            if peer.out:
-                self.write(peer)
+            with connection.lock:
+                connection.send_buffer += connection.codec.pump()
+            if connection.send_buffer:
+                self._write(connection)
         except OSError:
-            self.finish(peer, peer.stopping or "the connection broke")
+            self.close_now(connection, connection.close_reason or "the connection broke")
             return
-        except Exception as trouble:
-            self.fail(peer, trouble)
+        except Exception as error:
+            self._close_after_fault(connection, error)
             return
-        if peer.stopping:
-            self.finish(peer, peer.stopping)
+        if connection.close_reason:
+            self.close_now(connection, connection.close_reason)
             return
-        # One that asks for more answers than it reads is read no further, until its time to take them is over.
-        waits = peer.holds or peer.budget < 0 or len(peer.out) > self.limits.max_unsent_bytes
-        wanted = (0 if waits else READ) | (WRITE if peer.out else 0)
-        if wanted != peer.polled:
-            peer.polled = wanted
-            self.poll.modify(peer.sock, wanted)
-
-    def write(self, peer: Connection) -> None:
-        """Raises OSError."""
-        if not peer.polled & WRITE:
-            peer.written_ms = now_ms()
+        # A peer that asks for more answers than it reads is read no further, until the write timeout is over.
+        is_blocked = (
+            connection.is_paused
+            or connection.message_budget < 0
+            or len(connection.send_buffer) > self.limits.max_unsent_bytes
+        )
+        mask = (0 if is_blocked else READ) | (WRITE if connection.send_buffer else 0)
+        if mask != connection.poll_mask:
+            connection.poll_mask = mask
+            self.poll.modify(connection.sock, mask)
+
+    @staticmethod
+    def _write(connection: Connection[CodecT]) -> None:
+        if not connection.poll_mask & WRITE:
+            connection.last_written_ms = now_ms()
         try:
-            sent = peer.sock.send(peer.out, socket.MSG_DONTWAIT)
+            sent = connection.sock.send(connection.send_buffer, socket.MSG_DONTWAIT)
             if sent:
-                del peer.out[:sent]
-                peer.written_ms = now_ms()
+                del connection.send_buffer[:sent]
+                connection.last_written_ms = now_ms()
         except BlockingIOError:
             pass
 
     @staticmethod
-    def say_goodbye(peer: Connection) -> None:
-        """What the protocol has to say to one that broke it, if it still reads."""
-        with peer.lock, contextlib.suppress(OSError):
-            peer.sock.send(peer.codec.goodbye(), socket.MSG_DONTWAIT)
-
-    def finish(self, peer: Connection, reason: str) -> None:
-        with peer.lock:
-            if peer.gone:
+    def _send_goodbye(connection: Connection[CodecT]) -> None:
+        with connection.lock, contextlib.suppress(OSError):
+            connection.sock.send(connection.codec.goodbye(), socket.MSG_DONTWAIT)
+
+    def close_now(self, connection: Connection[CodecT], reason: str) -> None:
+        """Close a connection and report it, once."""
+        with connection.lock:
+            if connection.is_closed:
                 return
-            peer.gone = True
-        self.peers.pop(peer.sock.fileno(), None)
-        self.strangers.pop(peer.sock.fileno(), None)
+            connection.is_closed = True
+        self.connections.pop(connection.sock.fileno(), None)
+        self.unregistered.pop(connection.sock.fileno(), None)
         with contextlib.suppress(KeyError, OSError, ValueError):
-            self.poll.unregister(peer.sock)
+            self.poll.unregister(connection.sock)
         with contextlib.suppress(OSError):
-            peer.sock.shutdown(socket.SHUT_WR)
-        peer.sock.close()
-        self.closed(peer, reason)
+            connection.sock.shutdown(socket.SHUT_WR)
+        connection.sock.close()
+        self.on_closed(connection, reason)
+
+    # Timeouts
+
+    def run_maintenance(self) -> None:
+        """Enforce timeouts, send pings, refill message budgets, and poll the listener again."""
+        now = self.last_maintenance_ms = now_ms()
+        self.listener.set_accepting(True)
+        for connection in list(self.connections.values()):
+            if not connection.is_closed:
+                self._maintain(connection, now)
 
-    def tend(self) -> None:
-        """Time limits, pings, and budgets that come back."""
-        now = self.tended_ms = now_ms()
+    def _maintain(self, connection: Connection[CodecT], now: float) -> None:
         limits = self.limits
-        self.listen_on(True)
-        for peer in list(self.peers.values()):
-            if peer.gone:
-                continue
-            held = peer.budget < 0
-            back = (now - peer.counted_ms) * limits.messages_per_s / 1000.0
-            peer.budget = min(limits.messages_per_s, peer.budget + back)
-            peer.counted_ms = now
-            if not peer.started and now - peer.begun_ms > limits.handshake_timeout_ms:
-                self.give_up(peer, "no request came in time")
-            elif peer.out and now - peer.written_ms > limits.write_timeout_ms:
-                self.finish(peer, "it takes no bytes")
-            elif peer.started and not peer.holds and now - peer.heard_ms > self.idle_timeout_ms:
-                self.finish(peer, "it was silent for too long")
-            elif peer.started and now - max(peer.heard_ms, peer.pinged_ms) > limits.ping_interval_ms:
-                peer.pinged_ms = now
-                with peer.lock:
-                    peer.codec.ping()
-                self.look_at(peer)
-            elif held:
-                self.look_at(peer)
-
-
-__all__ = ["Codec", "ProtocolError", "Event", "Limits", "Poller", "Connection", "now_ms"]
+        was_over_budget = connection.message_budget < 0
+        refill = (now - connection.budget_updated_ms) * limits.messages_per_s / 1000.0
+        connection.message_budget = min(limits.messages_per_s, connection.message_budget + refill)
+        connection.budget_updated_ms = now
+        silent_ms = now - connection.last_received_ms
+        if not connection.is_registered and now - connection.accepted_ms > limits.handshake_timeout_ms:
+            self.evict_unregistered(connection, "it did not register in time")
+        elif connection.send_buffer and now - connection.last_written_ms > limits.write_timeout_ms:
+            self.close_now(connection, "it takes no bytes")
+        elif connection.is_registered and not connection.is_paused and silent_ms > self.idle_timeout_ms:
+            self.close_now(connection, "it was silent for too long")
+        elif connection.is_registered and min(silent_ms, now - connection.last_ping_ms) > limits.ping_interval_ms:
+            connection.last_ping_ms = now
+            with connection.lock:
+                connection.codec.ping()
+            self.update(connection)
+        elif was_over_budget:
+            self.update(connection)
--- a/quillstep/platform/discovery_watch.py
+++ b/quillstep/platform/discovery_watch.py
@@ -18,7 +18,7 @@
 import msgspec
 import structlog
 
-from quillstep.net.http import ask, dial, get, next_event
+from quillstep.net.http import connect, get, next_event, send_request
 from quillstep.platform.endpoint_list import DiscoveryUpdate, MalformedListError, address_of, read_list
 
 EMPTY_MS = 2000.0  # between empty lines while nothing changes
@@ -99,7 +99,7 @@
     def follow(self, address: str) -> None:
         """Raises OSError, Unreadable or h11.ProtocolError."""
         self.dials += 1
-        with dial(address_of(address), time.monotonic() + DIAL_MS / 1000.0) as sock:
+        with connect(address_of(address), time.monotonic() + DIAL_MS / 1000.0) as sock:
             with self.lock:
                 if address != self.address:
                     return  # it has moved while this was dialled
@@ -122,7 +122,7 @@
     def answer(self, sock: socket.socket, address: str) -> Iterator[bytes]:
         http, lines = h11.Connection(h11.CLIENT), Lines()
         until = time.monotonic() + SILENT_MS / 1000.0
-        ask(sock, http, address, f"{PATH}?follow=1&since={self.revision}", until)
+        send_request(sock, http, address, f"{PATH}?follow=1&since={self.revision}", until)
         while True:
             event = next_event(sock, http, until)
             if isinstance(event, h11.Response):
--- a/quillstep/platform/protocol/codec.py
+++ b/quillstep/platform/protocol/codec.py
@@ -7,8 +7,7 @@
 
 import msgspec
 
-from quillstep.net.framing import bodies, framed
-from quillstep.net.poller import Event
+from quillstep.net.framing import add_length, remove_bodies
 
 MESSAGE_MOST = 2**20
 NO_OBJECT = "a message that is no JSON object"
@@ -17,6 +16,8 @@
 encode = msgspec.json.Encoder().encode
 decode = msgspec.json.Decoder(dict[str, Any]).decode
 
+Event = tuple
+
 
 class MalformedMessageError(Exception):
     """Nothing can be read any more; the text says why."""
@@ -27,8 +28,8 @@
 
     def __init__(self, stranger_most: int) -> None:
         self.stranger_most = stranger_most
-        self.started = False
-        self.held_bytes = 0
+        self.is_registered = False
+        self.unsent_bytes = 0
         self.buffer = bytearray()
         self.outgoing: list[bytes] = []
         self.broken = False
@@ -41,13 +42,13 @@
 
         def check(length: int, first: bytes) -> None:
             """A stranger's is judged before it is held; its first message may be followed at once by others."""
-            if not 2 <= length <= (MESSAGE_MOST if self.started or events else self.stranger_most):
+            if not 2 <= length <= (MESSAGE_MOST if self.is_registered or events else self.stranger_most):
                 raise MalformedMessageError(f"a message of {length} bytes")
             if first and first not in OPENS:
                 raise MalformedMessageError(NO_OBJECT)
 
         try:
-            for body in bodies(self.buffer, check):
+            for body in remove_bodies(self.buffer, check):
                 events.append(("message", decode(body)))
         except MalformedMessageError as trouble:
             events.append(self.breaks(str(trouble)))
@@ -63,12 +64,12 @@
     def send(self, stream: int, message: bytes) -> None:
         """`message` is framed already; a connection has one stream."""
         self.outgoing.append(message)
-        self.held_bytes += len(message)
+        self.unsent_bytes += len(message)
 
     def pump(self) -> bytes:
         data = b"".join(self.outgoing)
         self.outgoing.clear()
-        self.held_bytes = 0
+        self.unsent_bytes = 0
         return data
 
     def ping(self) -> None:
@@ -78,4 +79,4 @@
         return b""
 
 
-__all__ = ["MessageCodec", "decode", "encode", "framed"]
+__all__ = ["MessageCodec", "decode", "encode", "add_length"]
--- a/quillstep/platform/protocol/connections.py
+++ b/quillstep/platform/protocol/connections.py
@@ -12,13 +12,15 @@
 
 import structlog
 
-from quillstep.net.poller import Connection, Event, Poller, now_ms
+from quillstep.net.clock import now_ms
+from quillstep.net.connection import Connection
+from quillstep.net.poller import Poller
 from quillstep.planner.messages import DownstreamStats, UpstreamStats
 from quillstep.platform.protocol import validation
-from quillstep.platform.protocol.codec import MessageCodec, encode, framed
+from quillstep.platform.protocol.codec import Event, MessageCodec, add_length, encode
 from quillstep.platform.protocol.validation import InvalidMessageError, Known
 
-ALIVE = framed(encode({"t": "hb_ok"}))
+ALIVE = add_length(encode({"t": "hb_ok"}))
 STRANGER_MOST = 4096  # bytes of a message before joining
 COLLECTORS = 2  # of one zone: the one that comes and the one that has not been seen to go
 TOLD_MS = 2000.0  # between two lines of the log on what was dropped for the same reason
@@ -58,26 +60,26 @@
         self.log = structlog.get_logger("frames")
 
     def event(self, peer: Connection, event: Event) -> None:
-        if peer.stopping:
+        if peer.close_reason:
             return
         kind, what = event
         if kind == "broken":
-            peer.stop(what)
+            peer.close(what)
             return
         name = validation.kind(what)
         if name == "hb":
             peer.send(0, ALIVE)
             return
         try:
-            if peer.started:
+            if peer.is_registered:
                 self.report(peer, name, what)
             else:
                 self.start(peer, name, what)
         except InvalidMessageError as trouble:
-            if peer.started:
+            if peer.is_registered:
                 self.drop(f"{name if name in REPORTS else 'message'}: {trouble}")
             else:
-                peer.stop(str(trouble))
+                peer.close(str(trouble))
 
     def start(self, peer: Connection, name: str, fields: dict[str, Any]) -> None:
         if name == "attach":
@@ -89,11 +91,11 @@
             same = [other for other, its in self.collectors.items() if its == zone]
             if len(same) >= COLLECTORS:
                 # The oldest could be the one that works, and the others come from who only says so.
-                min(same, key=lambda other: other.heard_ms).stop("its zone has newer collectors")
+                min(same, key=lambda other: other.last_received_ms).close("its zone has newer collectors")
             self.collectors[peer] = zone
         else:
             raise InvalidMessageError("it began without joining")
-        peer.codec.started = True
+        peer.codec.is_registered = True
 
     def report(self, peer: Connection, name: str, fields: dict[str, Any]) -> None:
         if name not in REPORTS:
@@ -141,7 +143,7 @@
 
 def add_sums(old: tuple, new: tuple) -> tuple:
     """Two entries of the lane with sums of one zone and endpoint as one; the newer load report stands."""
-    (at_ms, (_, a)), (_, (_, b)) = old, new
+    (_, a), (_, b) = old, new
     successes_a, successes_b = a.attempts - a.failures, b.attempts - b.failures
     good = successes_a + successes_b
     mean_ms = (a.mean_success_ms * successes_a + b.mean_success_ms * successes_b) / good if good else 0.0
@@ -149,12 +151,12 @@
         a.endpoint, a.attempts + b.attempts, a.failures + b.failures, mean_ms, a.window_ms + b.window_ms,
         {**a.load, **b.load},
     )  # fmt: skip
-    return at_ms, ("sums", merged)
+    return "sums", merged
 
 
 def add_arrivals(old: tuple, new: tuple) -> tuple:
-    (at_ms, (_, a)), (_, (_, b)) = old, new
+    (_, a), (_, b) = old, new
     merged = DownstreamStats(
         a.class_index, a.proxy, a.requests + b.requests, a.unanswered + b.unanswered, a.window_ms + b.window_ms
     )
-    return at_ms, ("arrivals", merged)
+    return "arrivals", merged
--- a/quillstep/platform/protocol/updates.py
+++ b/quillstep/platform/protocol/updates.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
-from quillstep.platform.protocol.codec import encode, framed
+from quillstep.platform.protocol.codec import add_length, encode
 
 ALL = 65535  # the table whose levels hold for all joined proxies
 PARTS_MOST = 64
@@ -158,7 +158,7 @@
         for number, part in enumerate(parts[:-1], 1):
             if number % PARTS_MOST:  # with very many classes the rest is a message of its own
                 part["continued"] = True
-        return b"".join(framed(encode({"t": "assign", **part})) for part in parts)
+        return b"".join(add_length(encode({"t": "assign", **part})) for part in parts)
 
     def parts(self, users: Users, bound: frozenset[int]) -> Iterator[dict[str, Any]]:
         for table, places in users:
--- a/quillstep/platform/service.py
+++ b/quillstep/platform/service.py
@@ -17,7 +17,8 @@
 from quillstep.controller.control_intervals import ControlIntervals
 from quillstep.controller.event_queue import EventQueue
 from quillstep.controller.health_checker import HealthChecker
-from quillstep.net.poller import Connection, now_ms
+from quillstep.net.clock import now_ms
+from quillstep.net.connection import Connection
 from quillstep.planner.messages import (
     DownstreamStats,
     EndpointListUpdate,
@@ -66,10 +67,10 @@
         self.record, self.facts = record, facts
         self.reloads = self.stops = False
         self.offset_ms = now_ms() - time.time() * 1000.0
-        self.lanes = EventQueue(NEWS_MOST, 1)
-        self.rounds = ControlIntervals(Planner(facts.start, seed_of(record.seed)), facts.tick_ms)
+        self.event_queue: EventQueue[tuple] = EventQueue(NEWS_MOST, 1)
+        self.control_intervals = ControlIntervals(Planner(facts.start, seed_of(record.seed)), facts.tick_ms)
         self.log = structlog.get_logger("pilot")
-        self.orders = ProtocolOutput(facts.classes, self.probe, self.rounds.wake, self.note)
+        self.orders = ProtocolOutput(facts.classes, self.probe, self.control_intervals.set_timer, self.note)
         self.at: dict[int, Connection] = {}  # where each joined proxy's stream is
         self.addresses: dict[str, tuple[str, int]] = {}
         self.gone: dict[str, float] = {}  # endpoints that are listed no more, and since when
@@ -85,19 +86,22 @@
         self.watch = DiscoveryWatch(
             record.discovery, record.known.revision, self.offset_ms, self.bring, owed=bool(self.first.spoilt)
         )
-        self.prober = HealthChecker(PROBERS, facts.probe_ms, self.bring, facts.probe_path)
+        self.health_checker = HealthChecker(PROBERS, facts.probe_ms, self.put_health_check, facts.probe_path)
 
     # from other threads
 
     def bring(self, news: tuple, key: Any = None, add: Callable | None = None) -> None:
-        self.lanes.bring((now_ms(), news), key, add)
+        self.event_queue.put_nowait(now_ms(), news, key, add)
+
+    def put_health_check(self, result: HealthCheckResult) -> None:
+        self.bring(("probe", *result))
 
     # the deciding thread
 
     def run(self, reload: Callable[[], PlatformConfiguration]) -> None:
         """Decide until a signal asks to stop."""
         self.take_list(self.first)
-        self.rounds.heard(now_ms() - self.facts.tick_ms)
+        self.control_intervals.record_arrival(now_ms() - self.facts.tick_ms)
         threading.Thread(target=self.front.poller.run, daemon=True).start()
         self.watch.start()
         self.log.info(
@@ -110,18 +114,18 @@
                 self.reload(reload)
             self.turn()
         self.say()
-        self.front.poller.end()
+        self.front.poller.stop()
 
     def turn(self) -> None:
         """Wait for news or for what is due next, take it in, decide, write."""
-        wait_s = (self.rounds.due_ms() - now_ms()) / 1000.0
+        wait_s = (self.control_intervals.due_ms() - now_ms()) / 1000.0
         if wait_s > 0:
-            self.lanes.wait(min(IDLE_S, wait_s))
-        for arrived_ms, news in self.lanes.take(BATCH):
+            self.event_queue.wait(min(IDLE_S, wait_s))
+        for arrived_ms, news in self.event_queue.drain(BATCH):
             TAKES[news[0]](self, *news[1:])
-            self.rounds.heard(arrived_ms)
+            self.control_intervals.record_arrival(arrived_ms)
         now = now_ms()
-        due = self.rounds.due_ms()
+        due = self.control_intervals.due_ms()
         if due <= now:
             self.late_ms = max(self.late_ms, now - due)
             self.round(now)
@@ -130,8 +134,8 @@
 
     def round(self, now: float) -> None:
         begun = time.thread_time()
-        incoming = self.rounds.begin(now)
-        self.rounds.call(incoming, self.orders)
+        incoming = self.control_intervals.start(now)
+        self.control_intervals.run(incoming, self.orders)
         for proxy, message in self.orders.flush():
             self.at[proxy].send(0, message)
             self.written += 1
@@ -140,7 +144,7 @@
 
     def probe(self, endpoint: str) -> None:
         if endpoint in self.addresses:
-            self.prober.ask(endpoint, *self.addresses[endpoint])
+            self.health_checker.request(endpoint, *self.addresses[endpoint])
 
     def note(self, text: str) -> None:
         self.log.info("note", reason=text)
@@ -149,14 +153,14 @@
 
     def take_join(self, peer: Connection, proxy: int, zone: str, usual: float, fresh: bool) -> None:
         if before := self.at.get(proxy):  # it has dialled anew before its old stream was seen to end
-            if before.order > peer.order:  # both waited to be read, and the newer was read first
-                peer.stop("its proxy dialled anew")
+            if before.accept_number > peer.accept_number:  # both waited to be read, and the newer was read first
+                peer.close("its proxy dialled anew")
                 return
             self.take_leave(before, proxy)
-            before.stop("its proxy dialled anew")
+            before.close("its proxy dialled anew")
         self.at[proxy] = peer
         self.orders.join(proxy)
-        self.rounds.incoming.proxy_streams.append(ProxyStreamEvent(proxy, True, zone, usual, fresh))
+        self.control_intervals.pending.proxy_streams.append(ProxyStreamEvent(proxy, True, zone, usual, fresh))
         self.log.info("proxy joined", proxy=proxy, zone=zone, fresh=fresh)
 
     def take_leave(self, peer: Connection, proxy: int) -> None:
@@ -164,27 +168,27 @@
             return  # the end of an older stream
         del self.at[proxy]
         self.orders.leave(proxy)
-        self.rounds.incoming.proxy_streams.append(ProxyStreamEvent(proxy, False))
+        self.control_intervals.pending.proxy_streams.append(ProxyStreamEvent(proxy, False))
 
     def take_receipt(self, peer: Connection, proxy: int, serial: int) -> None:
         if self.at.get(proxy) is peer and self.orders.answered(proxy, serial):
-            self.rounds.incoming.acks.append(serial)
+            self.control_intervals.pending.acks.append(serial)
         else:
             self.dropped["a mark that was not asked for"] += 1
 
     def take_sums(self, row: UpstreamStats) -> None:
         if row.endpoint in self.addresses or row.endpoint in self.gone:
-            self.rounds.incoming.upstream_stats.append(row)
+            self.control_intervals.pending.upstream_stats.append(row)
             self.told.update(tries=int(row.attempts), failed=int(row.failures))
         else:
             self.dropped["sums of an endpoint that is not listed"] += 1
 
     def take_arrivals(self, row: DownstreamStats) -> None:
-        self.rounds.incoming.downstream_stats.append(row)
+        self.control_intervals.pending.downstream_stats.append(row)
         self.told.update(arrived=int(row.requests), unanswered=int(row.unanswered))
 
     def take_probe(self, endpoint: str, answered: bool, took_ms: float, load: dict[str, float]) -> None:
-        self.rounds.incoming.health_checks.append(HealthCheckResult(endpoint, answered, took_ms, load))
+        self.control_intervals.pending.health_checks.append(HealthCheckResult(endpoint, answered, took_ms, load))
 
     def take_list(self, news: DiscoveryUpdate) -> None:
         """What discovery says; addresses and names of what has gone are forgotten after a while."""
@@ -199,7 +203,7 @@
         self.addresses.update({endpoint: news.addresses[endpoint] for endpoint in listed})
         forget_ms = FORGET_PERIODS * self.facts.start.report_interval_ms
         self.gone = {e: at for e, at in self.gone.items() if now - at < forget_ms and e not in listed}
-        self.rounds.incoming.endpoint_lists.append(EndpointListUpdate(news.kind, news.entries))
+        self.control_intervals.pending.endpoint_lists.append(EndpointListUpdate(news.kind, news.entries))
 
     # configuration and figures
 
@@ -224,13 +228,14 @@
         self.said_ms = now_ms()
         front = self.front
         self.log.info(
-            "figures", joined=len(self.at), connections=len(front.poller.peers), rounds=self.rounds.count,
+            "figures", joined=len(self.at), connections=len(front.poller.connections),
+            rounds=self.control_intervals.completed,
             late_ms=round(self.late_ms, 1), round_cpu_ms=round(self.cpu_ms, 1), cpu_s=round(time.process_time(), 2),
             messages=self.written, bytes=self.written_bytes, endpoints=len(self.addresses),
             dropped=dict(front.dropped + self.dropped), ended=dict(front.ended), watch=self.watch.state,
             dials=self.watch.dials, lines=self.watch.lines, revision=self.watch.revision,
             spoilt=self.watch.spoilt, owed=self.watch.owed, looks=self.watch.looks,
-            believed={**believed(self.rounds.planner), **self.told}, **machine(),
+            believed={**believed(self.control_intervals.planner), **self.told}, **machine(),
         )  # fmt: skip
         self.late_ms = self.cpu_ms = 0.0
 
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -25,18 +25,18 @@
 class PlayedPeer:
     """A peer of a captured day: takes what is sent, is as full as it was then."""
 
-    heard_ms = 0.0  # only words on late responses go by it
+    last_received_ms = 0.0  # only words on late responses go by it
 
     def __init__(self, number: int) -> None:
         self.number, self.is_full = number, False
 
-    def unsent(self) -> float:
+    def unsent_bytes(self) -> float:
         return float("inf") if self.is_full else 0.0
 
     def send(self, stream: int, message: bytes) -> bool:
         return True
 
-    def stop(self, reason: str) -> None:
+    def close(self, reason: str) -> None:
         """Its end comes from the capture."""
 
 
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -47,7 +47,7 @@
         self.out = bytearray()
 
     def unsent(self) -> int:
-        return len(self.out) + self.http2.held_bytes
+        return len(self.out) + self.http2.unsent_bytes
 
     def send(self, data: bytes) -> None:
         self.http2.send(self.stream, data)
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -142,7 +142,7 @@
             at = self.at.get(proxy)
             if at is None:
                 continue
-            if at[0].unsent() > self.record.limits.max_unsent_bytes:
+            if at[0].unsent_bytes() > self.record.limits.max_unsent_bytes:
                 self.full.append(at[0])
                 self.tables.stirred.add(proxy)  # the newest state goes when there is room, no backlog
                 continue
@@ -170,7 +170,7 @@
         for proxy, at in list(self.at.items()):
             warn_overdue(self.tables, proxy, self.nodes[proxy], self.record, self.warned, now_ms, self.log)
             ledger = self.tables.ledgers[proxy]
-            for verdict in ledger.judge(now_ms, at[0].heard_ms):
+            for verdict in ledger.judge(now_ms, at[0].last_received_ms):
                 self.tell(proxy, verdict, now_ms)
             if ledger.behind(now_ms):
                 self.held_back[proxy] = now_ms  # it may have to be asked
@@ -180,7 +180,7 @@
                 self.log.warning("stream ended", proxy=self.nodes[proxy], reason=text)
                 assert self.server
                 self.server.finish(*at, RESOURCE_EXHAUSTED, text)
-                at[0].stop(text)
+                at[0].close(text)
                 self.end(at, text, now_ms)
 
     def tell(self, proxy: int, verdict: Verdict, now_ms: float) -> None:
--- a/quillstep/xds/http2.py
+++ b/quillstep/xds/http2.py
@@ -13,13 +13,15 @@
 import h2.exceptions
 import h2.settings
 
-from quillstep.net.poller import Event, ProtocolError
+from quillstep.net.codec import ProtocolError
 from quillstep.xds.grpc import INTERNAL, UNAVAILABLE, FramingError, Unframer, frame
 
 STREAMS_MOST = 16  # on one connection
 WINDOW = 2**20
 STREAM_WINDOW = 2**16 - 1  # of one stream, at a server: what waits of a peer's reports is never more
 
+Event = tuple
+
 
 def texts(headers: Any) -> dict[str, str]:
     """Header fields as text; bytes that are none are kept readable, they only ever go to a log."""
@@ -46,8 +48,8 @@
         self.outgoing: dict[int, deque[bytes]] = {}  # framed messages that flow control holds back
         self.closing: dict[int, tuple[int, str]] = {}  # streams to be ended once their messages are out
         self.answered: set[int] = set()  # streams whose response headers are out
-        self.held_bytes = 0
-        self.started = False  # the first request has come
+        self.unsent_bytes = 0
+        self.is_registered = False  # the first request has come
         self.owed: dict[int, list[int]] = {}  # streams that get room by `taken`: bytes and messages not taken yet
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(WINDOW)
@@ -63,7 +65,7 @@
         events: list[Event] = []
         for event in found:
             events += self.translate(event)
-        self.started = self.started or bool(events)
+        self.is_registered = self.is_registered or bool(events)
         return events
 
     def translate(self, event: h2.events.Event) -> list[Event]:
@@ -159,7 +161,7 @@
         self.unframers.pop(stream, None)
         self.closing.pop(stream, None)
         for message in self.outgoing.pop(stream, ()):
-            self.held_bytes -= len(message)
+            self.unsent_bytes -= len(message)
 
     def open(self, path: str, authority: str) -> int:
         """As a client: open a stream to this method; returns its number."""
@@ -180,7 +182,7 @@
     def send(self, stream: int, message: bytes) -> None:
         framed = frame(message)
         self.outgoing.setdefault(stream, deque()).append(framed)
-        self.held_bytes += len(framed)
+        self.unsent_bytes += len(framed)
 
     def finish(self, stream: int, status: int, text: str) -> None:
         """As a server: end a stream with a status, after what was sent."""
@@ -224,7 +226,7 @@
                 queue.appendleft(head[room:])
                 head = head[:room]
             self.h2.send_data(stream, head)
-            self.held_bytes -= len(head)
+            self.unsent_bytes -= len(head)
         del self.outgoing[stream]
 
     def trail(self, stream: int, status: int, text: str) -> None:
--- a/quillstep/xds/peer.py
+++ b/quillstep/xds/peer.py
@@ -57,7 +57,7 @@
             thread.start()
 
     def unsent(self) -> int:
-        return self.connection.held_bytes + len(self.control)
+        return self.connection.unsent_bytes + len(self.control)
 
     def send(self, stream: int, message: bytes) -> bool:
         """Queue a message; False if the peer is over its bound and has been cut off."""
@@ -65,7 +65,7 @@
             if self.stopping:
                 return False
             self.connection.send(stream, message)
-            over = self.connection.held_bytes > self.unsent_most + 2 * len(message)
+            over = self.connection.unsent_bytes > self.unsent_most + 2 * len(message)
             self.wake.notify()
         if over:
             self.stop("it reads more slowly than its bound allows")
--- a/quillstep/xds/server.py
+++ b/quillstep/xds/server.py
@@ -10,7 +10,7 @@
 from google.protobuf.message import DecodeError
 
 from quillstep.config.controller import LimitSettings
-from quillstep.net.poller import Connection as Peer
+from quillstep.net.connection import Connection as Peer
 from quillstep.net.poller import Poller
 from quillstep.xds.grpc import INVALID_ARGUMENT, RESOURCE_EXHAUSTED, UNIMPLEMENTED
 from quillstep.xds.http2 import Event, GrpcConnection
@@ -69,14 +69,14 @@
             path = event[2]
             if path not in REQUESTS:
                 self.log.warning("stream refused", reason="unknown method", method=path)
-                peer.with_connection(lambda c: c.finish(stream, UNIMPLEMENTED, f"no method {path}"))
+                peer.with_codec(lambda c: c.finish(stream, UNIMPLEMENTED, f"no method {path}"))
                 return
             self.methods[peer, stream] = path
             self.streams.setdefault(peer, set()).add(stream)
-            peer.with_connection(lambda c: c.accept(stream))
+            peer.with_codec(lambda c: c.accept(stream))
             if self.loads and path == LOAD:
                 most = self.loads.message_most
-                peer.with_connection(lambda c: c.hold(stream, most))
+                peer.with_codec(lambda c: c.hold(stream, most))
                 self.loads.opened(peer, stream)
             else:
                 self.put(("open", peer, stream, path))
@@ -96,7 +96,7 @@
             except DecodeError:
                 self.log.warning("stream ended", reason="a message that is no request", method=found)
                 self.methods.pop((peer, stream), None)
-                peer.with_connection(lambda c: c.finish(stream, INVALID_ARGUMENT, "a message that is no request"))
+                peer.with_codec(lambda c: c.finish(stream, INVALID_ARGUMENT, "a message that is no request"))
                 self.put(("end", peer, stream, "a message that is no request"))
                 return
             self.put(("request", peer, stream, message, event[2]))
@@ -113,7 +113,7 @@
 
     def closed(self, peer: Peer, reason: str) -> None:
         streams = sorted(self.streams.pop(peer, ()))
-        if not streams or not peer.started:
+        if not streams or not peer.is_registered:
             self.log.warning("connection ended", reason=reason)
         for stream in streams:
             if method := self.methods.pop((peer, stream), None):
@@ -122,10 +122,10 @@
     def finish(self, peer: Peer, stream: int, status: int, text: str) -> None:
         """End one stream with a status that its peer can read."""
         self.methods.pop((peer, stream), None)
-        peer.with_connection(lambda c: c.finish(stream, status, text))
+        peer.with_codec(lambda c: c.finish(stream, status, text))
 
     def stop(self) -> None:
-        self.poller.end()
+        self.poller.stop()
 
 
 __all__ = ["DELTA", "LOAD", "SOTW", "LoadReader", "StreamEvent", "Peer", "Server"]
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -21,7 +21,7 @@
 from quillstep.files.generation_files import Packer, manifest
 from quillstep.platform import configuration, endpoint_list
 from quillstep.platform.protocol import validation
-from quillstep.platform.protocol.codec import MessageCodec, framed
+from quillstep.platform.protocol.codec import MessageCodec, add_length
 from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
 from quillstep.platform.protocol.updates import ProtocolOutput
 from quillstep.recording import lives, read_life
@@ -132,14 +132,16 @@
                 told[f"{name} with {field}={value!r}"] = [first, *said] if first else said
             if first:
                 told[f"{name} without {field}"] = [first, {k: v for k, v in message.items() if k != field}]
-    found = {name: b"".join(framed(msgspec.json.encode(m)) for m in messages) for name, messages in told.items()}
+    found = {name: b"".join(add_length(msgspec.json.encode(m)) for m in messages) for name, messages in told.items()}
     found["http"] = b"GET / HTTP/1.1\r\n\r\n"
     found["no length"] = b"\x00\x00\x00\x00"
     found["beyond a stranger"] = (5000).to_bytes(4, "big") + b"{"
-    found["beyond all"] = framed(msgspec.json.encode(ATTACH)) + (2**20 + 1).to_bytes(4, "big") + b"{"
-    found["a list"] = framed(msgspec.json.encode(ATTACH)) + framed(b"[1]")
-    found["half a message"] = framed(msgspec.json.encode(ATTACH))[:20]
-    found["not a number"] = framed(msgspec.json.encode(TELEMETRY)) + framed(b'{"t":"upstream_stats","mean":NaN}')
+    found["beyond all"] = add_length(msgspec.json.encode(ATTACH)) + (2**20 + 1).to_bytes(4, "big") + b"{"
+    found["a list"] = add_length(msgspec.json.encode(ATTACH)) + add_length(b"[1]")
+    found["half a message"] = add_length(msgspec.json.encode(ATTACH))[:20]
+    found["not a number"] = add_length(msgspec.json.encode(TELEMETRY)) + add_length(
+        b'{"t":"upstream_stats","mean":NaN}'
+    )
     return found
 
 
@@ -148,17 +150,17 @@
 
     def __init__(self):
         self.codec = MessageCodec(4096)
-        self.sent, self.stopping, self.order, self.heard_ms = [], "", 1, 0.0
+        self.sent, self.close_reason, self.accept_number, self.last_received_ms = [], "", 1, 0.0
 
     @property
-    def started(self):
-        return self.codec.started
+    def is_registered(self):
+        return self.codec.is_registered
 
     def send(self, stream, message):
         self.sent.append(message)
 
-    def stop(self, reason):
-        self.stopping = self.stopping or reason
+    def close(self, reason):
+        self.close_reason = self.close_reason or reason
 
 
 def incoming_messages():
@@ -179,8 +181,8 @@
     front.poller.listener.close()
     return {
         "brought": [plain([each for each in news if each is not peer]) for news in brought],
-        "answered": [message.hex() for message in peer.sent], "started": peer.started,
-        "dropped": sum(front.dropped.values()), "ended": bool(peer.stopping),
+        "answered": [message.hex() for message in peer.sent], "started": peer.is_registered,
+        "dropped": sum(front.dropped.values()), "ended": bool(peer.close_reason),
     }  # fmt: skip
 
 
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -49,7 +49,7 @@
 )  # fmt: skip
 def test_what_cannot_be_read_breaks_the_connection_after_what_could(data, started):
     codec = MessageCodec(4096)
-    codec.started = started
+    codec.is_registered = started
     events = codec.receive(frame({"t": "hb"}) + data) if started else codec.receive(data)
     assert [kind for kind, _ in events] == (["message", "broken"] if started else ["broken"])
     assert codec.receive(frame({"t": "hb"})) == []
@@ -57,7 +57,7 @@
 
 def test_a_length_is_judged_before_its_body_is_held():
     codec = MessageCodec(4096)
-    codec.started = True
+    codec.is_registered = True
     codec.receive((2**20).to_bytes(4, "big"))
     assert codec.receive(b"x")[0][0] == "broken" and not codec.buffer
 
@@ -121,14 +121,14 @@
         UpstreamStats("s", 2, 0, 40.0, 1000.0, {"util": 0.9}),
     ]  # fmt: skip
     for row in [rows[0], rows[0], *rows]:
-        lanes.bring((0.0, ("sums", row)), ("a", "s"), add_sums)
+        lanes.put_nowait(0.0, ("sums", row), ("a", "s"), add_sums)
     for arrived in (3, 4):
-        lanes.bring((0.0, ("arrivals", DownstreamStats(0, 1, arrived, 1, 500.0))), (0, 1), add_arrivals)
-    lanes.bring((0.0, ("join", 1)))
-    found = [news for _, news in lanes.take(10)]
+        lanes.put_nowait(0.0, ("arrivals", DownstreamStats(0, 1, arrived, 1, 500.0)), (0, 1), add_arrivals)
+    lanes.put_nowait(0.0, ("join", 1))
+    found = [news for _, news in lanes.drain(10)]
     assert found[:3] == [("sums", rows[0]), ("sums", rows[0]), ("join", 1)]
     assert found[3] == ("sums", ("s", 12, 7, pytest.approx(22.0), 3000.0, {"util": 0.9}))
-    assert found[4] == ("arrivals", (0, 1, 7, 2, 1000.0)) and not lanes.take(10)
+    assert found[4] == ("arrivals", (0, 1, 7, 2, 1000.0)) and not lanes.drain(10)
 
 
 # orders
@@ -502,7 +502,7 @@
     path = configuration(tmp_path, discovery.address, members)
     told = platform_configuration.read({"BALANCER_CONFIG": str(path)})
     pilot = PlatformController(told, platform_configuration.pilot_facts(told, str(path)))
-    planner, believed = pilot.rounds.planner, {}
+    planner, believed = pilot.control_intervals.planner, {}
     real = planner.run_interval
 
     def counted(incoming, orders):
--- a/tests/platform/test_races.py
+++ b/tests/platform/test_races.py
@@ -30,8 +30,8 @@
     wait_until,
 )
 
-from quillstep.controller.health_checker import HealthChecker, check, load_of
-from quillstep.net.http import ask, get, next_event
+from quillstep.controller.health_checker import HealthChecker, check_endpoint, parse_load_report
+from quillstep.net.http import get, next_event, send_request
 from quillstep.net.poller import Poller
 from quillstep.platform import configuration as platform_configuration
 from quillstep.platform.__main__ import Signals
@@ -71,7 +71,7 @@
             "127.0.0.1:0", limits, KNOWN, lambda news, key=None, add=None: self.news.append(news)
         )
         self.poller = self.front.poller
-        self.poller.poll.register(self.poller.listener, 1)
+        self.poller.poll.register(self.poller.listener.sock, 1)
         self.open = []
 
     def dial(self, data=b""):
@@ -85,13 +85,13 @@
         return {descriptor for descriptor, _ in self.poller.poll.poll(0)}
 
     def serve_ready(self):
-        for descriptor, events in sorted(self.poller.poll.poll(1000 if self.poller.peers else 0)):
-            if descriptor in self.poller.peers:
-                self.poller.serve(self.poller.peers[descriptor], events)
+        for descriptor, events in sorted(self.poller.poll.poll(1000 if self.poller.connections else 0)):
+            if descriptor in self.poller.connections:
+                self.poller.handle_ready(self.poller.connections[descriptor], events)
 
     def close(self):
-        for peer in list(self.poller.peers.values()):
-            self.poller.finish(peer, "the test ends")
+        for peer in list(self.poller.connections.values()):
+            self.poller.close_now(peer, "the test ends")
         for sock in self.open:
             sock.close()
         self.poller.listener.close()
@@ -107,21 +107,21 @@
 def test_a_joining_that_waits_to_be_read_is_read_before_its_time_is_over(steps):
     sock = steps.dial()
     steps.poller.accept()
-    (peer,) = steps.poller.peers.values()
-    peer.begun_ms -= 2 * LIMITS.handshake_timeout_ms  # the process stood still after its accept
+    (peer,) = steps.poller.connections.values()
+    peer.accepted_ms -= 2 * LIMITS.handshake_timeout_ms  # the process stood still after its accept
     sock.sendall(frame(attach(1)))
     wait_until(lambda: peer.sock.fileno() in steps.readable(), "the joining's bytes")
-    steps.poller.tend()
-    assert not peer.gone and [news[0] for news in steps.news] == ["join"]
+    steps.poller.run_maintenance()
+    assert not peer.is_closed and [news[0] for news in steps.news] == ["join"]
 
 
 def test_one_that_says_nothing_in_its_time_is_closed(steps):
     steps.dial()
     steps.poller.accept()
-    (peer,) = steps.poller.peers.values()
-    peer.begun_ms -= 2 * LIMITS.handshake_timeout_ms
-    steps.poller.tend()
-    assert peer.gone and not steps.poller.peers
+    (peer,) = steps.poller.connections.values()
+    peer.accepted_ms -= 2 * LIMITS.handshake_timeout_ms
+    steps.poller.run_maintenance()
+    assert peer.is_closed and not steps.poller.connections
 
 
 def test_a_joining_in_pieces_is_not_cut_off_while_descriptors_are_free(tmp_path):
@@ -148,34 +148,34 @@
         for _ in range(8):
             steps.dial()
         steps.poller.accept()
-        assert len(steps.poller.peers) == 8
+        assert len(steps.poller.connections) == 8
         for number in range(4):
             steps.dial(frame(attach(number)))
             steps.poller.accept()
             steps.serve_ready()
         assert sorted(news[2] for news in steps.news if news[0] == "join") == [0, 1, 2, 3]
-        assert len(steps.poller.peers) == 8 and len(steps.poller.strangers) == 4
+        assert len(steps.poller.connections) == 8 and len(steps.poller.unregistered) == 4
     finally:
         steps.close()
 
 
 def test_a_fault_of_ours_with_one_connection_ends_that_one_alone(steps):
-    real = steps.poller.sink
+    real = steps.poller.on_event
 
     def sink(peer, event):
         if event[1].get("id") == 2:
             raise RuntimeError("a handler that fails")
         real(peer, event)
 
-    steps.poller.sink = sink
+    steps.poller.on_event = sink
     for number in (1, 2, 3):
         steps.dial(frame(attach(number)))
-    wait_until(lambda: steps.poller.listener.fileno() in steps.readable(), "connections")
+    wait_until(lambda: steps.poller.listener.sock.fileno() in steps.readable(), "connections")
     steps.poller.accept()
-    peers = list(steps.poller.peers.values())
+    peers = list(steps.poller.connections.values())
     wait_until(lambda: {peer.sock.fileno() for peer in peers} <= steps.readable(), "joinings")
     steps.serve_ready()
-    assert [peer.gone for peer in peers] == [False, True, False]
+    assert [peer.is_closed for peer in peers] == [False, True, False]
     assert [news[2] for news in steps.news] == [1, 3]
 
 
@@ -183,12 +183,12 @@
 def test_a_kind_that_is_no_text_is_dropped_on_a_joined_stream_and_ends_a_stranger(steps, kind):
     joined, stranger = steps.dial(frame(attach(1)) + frame({"t": kind})), steps.dial(frame({"t": kind}))
     steps.poller.accept()
-    peers = {peer.sock.getpeername(): peer for peer in steps.poller.peers.values()}
+    peers = {peer.sock.getpeername(): peer for peer in steps.poller.connections.values()}
     mine, other = peers[joined.getsockname()], peers[stranger.getsockname()]
     wait_until(lambda: {mine.sock.fileno(), other.sock.fileno()} <= steps.readable(), "their bytes")
     steps.serve_ready()
-    steps.poller.look_at_touched()
-    assert not mine.gone and other.gone and sum(steps.front.dropped.values()) == 1
+    steps.poller.update_scheduled()
+    assert not mine.is_closed and other.is_closed and sum(steps.front.dropped.values()) == 1
 
 
 def test_who_only_says_that_it_is_a_collector_ends_none_that_works(steps):
@@ -196,15 +196,15 @@
     works = steps.dial(joining)
     steps.poller.accept()
     steps.serve_ready()
-    (peer,) = steps.poller.peers.values()
+    (peer,) = steps.poller.connections.values()
     for _ in range(4):
         steps.dial(joining)
         steps.poller.accept()
         steps.serve_ready()
-        steps.poller.look_at_touched()
+        steps.poller.update_scheduled()
         works.sendall(frame(live.sums("a", "s0", 5, 0)))
         steps.serve_ready()
-    assert not peer.gone and len(steps.front.collectors) == 2
+    assert not peer.is_closed and len(steps.front.collectors) == 2
     assert [news[0] for news in steps.news] == ["sums"] * 4
 
 
@@ -214,7 +214,7 @@
     steps.poller.accept()
     steps.serve_ready()
     waiting = steps.dial(frame(attach(2)))
-    wait_until(lambda: steps.poller.listener.fileno() in steps.readable(), "a connection that waits")
+    wait_until(lambda: steps.poller.listener.sock.fileno() in steps.readable(), "a connection that waits")
     before = resource.getrlimit(resource.RLIMIT_NOFILE)
     held = []
     resource.setrlimit(resource.RLIMIT_NOFILE, (64 + len(os.listdir("/proc/self/fd")), before[1]))
@@ -224,15 +224,15 @@
                 held.append(os.open("/dev/null", os.O_RDONLY))
         assert found.value.errno == errno.EMFILE
         steps.poller.accept()
-        assert steps.poller.listener.fileno() not in steps.readable()
+        assert steps.poller.listener.sock.fileno() not in steps.readable()
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, before)
         for descriptor in held:
             os.close(descriptor)
-    steps.poller.tend()
-    assert steps.poller.listener.fileno() in steps.readable()
+    steps.poller.run_maintenance()
+    assert steps.poller.listener.sock.fileno() in steps.readable()
     steps.poller.accept()
-    assert any(peer.sock.getpeername() == waiting.getsockname() for peer in steps.poller.peers.values())
+    assert any(peer.sock.getpeername() == waiting.getsockname() for peer in steps.poller.connections.values())
 
 
 def test_a_poller_that_has_ended_wakes_nobody_elses_descriptor():
@@ -241,12 +241,12 @@
     )
     thread = threading.Thread(target=poller.run)
     thread.start()
-    poller.end()
+    poller.stop()
     thread.join(live.WAIT_S)
     pairs = [socket.socketpair() for _ in range(4)]  # these take the numbers that have become free
     try:
-        poller.awake = False
-        poller.wake()
+        poller.wakeup.is_pending = False
+        poller.wakeup.notify()
         for pair in pairs:
             for end in pair:
                 end.setblocking(False)
@@ -279,13 +279,13 @@
     """One pass of the poller, what it brought, and what follows from that at the poller."""
     pilot.steps.serve_ready()
     for _ in range(2):
-        for _, news in pilot.lanes.take(1024):
+        for _, news in pilot.event_queue.drain(1024):
             getattr(pilot, f"take_{news[0]}")(*news[1:])
-        pilot.steps.poller.look_at_touched()
+        pilot.steps.poller.update_scheduled()
 
 
 def streams_of(pilot, *socks):
-    by_name = {peer.sock.getpeername(): peer for peer in pilot.steps.poller.peers.values()}
+    by_name = {peer.sock.getpeername(): peer for peer in pilot.steps.poller.connections.values()}
     return [by_name[sock.getsockname()] for sock in socks]
 
 
@@ -298,7 +298,7 @@
     assert pilot.at[1] is newer
     first.sendall(frame(attach(1, "a")))  # it was sent first, and is read last
     taken(pilot)
-    assert pilot.at[1] is newer and not newer.gone and older.gone
+    assert pilot.at[1] is newer and not newer.is_closed and older.is_closed
     assert 1 in pilot.orders.proxies
 
 
@@ -316,25 +316,25 @@
     taken(pilot)
     (newer,) = streams_of(pilot, second)
     assert pilot.at == {1: newer} and 1 in pilot.orders.proxies
-    joins = [row for row in pilot.rounds.incoming.proxy_streams if row[1]]
-    assert joins[-1][2] == "b" and pilot.rounds.incoming.proxy_streams[-1][1]
+    joins = [row for row in pilot.control_intervals.pending.proxy_streams if row[1]]
+    assert joins[-1][2] == "b" and pilot.control_intervals.pending.proxy_streams[-1][1]
 
 
 def test_a_joining_that_comes_with_its_connections_end_is_a_joining_and_a_leaving(pilot):
     sock = pilot.steps.dial(frame(attach(1)))
     sock.close()
     pilot.steps.poller.accept()
-    while pilot.steps.poller.peers:
+    while pilot.steps.poller.connections:
         taken(pilot)
-    assert [row[:2] for row in pilot.rounds.incoming.proxy_streams] == [(1, True), (1, False)]
-    assert not pilot.at and not pilot.orders.proxies and not pilot.steps.poller.peers
+    assert [row[:2] for row in pilot.control_intervals.pending.proxy_streams] == [(1, True), (1, False)]
+    assert not pilot.at and not pilot.orders.proxies and not pilot.steps.poller.connections
 
 
 def test_an_order_to_a_stream_that_has_just_ended_is_forgotten_with_it(pilot):
     sock = pilot.steps.dial(frame(attach(1)))
     pilot.steps.poller.accept()
     taken(pilot)
-    pilot.steps.poller.finish(pilot.at[1], "it breaks before the round")  # its end waits in the lane
+    pilot.steps.poller.close_now(pilot.at[1], "it breaks before the round")  # its end waits in the lane
     written = pilot.written
     pilot.round(time.monotonic() * 1000.0)
     assert pilot.written > written and pilot.orders.proxies[1].users  # it counts as told
@@ -562,7 +562,7 @@
     try:
         with pytest.raises(TimeoutError):
             get(address_of(endpoint.address), "/health", time.monotonic() + 0.2, 1000)
-        assert check(*address_of(endpoint.address), 50.0) == (False, {})
+        assert check_endpoint(*address_of(endpoint.address), 50.0) == (False, {})
     finally:
         endpoint.close()
 
@@ -571,7 +571,7 @@
     ours, theirs = socket.socketpair()
     with ours, theirs:
         http = h11.Connection(h11.CLIENT)
-        ask(ours, http, "x", "/health", time.monotonic() + live.WAIT_S)
+        send_request(ours, http, "x", "/health", time.monotonic() + live.WAIT_S)
         theirs.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
         with pytest.raises(TimeoutError):
             next_event(ours, http, time.monotonic() - 0.001)
@@ -589,21 +589,21 @@
         answered.set()
 
     prober = HealthChecker(1, 1000.0, put)
-    real = prober.wanted.put_nowait
+    real = prober.requests.put_nowait
 
     def put_and_wait(item):
         """The thread finishes between the two lines of `ask`."""
         real(item)
         assert answered.wait(live.WAIT_S)
-        wait_until(lambda: "s" not in prober.asked or len(found) > 1, "the thread's end with it", 0.5)
+        wait_until(lambda: "s" not in prober.in_progress or len(found) > 1, "the thread's end with it", 0.5)
 
-    prober.wanted.put_nowait = put_and_wait
+    prober.requests.put_nowait = put_and_wait
     try:
-        prober.ask("s", *address_of(endpoint.address))
-        assert "s" not in prober.asked
+        prober.request("s", *address_of(endpoint.address))
+        assert "s" not in prober.in_progress
         answered.clear()
-        prober.ask("s", *address_of(endpoint.address))
-        assert [news[2] for news in found] == [True, True]
+        prober.request("s", *address_of(endpoint.address))
+        assert [news.is_healthy for news in found] == [True, True]
     finally:
         endpoint.close()
 
@@ -628,7 +628,7 @@
 
 @pytest.mark.parametrize("text", SPOILT_LOADS, ids=range(len(SPOILT_LOADS)))
 def test_a_load_report_that_cannot_be_read_is_an_answer_without_one(text):
-    assert load_of(text) == {}
+    assert parse_load_report(text) == {}
 
 
 def test_answers_of_any_kind_cost_no_prober_thread(monkeypatch):
@@ -638,15 +638,15 @@
     prober = HealthChecker(1, 1000.0, found.append, "/status/load")
     try:
         for at, endpoint in enumerate(endpoints):
-            prober.ask(at, *address_of(endpoint.address))
-        prober.ask("a name that can't be", "a..b", 80)
-        monkeypatch.setattr("quillstep.controller.health_checker.load_of", lambda text: 1 / 0)
-        prober.ask("a fault of ours", *address_of(good.address))
+            prober.request(at, *address_of(endpoint.address))
+        prober.request("a name that can't be", "a..b", 80)
+        monkeypatch.setattr("quillstep.controller.health_checker.parse_load_report", lambda text: 1 / 0)
+        prober.request("a fault of ours", *address_of(good.address))
         wait_until(lambda: len(found) == len(endpoints) + 2, "an answer for each")
         monkeypatch.undo()
-        prober.ask("s", *address_of(good.address))
+        prober.request("s", *address_of(good.address))
         wait_until(lambda: len(found) == len(endpoints) + 3, "a good answer after them")
-        assert found[-1][2:] == (True, found[-1][3], {"inflight": 3.0, "util": 0.4}) and not prober.asked
+        assert found[-1][1:] == (True, found[-1].duration_ms, {"inflight": 3.0, "util": 0.4}) and not prober.in_progress
     finally:
         for endpoint in [*endpoints, good]:
             endpoint.close()
@@ -833,11 +833,12 @@
     """The seam raises where nothing of a peer's is at hand: what could be served afterwards is served by nobody."""
     path = configuration(tmp_path, "127.0.0.1:1", [])
     seams = {
-        "poller": "import quillstep.net.poller as at; at.Poller.tend = lambda self: 1 / 0",
+        "poller": "import quillstep.net.poller as at; at.Poller.run_maintenance = lambda self: 1 / 0",
         "watch": (
-            "import quillstep.platform.discovery_watch as at; at.AGAIN_MS = None; at.Watch.follow = lambda *_: None"
+            "import quillstep.platform.discovery_watch as at; at.AGAIN_MS = None; "
+            "at.DiscoveryWatch.follow = lambda *_: None"
         ),
-        "deciding": "import quillstep.platform.service as at; at.LivePilot.turn = lambda self: 1 / 0",
+        "deciding": "import quillstep.platform.service as at; at.PlatformController.turn = lambda self: 1 / 0",
     }
     code = f"{seams[thread]}; import sys; from quillstep.platform.__main__ import main; sys.exit(main())"
     done = subprocess.run(
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -10,7 +10,7 @@
 from memory_fleet import CLASSES, TIMES, small_day
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
-from quillstep.controller.health_checker import load_of
+from quillstep.controller.health_checker import parse_load_report
 from quillstep.invariants import judge
 from quillstep.testbed.scenarios.child_processes import Child
 from quillstep.testbed.scenarios.plan import plan
@@ -195,7 +195,7 @@
     ],
 )
 def test_load_is_read_in_each_published_form_and_what_is_none_is_left_out(header, load):
-    assert load_of(header) == load
+    assert parse_load_report(header) == load
 
 
 def test_the_plan_of_a_day_follows_from_its_seed():
