--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -19,7 +19,7 @@
 from quillstep.config.controller import StoreSettings
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import judge, longest_channel, slowest_drain
-from quillstep.routing.resources import LINE, content
+from quillstep.routing.resources import WEIGHT, make_resource
 from quillstep.store import Store
 from quillstep.store.records import Entry, OperatorCommand, VersionRow, number_key
 from quillstep.testbed.scenarios.plan import plan
@@ -111,8 +111,8 @@
     store.write([Entry("versions", number_key(0, number), version)])
     wanted = {}
     for endpoint, weight in version.lines:
-        key = (LINE, 0, endpoint)
-        wanted[name(key)] = content(key, ("127.0.0.1", arm.ports[endpoint], weight)).version
+        key = (WEIGHT, 0, endpoint)
+        wanted[name(key)] = make_resource(key, ("127.0.0.1", arm.ports[endpoint], weight)).version
     before = sum(row["what"] == "send" for row in arm.evidence().sent)
     begun = now_ms()
     store.write([Entry("wishes", number_key(time.time_ns()), OperatorCommand("rollback", [(0, kind)], "bench", 0.0))])
--- a/quillstep/cli/store.py
+++ b/quillstep/cli/store.py
@@ -17,7 +17,7 @@
 from quillstep.config.controller import ControllerSettings
 from quillstep.config.cue import ConfigError
 from quillstep.config.loading import load
-from quillstep.routing.resources import TABLES, terms_of
+from quillstep.routing.resources import MAX_TABLES, table_number_offset
 from quillstep.store import Store, StoreError
 from quillstep.store.records import Entry, OperatorCommand, VersionRow, number_key
 
@@ -41,7 +41,7 @@
         if not self.record.store.folder:
             fail(f"{path}: store.folder: found nothing, expected a folder")
         fleet = self.record.fleet
-        self.terms = terms_of(fleet.zones, any(row.home_zone_only for row in fleet.classes))
+        self.terms = table_number_offset(fleet.zones, any(row.home_zone_only for row in fleet.classes))
         try:
             self.store = Store(self.record.store.folder, self.record.store.max_size_bytes, write=write)
         except StoreError as trouble:
@@ -81,11 +81,11 @@
         if name.startswith("~") and name[1:].isdigit():
             back = int(name[1:])
             if back >= len(rows):
-                fail(f"table {table % TABLES}: {len(rows)} versions are known, not {back} before the newest")
+                fail(f"table {table % MAX_TABLES}: {len(rows)} versions are known, not {back} before the newest")
             return rows[-1 - back]
         found = {row.name: row for row in rows if row.name.startswith(name)}
         if len(found) != 1:
-            fail(f"table {table % TABLES}: {len(found)} versions begin with {name!r}, expected one")
+            fail(f"table {table % MAX_TABLES}: {len(found)} versions begin with {name!r}, expected one")
         return next(iter(found.values()))
 
     def at(self, table: int, moment: str) -> VersionRow:
@@ -96,7 +96,7 @@
             fail(f"--at {moment}: expected a time such as 2026-12-01T18:30:00")
         rows = [row for row in self.versions(table) if row.wall_ms <= wall_ms]
         if not rows:
-            fail(f"table {table % TABLES}: nothing stood at {moment}")
+            fail(f"table {table % MAX_TABLES}: nothing stood at {moment}")
         return rows[-1]
 
     def ask(self, kind: str, targets: list[tuple[int, str]]) -> dict[str, Any]:
@@ -111,7 +111,11 @@
             taken = all(found != key for found, _ in self.store.rows("wishes"))
         except StoreError as trouble:
             fail(trouble)
-        return {"asked": kind, "targets": [[table % TABLES, name] for table, name in targets], "taken": taken}
+        return {
+            "asked": kind,
+            "targets": [[table % MAX_TABLES, name] for table, name in targets],
+            "taken": taken,
+        }
 
 
 def say(found: Any) -> None:
@@ -121,7 +125,7 @@
 def plain(row: VersionRow) -> dict[str, Any]:
     found = msgspec.to_builtins(row)
     names = row.__struct_fields__
-    return {**dict(zip(names, found, strict=True)), "table": row.table % TABLES}
+    return {**dict(zip(names, found, strict=True)), "table": row.table % MAX_TABLES}
 
 
 @click.group()
@@ -148,12 +152,12 @@
     for row in rows:
         when = datetime.fromtimestamp(row.wall_ms / 1000.0).isoformat(timespec="milliseconds")
         pinned = "pinned" if (row.table, row.name) in pins else ""
-        shown.add_row(when, str(row.table % TABLES), row.name, row.parent, row.cause, row.who, str(len(row.lines)),
+        shown.add_row(when, str(row.table % MAX_TABLES), row.name, row.parent, row.cause, row.who, str(len(row.lines)),
                       str(row.order), row.life, pinned)  # fmt: skip
     Console(stderr=True).print(shown)
     keep = ("table", "name", "parent", "cause", "who", "wall_ms", "order", "life")
     say({"versions": [{name: plain(row)[name] for name in keep} for row in rows],
-         "pins": [[table % TABLES, name] for table, name in sorted(pins)]})  # fmt: skip
+         "pins": [[table % MAX_TABLES, name] for table, name in sorted(pins)]})  # fmt: skip
 
 
 @tables.command()
--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -29,7 +29,7 @@
 from quillstep.routing import ProxyUpdate, Tables
 from quillstep.routing.ack_latency import STALL_PART
 from quillstep.routing.recovery import recovery_trust_ms
-from quillstep.routing.resources import terms_of
+from quillstep.routing.resources import table_number_offset
 from quillstep.routing.retry_policies import RetryPolicies, allowed_way
 from quillstep.routing.rollout_gate import RolloutGate
 from quillstep.routing.versions import Version, VersionedTables, version_of
@@ -78,7 +78,7 @@
         self.late_stores = 0  # pushes that left before they were durable
         self.catch_up_ms = 0.0  # when tables that wait are looked at next
         self.told_held: dict[tuple[int, str, int, int], float] = {}  # what the gate kept, and when it was told
-        self.terms = terms_of(record.fleet.zones, any(row.home_zone_only for row in classes))
+        self.terms = table_number_offset(record.fleet.zones, any(row.home_zone_only for row in classes))
         self.started: dict[int, float] = {}  # when each listed endpoint started, 0: long ago
         self.channel = UpdateChannel(channel.lines_per_s)
         self.plain = PlainStats(INTAKE_PART * proxies.report_interval_ms)
--- a/quillstep/controller/event_codec.py
+++ b/quillstep/controller/event_codec.py
@@ -38,7 +38,7 @@
     if kind == "written":
         return [kind, what.directory, [what.generation.number, data], more]
     if isinstance(data, Parked):
-        contents = [[list(key), c.version, [*c.what]] for key, c in data.contents.items()]
+        contents = [[list(key), c.version, [*c.content]] for key, c in data.contents.items()]
         return [kind, what, [msgspec.to_builtins(data.hello), data.newest, data.holds, contents], more]
     return [kind, what, data, more]
 
--- a/quillstep/files/generation_files.py
+++ b/quillstep/files/generation_files.py
@@ -13,11 +13,11 @@
 from google.protobuf import json_format
 
 from quillstep.routing import Key, Resource
-from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE
+from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, LISTENER, ROUTES, WEIGHT
 from quillstep.xds import resources
 
 MANIFEST = "manifest.json"
-NAMES = {ENTRY: "lds", POOL: "cds", SHARE: "eds", ROUTES: "rds", OUT: "leds-withdrawn"}
+NAMES = {LISTENER: "lds", CLUSTER: "cds", ADMISSION: "eds", ROUTES: "rds", EJECTED: "leds-withdrawn"}
 SUFFIX = {"protobuf": ".pb", "json": ".json"}
 
 
@@ -51,14 +51,14 @@
 
     def place(self, key: Key) -> str:
         """The file that a key belongs to."""
-        stem = f"leds-table-{key[1]}-{key[2] % self.shards:02x}" if key[0] == LINE else NAMES[key[0]]
+        stem = f"leds-table-{key[1]}-{key[2] % self.shards:02x}" if key[0] == WEIGHT else NAMES[key[0]]
         return stem + SUFFIX[self.form]
 
     def files(self, contents: dict[Key, Resource]) -> list[Packed]:
         """All files of a set, in the sequence of their names."""
         groups: dict[str, list[tuple[Key, Resource]]] = {}
         for key, content in contents.items():
-            if key[0] in NAMES or key[0] == LINE:
+            if key[0] in NAMES or key[0] == WEIGHT:
                 groups.setdefault(self.place(key), []).append((key, content))
         return [self.pack(name, sorted(groups[name], key=lambda row: row[0])) for name in sorted(groups)]
 
@@ -70,8 +70,8 @@
             response = discovery_pb2.DiscoveryResponse(version_info=version, type_url=resources.type_url(rows[0][0]))
             for key, content in rows:
                 wrapped = discovery_pb2.Resource(name=resources.name(key), version=content.version)
-                if content.what[:1] == (RAW,):
-                    wrapped.resource.ParseFromString(content.what[1])
+                if content.content[:1] == (RAW,):
+                    wrapped.resource.ParseFromString(content.content[1])
                 else:
                     wrapped.resource.Pack(self.encoder.message(key, content), deterministic=True)
                 response.resources.add().Pack(wrapped, deterministic=True)
--- a/quillstep/files/lane.py
+++ b/quillstep/files/lane.py
@@ -8,7 +8,7 @@
 
 from quillstep.files.generation_files import RAW
 from quillstep.routing import Change, Key, Nack, ProxyState, Resource, Tables
-from quillstep.routing.resources import POOL, ROUTES
+from quillstep.routing.resources import CLUSTER, ROUTES
 
 
 class Generation(NamedTuple):
@@ -66,7 +66,7 @@
         self.refused_number = 0
         self.writing = True
         order = ledger.released
-        removed = sum(change.content is None for change in changes)
+        removed = sum(change.resource is None for change in changes)
         return Generation(self.number, order, made, len(changes) - removed, removed)
 
     def complete(
@@ -102,8 +102,8 @@
             else:
                 made.pop(key, None)
         routes = made.get((ROUTES,))
-        known = routes is not None and routes.what[:1] != (RAW,)
-        if routes is None or not known or all((POOL, row[1]) in made for row in routes.what):
+        known = routes is not None and routes.content[:1] != (RAW,)
+        if routes is None or not known or all((CLUSTER, row[1]) in made for row in routes.content):
             return made, changes
         return made, []
 
--- a/quillstep/model_checking/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -17,7 +17,7 @@
 from quillstep.config.controller import LimitSettings
 from quillstep.config.fleet import ClassSettings
 from quillstep.routing import Tables
-from quillstep.routing.resources import OUT
+from quillstep.routing.resources import EJECTED
 from quillstep.routing.retry_policies import RetryPolicies
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
@@ -173,7 +173,7 @@
             version = self.held.get(resources.type_url(key), {}).get(resources.name(key))
             if want and version != want.version and key not in ledger.refused:
                 return f"{resources.name(key)} stays at {version}, {want.version} is wanted"
-            if want and version != want.version and key[0] == OUT:
+            if want and version != want.version and key[0] == EJECTED:
                 return f"{resources.name(key)} is wanted out, and was refused for good"
         for url, held in self.held.items():
             for name in held:
--- a/quillstep/replay/model.py
+++ b/quillstep/replay/model.py
@@ -16,7 +16,7 @@
 from quillstep.load_reports.validation import Told
 from quillstep.replay.inference import NET_MS, Inferred
 from quillstep.routing import Change
-from quillstep.routing.resources import LINE, OUT, POOL, ROUTES, SHARE
+from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, ROUTES, WEIGHT
 
 LOAD_SPAN_MS = 500.0
 FILL_MS = 250.0
@@ -154,30 +154,30 @@
                 self.versions[key] = want.version
             else:
                 self.versions.pop(key, None)
-            if key[0] == LINE:
+            if key[0] == WEIGHT:
                 before = self.lines.pop(key, None)
                 lines = self.tables.setdefault(key[1], {})
                 if before:
                     lines.pop(before, None)
                 if want:
-                    address = f"{want.what[0]}:{want.what[1]}"
-                    lines[address] = want.what[2]
+                    address = f"{want.content[0]}:{want.content[1]}"
+                    lines[address] = want.content[2]
                     self.lines[key] = address
-            elif key[0] == OUT:
+            elif key[0] == EJECTED:
                 if want:
-                    self.out[key[1]] = f"{want.what[0]}:{want.what[1]}"
+                    self.out[key[1]] = f"{want.content[0]}:{want.content[1]}"
                 else:
                     self.out.pop(key[1], None)
             elif key[0] == ROUTES and want:
-                self.routes = {place: (table, allowed, tries) for place, table, allowed, tries in want.what}
-            elif key[0] == SHARE and want:
-                self.shares[key[1]] = dict(want.what)
-            elif key[0] == POOL and want is None:
+                self.routes = {place: (table, allowed, tries) for place, table, allowed, tries in want.content}
+            elif key[0] == ADMISSION and want:
+                self.shares[key[1]] = dict(want.content)
+            elif key[0] == CLUSTER and want is None:
                 self.drop(key[1])
 
     def drop(self, table: int) -> None:
         self.tables.pop(table, None)
-        for key in [key for key in self.versions if key[0] in (LINE, SHARE) and key[1] == table]:
+        for key in [key for key in self.versions if key[0] in (WEIGHT, ADMISSION) and key[1] == table]:
             self.versions.pop(key)
             self.lines.pop(key, None)
 
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -22,7 +22,7 @@
 from quillstep.replay.inference import Inferred, held_out_error, infer, tries_of
 from quillstep.replay.model import Endpoint, Proxy, VirtualDay
 from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay
-from quillstep.routing.resources import ENTRY
+from quillstep.routing.resources import LISTENER
 from quillstep.testbed.scenarios.service_quality import earned_part, service
 
 ACK_PART = 0.5  # of a captured delay, the way there; the rest is the word's way back
@@ -131,7 +131,7 @@
         self.core.now_ms = self.day.clock.now
         number = self.core.join(name, proxy.zone, proxy.usual, proxy.versions, fields["fresh"], self.decider.fronts[0])
         self.joined[number] = proxy
-        self.core.tables.ask(number, [(ENTRY,)], False)
+        self.core.tables.ask(number, [(LISTENER,)], False)
         self.poke()
 
     def leave(self, name: str, fields: dict[str, Any]) -> None:
--- a/quillstep/routing/proxy_state.py
+++ b/quillstep/routing/proxy_state.py
@@ -10,27 +10,27 @@
 
 from quillstep.routing.ack_latency import LOST, ON_ITS_WAY, AckLatency, Verdict
 from quillstep.routing.message_quota import KEPT_FREE, MessageQuota
-from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Key, Resource, rank
+from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, LISTENER, ROUTES, WEIGHT, Key, Resource, send_rank
 
-BACK_OFF_MS = 100.0  # after a refusal, doubled with each in a row
-BACK_OFF_MOST = 64.0  # times that
+NACK_BACKOFF_MS = 100.0  # after a refusal, doubled with each in a row
+MAX_NACK_BACKOFF_FACTOR = 64.0  # times that
 # What is tried again though nothing about it has changed, and the first back-off in times of BACK_OFF_MS: an endpoint
 # to keep out, for drains must be kept; and what all lines wait for.  Found by exploring all states: a proxy that
 # refused its table's cluster once was sent nothing of that table ever again, for a cluster's content never changes.
-INSISTED = {OUT: 1.0, ENTRY: 8.0, POOL: 8.0, SHARE: 8.0, ROUTES: 8.0}
-RECEIPTS_MOST = 32  # that one proxy may owe; serials come round again
+NACK_BACKOFF_FACTORS = {EJECTED: 1.0, LISTENER: 8.0, CLUSTER: 8.0, ADMISSION: 8.0, ROUTES: 8.0}
+MAX_AWAITED_ACKS = 32  # that one proxy may owe; serials come round again
 
 
 class Change(NamedTuple):
     """A content to hold from now on; None: to hold no more."""
 
     key: Key
-    content: Resource | None
+    resource: Resource | None
 
     @property
-    def urgent(self) -> bool:
+    def is_urgent(self) -> bool:
         """Whether it waits for nobody: an endpoint to keep out."""
-        return self.key[0] == OUT and self.content is not None
+        return self.key[0] == EJECTED and self.resource is not None
 
 
 class Nack(NamedTuple):
@@ -39,7 +39,7 @@
 
     changes: list[Change]
     reason: str
-    alone: bool
+    is_isolated: bool
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
     bound: dict[int, int] = field(default_factory=dict)  # class to table
     routed: frozenset[int] = frozenset()  # tables that the routes it holds name, as far as we know
     waiting: deque[tuple[int, int, set[Key]]] = field(  # receipts due: number, serial, keys
-        default_factory=lambda: deque(maxlen=RECEIPTS_MOST)
+        default_factory=lambda: deque(maxlen=MAX_AWAITED_ACKS)
     )
     refusals: int = 0  # in a row
     not_before_ms: float = 0.0
@@ -131,12 +131,12 @@
         found: list[Change] = []
         settled: list[Key] = []
         for key, number in self.dirty.items():
-            if number > self.released or not wants(key) or not (self.bound or key[0] in (OUT, ENTRY)):
+            if number > self.released or not wants(key) or not (self.bound or key[0] in (EJECTED, LISTENER)):
                 continue
             want = desired(key)
             if self.differs(key, want):
                 change = Change(key, want)
-                if room > KEPT_FREE or change.urgent:
+                if room > KEPT_FREE or change.is_urgent:
                     found.append(change)
             else:
                 settled.append(key)  # it holds this, or it is under way, or it was refused
@@ -144,7 +144,7 @@
             del self.dirty[key]
         if not together:
             found = [change for change in found if not self.too_early(change, wants)]
-        found.sort(key=lambda change: rank(change.key, change.content is None))
+        found.sort(key=lambda change: send_rank(change.key, change.resource is None))
         return found
 
     def take_apart(
@@ -156,7 +156,7 @@
         """The next part of what was refused as a whole; endpoints to keep out don't wait for the back-off."""
         while self.apart:
             keys = self.apart[0]
-            urgent = all(key[0] == OUT for key in keys)
+            urgent = all(key[0] == EJECTED for key in keys)
             if now_ms < self.not_before_ms and not urgent:
                 return []
             self.apart.popleft()
@@ -176,33 +176,33 @@
         """
         key, want = change
         if key[0] == ROUTES and want:
-            tables = {row[1] for row in want.what}
+            tables = {row[1] for row in want.content}
             number = self.dirty.get(key, 0)
             return any(self.lacks(table, number) for table in tables - self.routed)
-        if want is None and key[0] in (POOL, SHARE, LINE) and key[1] not in self.bound.values():
+        if want is None and key[0] in (CLUSTER, ADMISSION, WEIGHT) and key[1] not in self.bound.values():
             routes = (ROUTES,)
             moving = routes in self.dirty or routes in self.sent or routes in self.refused
-            if key[0] == POOL:
+            if key[0] == CLUSTER:
                 return moving and wants(routes)
             # The table takes its lines with it; what is left then goes by itself.
-            pool = (POOL, key[1])
+            pool = (CLUSTER, key[1])
             return pool in self.held or pool in self.sent or (moving and wants(routes))
         return False
 
     def lacks(self, table: int, number: int) -> bool:
         """Whether anything of a table, as it was ordered up to this number, is not yet held."""
-        if (POOL, table) not in self.held:
+        if (CLUSTER, table) not in self.held:
             return True
-        parts = ((POOL, table), (SHARE, table))
+        parts = ((CLUSTER, table), (ADMISSION, table))
         if any(key in self.dirty and key not in self.refused for key in parts):
             return True
         if any(key in self.sent for key in parts):
             return True
         for key, since in self.dirty.items():
-            if key[0] == LINE and key[1] == table and since <= number and key not in self.refused:
+            if key[0] == WEIGHT and key[1] == table and since <= number and key not in self.refused:
                 return True
-        under_way = any(key[0] == LINE and key[1] == table and s[2] <= number for key, s in self.sent.items())
-        return under_way or not any(key[0] == LINE and key[1] == table for key in self.held)
+        under_way = any(key[0] == WEIGHT and key[1] == table and s[2] <= number for key, s in self.sent.items())
+        return under_way or not any(key[0] == WEIGHT and key[1] == table for key in self.held)
 
     def send(self, nonce: str, changes: list[Change], now_ms: float, lane: str = "") -> None:
         """These changes are on their way under this nonce."""
@@ -221,7 +221,7 @@
             if want:
                 self.held[key] = want.version
                 if key[0] == ROUTES:
-                    self.routed = frozenset(row[1] for row in want.what)
+                    self.routed = frozenset(row[1] for row in want.content)
             else:
                 self.held.pop(key, None)
             self.refused.pop(key, None)
@@ -253,13 +253,13 @@
                     self.refused[key] = want.version if want else None
         if not alone and keys:
             self.apart.extend(parts(keys))
-        self.not_before_ms = now_ms + BACK_OFF_MS * min(BACK_OFF_MOST, 2.0**self.refusals)
+        self.not_before_ms = now_ms + NACK_BACKOFF_MS * min(MAX_NACK_BACKOFF_FACTOR, 2.0**self.refusals)
         if alone:
             for key in keys:
-                if key[0] in INSISTED and self.refused[key]:
+                if key[0] in NACK_BACKOFF_FACTORS and self.refused[key]:
                     times = self.insisted[key] = self.insisted.get(key, 0) + 1
-                    back_off = INSISTED[key[0]] * 2.0 ** (times - 1)
-                    self.again[key] = now_ms + BACK_OFF_MS * min(BACK_OFF_MOST, back_off)
+                    back_off = NACK_BACKOFF_FACTORS[key[0]] * 2.0 ** (times - 1)
+                    self.again[key] = now_ms + NACK_BACKOFF_MS * min(MAX_NACK_BACKOFF_FACTOR, back_off)
         self.refusals += 1
         return Nack(flight.changes, reason, alone)
 
@@ -333,7 +333,7 @@
         if most is None or (len(changes) <= most and now_ms >= self.pace.next_ms):
             return changes
         if now_ms < self.pace.next_ms or any(flight.lane for flight in self.flights.values()):
-            return [change for change in changes if change.urgent]
+            return [change for change in changes if change.is_urgent]
         return changes[:most]
 
     def look_ms(self, now_ms: float) -> float | None:
@@ -351,7 +351,7 @@
         refused: the newest content of a key has all older ones in it.
         """
         done: list[int] = []
-        left: deque[tuple[int, int, set[Key]]] = deque(maxlen=RECEIPTS_MOST)
+        left: deque[tuple[int, int, set[Key]]] = deque(maxlen=MAX_AWAITED_ACKS)
         for number, serial, due in self.waiting:
             if number <= self.released:
                 due = {key for key in due if key in self.dirty or key in self.sent or key in self.refused}
@@ -390,7 +390,7 @@
             for nonce, flight in self.flights.items()
             if now_ms - flight.sent_ms > most_ms
             for change in flight.changes
-            if change.key[0] == OUT and change.content
+            if change.key[0] == EJECTED and change.resource
         ]
 
     def forget(self, keys: Iterable[Key]) -> None:
@@ -406,8 +406,8 @@
 
 def parts(keys: list[Key]) -> list[list[Key]]:
     """A refused piece in smaller pieces: endpoints to keep out apart from the rest, else halves."""
-    out = [key for key in keys if key[0] == OUT]
-    rest = [key for key in keys if key[0] != OUT]
+    out = [key for key in keys if key[0] == EJECTED]
+    rest = [key for key in keys if key[0] != EJECTED]
     if out and rest:
         return [out, rest]
     if len(keys) < 2:
--- a/quillstep/routing/resources.py
+++ b/quillstep/routing/resources.py
@@ -19,12 +19,19 @@
 import xxhash
 
 Key = tuple  # a kind and what tells it from others of the kind
-OUT, POOL, SHARE, LINE, ROUTES, ENTRY, OTHER = "out", "pool", "share", "line", "routes", "entry", "other"
-RANKS = {OUT: 0, ENTRY: 1, POOL: 2, SHARE: 3, LINE: 4, ROUTES: 5, OTHER: 6}
+# Kinds of keys.  The values are stored in recordings and shown in file names.
+EJECTED = "out"
+LISTENER = "entry"
+CLUSTER = "pool"
+ADMISSION = "share"
+WEIGHT = "line"
+ROUTES = "routes"
+FOREIGN = "other"
+SEND_RANKS = {EJECTED: 0, LISTENER: 1, CLUSTER: 2, ADMISSION: 3, WEIGHT: 4, ROUTES: 5, FOREIGN: 6}
 _encode = msgspec.msgpack.Encoder().encode
 
 
-TABLES = 2**24  # numbers of tables under one set of terms
+MAX_TABLES = 2**24  # numbers of tables under one set of terms
 
 
 class Resource(NamedTuple):
@@ -35,25 +42,25 @@
     """
 
     version: str
-    what: tuple
+    content: tuple
 
 
-def content(key: Key, what: tuple) -> Resource:
-    return Resource(xxhash.xxh3_64_hexdigest(_encode((key, what))), what)
+def make_resource(key: Key, content: tuple) -> Resource:
+    return Resource(xxhash.xxh3_64_hexdigest(_encode((key, content))), content)
 
 
-def rank(key: Key, gone: bool) -> tuple[Any, ...]:
+def send_rank(key: Key, removed: bool) -> tuple[Any, ...]:
     """The place of a change among others: endpoints to keep out first, tables before the routes to them.
 
     An endpoint that is let back comes after the lines that it returns with; lines that go come after those that
     replace them; what routes no longer name goes last.
     """
-    if gone:
-        return (7 if key[0] == OUT else 4 if key[0] == LINE else 8, key[0], True)
-    return (RANKS.get(key[0], 6), key[0], False)
+    if removed:
+        return (7 if key[0] == EJECTED else 4 if key[0] == WEIGHT else 8, key[0], True)
+    return (SEND_RANKS.get(key[0], 6), key[0], False)
 
 
-def terms_of(zones: list[str], by_zone: bool) -> int:
+def table_number_offset(zones: list[str], by_zone: bool) -> int:
     """What is added to a table's number, so that a number never means another thing to a proxy than it did before.
 
     Where keyed classes are repeated within a zone, a table's number stands for a zone by its place in the settings'
@@ -61,4 +68,4 @@
     repeat: a key would meet a memory that never saw it.  Under other terms the table has another number, is built
     beside the old one, and the routes move over in one piece.  0 where no table belongs to a zone.
     """
-    return (1 + xxhash.xxh32_intdigest(_encode(zones)) % (2**16 - 1)) * TABLES if by_zone else 0
+    return (1 + xxhash.xxh32_intdigest(_encode(zones)) % (2**16 - 1)) * MAX_TABLES if by_zone else 0
--- a/quillstep/routing/tables.py
+++ b/quillstep/routing/tables.py
@@ -12,7 +12,18 @@
 from quillstep.routing.ack_latency import AckLatency, LineCostEstimate
 from quillstep.routing.message_quota import MessageQuota
 from quillstep.routing.proxy_state import Change, Nack, ProxyState
-from quillstep.routing.resources import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Key, Resource, content
+from quillstep.routing.resources import (
+    ADMISSION,
+    CLUSTER,
+    EJECTED,
+    FOREIGN,
+    LISTENER,
+    ROUTES,
+    WEIGHT,
+    Key,
+    Resource,
+    make_resource,
+)
 from quillstep.routing.retry_policies import RetryPolicies
 from quillstep.routing.unacknowledged import LOOK_MS, grows, spent
 
@@ -110,7 +121,7 @@
         """A proxy asks for these; `anew`: it wants them said again though it may hold them."""
         ledger = self.ledgers[proxy]
         for key in keys:
-            if key[0] == OUT and not ledger.bound and not anew:
+            if key[0] == EJECTED and not ledger.bound and not anew:
                 continue  # what was withdrawn before it came is told with its tables, as it is counted there
             if anew and key not in ledger.sent:
                 ledger.held.pop(key, None)
@@ -133,9 +144,9 @@
         if moved:
             for number, table in self.tables.items():
                 if endpoint in table.lines:
-                    self.touch((LINE, number, endpoint), table.users, 0.0)
+                    self.touch((WEIGHT, number, endpoint), table.users, 0.0)
             if endpoint in self.withdrawn:
-                self.touch((OUT, endpoint), self.ledgers, 0.0)
+                self.touch((EJECTED, endpoint), self.ledgers, 0.0)
 
     def line(self, table: int, endpoint: int, weight: float) -> None:
         record = self.tables.setdefault(table, Table())
@@ -143,24 +154,24 @@
             record.lines[endpoint] = weight
         else:
             record.lines.pop(endpoint, None)
-        self.touch((LINE, table, endpoint), record.users, 1.0)
+        self.touch((WEIGHT, table, endpoint), record.users, 1.0)
 
     def withdraw(self, endpoint: int, out: bool, status: str) -> None:
         if out:
             self.withdrawn[endpoint] = status
         else:
             self.withdrawn.pop(endpoint, None)
-        self.touch((OUT, endpoint), self.ledgers, 1.0)
+        self.touch((EJECTED, endpoint), self.ledgers, 1.0)
 
     def level(self, table: int, classes: Iterable[int], allowed: float, tries: int) -> None:
         record = self.tables.setdefault(table, Table())
         for place in classes:
             record.levels[place] = (allowed, tries)
-        self.made.pop((SHARE, table), None)
+        self.made.pop((ADMISSION, table), None)
         for proxy in record.users:
             self.mark(proxy, (ROUTES,), 1.0)
             if self.admission == "share":
-                self.mark(proxy, (SHARE, table), 0.0)
+                self.mark(proxy, (ADMISSION, table), 0.0)
 
     def bind(self, proxy: int, table: int, classes: Iterable[int]) -> None:
         ledger = self.ledgers.get(proxy)
@@ -174,18 +185,18 @@
         after = set(ledger.bound.values())
         for gone in before - after:
             self.tables[gone].users.discard(proxy)
-            self.mark(proxy, (POOL, gone), 0.0)
+            self.mark(proxy, (CLUSTER, gone), 0.0)
         record.users.add(proxy)
         held_out = sum(endpoint in self.withdrawn for endpoint in record.lines)
-        self.mark(proxy, (POOL, table), 1.0 + len(places) + len(record.lines) + held_out)
-        self.mark(proxy, (SHARE, table), 0.0)
+        self.mark(proxy, (CLUSTER, table), 1.0 + len(places) + len(record.lines) + held_out)
+        self.mark(proxy, (ADMISSION, table), 0.0)
         for endpoint in record.lines:
-            self.mark(proxy, (LINE, table, endpoint), 0.0)
+            self.mark(proxy, (WEIGHT, table, endpoint), 0.0)
         self.mark(proxy, (ROUTES,), 0.0)
         if first:
-            self.mark(proxy, (ENTRY,), 0.0)
+            self.mark(proxy, (LISTENER,), 0.0)
             for endpoint in self.withdrawn:
-                self.mark(proxy, (OUT, endpoint), 0.0)
+                self.mark(proxy, (EJECTED, endpoint), 0.0)
             for key in list(ledger.held):
                 self.mark(proxy, key, 0.0)
 
@@ -263,11 +274,11 @@
             return full
         full = False
         for number, table in self.tables.items():
-            wanted = self.content((LINE, number, endpoint)) if endpoint in table.lines else None
+            wanted = self.content((WEIGHT, number, endpoint)) if endpoint in table.lines else None
             if wanted and table.users:
                 users = (self.ledgers[proxy] for proxy in table.users)
                 usual = sum(table.lines.values()) / len(table.lines)
-                full |= spent(users, (LINE, number, endpoint), wanted, usual)
+                full |= spent(users, (WEIGHT, number, endpoint), wanted, usual)
         self.full[endpoint] = (now_ms + LOOK_MS, full)
         return full
 
@@ -311,10 +322,10 @@
     def keys(self, proxy: int) -> list[Key]:
         """All keys that a proxy should hold now, but for what it holds unbound."""
         ledger = self.ledgers[proxy]
-        keys: list[Key] = [(ENTRY,)] + [(OUT, endpoint) for endpoint in self.withdrawn]
+        keys: list[Key] = [(LISTENER,)] + [(EJECTED, endpoint) for endpoint in self.withdrawn]
         for number in sorted(set(ledger.bound.values())):
-            keys += [(POOL, number), (SHARE, number)]
-            keys += [(LINE, number, endpoint) for endpoint in self.tables[number].lines]
+            keys += [(CLUSTER, number), (ADMISSION, number)]
+            keys += [(WEIGHT, number, endpoint) for endpoint in self.tables[number].lines]
         return keys + [(ROUTES,)] if ledger.bound else keys
 
     def desired(self, ledger: ProxyState, key: Key) -> Resource | None:
@@ -322,14 +333,14 @@
         kind = key[0]
         if kind == ROUTES:
             return self.routes(ledger)
-        if kind == ENTRY:
+        if kind == LISTENER:
             return self.content(key)
-        if kind == OUT:
+        if kind == EJECTED:
             return self.content(key)
         if not ledger.bound:
             version = ledger.held.get(key)
             return Resource(version, ()) if version is not None else None
-        if kind == OTHER or key[1] not in ledger.bound.values():
+        if kind == FOREIGN or key[1] not in ledger.bound.values():
             return None
         return self.content(key)
 
@@ -340,18 +351,18 @@
             what = self.what(key)
             if what is None:
                 return None
-            made = self.made[key] = content(key, what)
+            made = self.made[key] = make_resource(key, what)
         return made
 
     def what(self, key: Key) -> tuple | None:
         kind = key[0]
-        if kind == LINE:
+        if kind == WEIGHT:
             weight = self.tables[key[1]].lines.get(key[2])
             return (*self.addresses[key[2]], weight) if weight and key[2] in self.addresses else None
-        if kind == OUT:
+        if kind == EJECTED:
             status = self.withdrawn.get(key[1])
             return (*self.addresses[key[1]], status) if status and key[1] in self.addresses else None
-        if kind == SHARE:
+        if kind == ADMISSION:
             if self.admission != "share":
                 return ()
             return tuple((p, round(a, 4)) for p, (a, _) in sorted(self.tables[key[1]].levels.items()))
@@ -366,9 +377,9 @@
             allowed, tries = self.tables[table].levels.get(place, (None, self.default_retry_policy))
             rate = self.admission == "rate" and allowed is not None and allowed < OPEN_RATE
             rows.append((place, table, round(allowed, 4) if rate and allowed is not None else None, tries))
-        return content((ROUTES,), tuple(rows))
+        return make_resource((ROUTES,), tuple(rows))
 
 
 def ways_of(routes: Resource) -> dict[int, int]:
     """The way of trying again of each class, of routes of ours."""
-    return {place: tries for place, _, _, tries in routes.what}
+    return {place: tries for place, _, _, tries in routes.content}
--- a/quillstep/routing/unacknowledged.py
+++ b/quillstep/routing/unacknowledged.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 
 from quillstep.routing.proxy_state import Change, ProxyState
-from quillstep.routing.resources import LINE, OUT, Key, Resource
+from quillstep.routing.resources import EJECTED, WEIGHT, Key, Resource
 
 LOOK_MS = 50.0  # between two looks at who still holds an old line
 
@@ -15,7 +15,7 @@
 def by_old_line(ledger: ProxyState, line: Key, wanted: Resource | None) -> bool:
     """Whether a proxy may pick an endpoint by a line other than the one it should hold, as far as its word goes."""
     held = ledger.held.get(line)
-    if held is None or (OUT, line[2]) in ledger.held:
+    if held is None or (EJECTED, line[2]) in ledger.held:
         return False
     return held != (wanted.version if wanted else None)
 
@@ -27,15 +27,15 @@
     """
     rows = list(ledgers)
     old = sum(by_old_line(ledger, line, wanted) for ledger in rows)
-    return old * usual > len(rows) * float(wanted.what[2])
+    return old * usual > len(rows) * float(wanted.content[2])
 
 
 def grows(change: Change, ledger: ProxyState, cold: Mapping[int, float]) -> int | None:
     """The cold endpoint that a change would send more to, at a proxy that sends it nothing now; None: it is no such."""
     kind = change.key[0]
-    if kind == LINE and change.content and change.key[2] in cold:
+    if kind == WEIGHT and change.resource and change.key[2] in cold:
         endpoint = change.key[2]
-        return endpoint if change.key not in ledger.held or (OUT, endpoint) in ledger.held else None
-    if kind == OUT and change.content is None and change.key[1] in cold:
+        return endpoint if change.key not in ledger.held or (EJECTED, endpoint) in ledger.held else None
+    if kind == EJECTED and change.resource is None and change.key[1] in cold:
         return int(change.key[1])
     return None
--- a/quillstep/xds/delta.py
+++ b/quillstep/xds/delta.py
@@ -12,7 +12,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 
 from quillstep.routing import Change, Key, Nack
-from quillstep.routing.resources import LINE, OTHER, OUT
+from quillstep.routing.resources import EJECTED, FOREIGN, WEIGHT
 from quillstep.xds import resources
 from quillstep.xds.stream import Response, Stream
 
@@ -107,12 +107,12 @@
     def covers(self, held: Subscription, key: Key) -> bool:
         if held.wildcard or resources.name(key) in held.names:
             return True
-        return bool(held.globs) and key[0] in (LINE, OUT) and resources.collection(key) in held.globs
+        return bool(held.globs) and key[0] in (WEIGHT, EJECTED) and resources.collection(key) in held.globs
 
     def wants(self, key: Key) -> bool:
         """Whether the proxy has asked for this key; what is not ours is only ever taken back."""
         held = self.subscriptions.get(resources.type_url(key))
-        return held is not None and (key[0] == OTHER or self.covers(held, key))
+        return held is not None and (key[0] == FOREIGN or self.covers(held, key))
 
     # responses
 
@@ -133,7 +133,9 @@
             apart = bool(ledger.apart)  # parts of what was refused are small, and go by themselves
             changes = self.tables.take(self.proxy, now_ms, self.wants)
             if not apart:
-                changes = [change for change in changes if change.urgent] if behind else ledger.piece(changes, now_ms)
+                changes = (
+                    [change for change in changes if change.is_urgent] if behind else ledger.piece(changes, now_ms)
+                )
             if not changes:
                 break
             for url, group in grouped(changes):
@@ -166,7 +168,7 @@
     at: dict[tuple[str, bool], int] = {}
     for change in changes:
         url = resources.type_url(change.key)
-        late = change.content is None and url not in (resources.LEDS,)
+        late = change.resource is None and url not in (resources.LEDS,)
         if (url, late) in at:
             groups[at[url, late]][1].append(change)
         else:
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -12,7 +12,7 @@
 from quillstep.config.controller import ControllerSettings
 from quillstep.routing import Nack, Tables
 from quillstep.routing.ack_latency import ON_ITS_WAY, Verdict
-from quillstep.routing.proxy_state import INSISTED
+from quillstep.routing.proxy_state import NACK_BACKOFF_FACTORS
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED, UNAVAILABLE
@@ -88,7 +88,7 @@
             self.tap("ack", now_ms, proxy=self.nodes[stream.proxy], nonce=request.response_nonce)
         if refusal:
             self.tap("nack", now_ms, proxy=self.nodes[stream.proxy], nonce=request.response_nonce)
-            first = refusal.changes[0].content
+            first = refusal.changes[0].resource
             warn_refused(self.log, self.nodes[stream.proxy], refusal, first.version if first else "removal")
             self.held_back[stream.proxy] = self.tables.ledgers[stream.proxy].not_before_ms
 
@@ -222,9 +222,9 @@
 
 def next_step(refusal: Nack) -> str:
     """What comes of a refusal, in words."""
-    if not refusal.alone:
+    if not refusal.is_isolated:
         return "tried in parts"
-    again = any(change.key[0] in INSISTED and change.content for change in refusal.changes)
+    again = any(change.key[0] in NACK_BACKOFF_FACTORS and change.resource for change in refusal.changes)
     return "tried again after a back-off" if again else "set apart until it changes"
 
 
--- a/quillstep/xds/resources.py
+++ b/quillstep/xds/resources.py
@@ -24,7 +24,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 
 from quillstep.config.fleet import ClassSettings
-from quillstep.routing.resources import ENTRY, LINE, OTHER, OUT, POOL, ROUTES, SHARE, Key, Resource
+from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, FOREIGN, LISTENER, ROUTES, WEIGHT, Key, Resource
 
 PREFIX = "type.googleapis.com/"
 LDS = PREFIX + "envoy.config.listener.v3.Listener"
@@ -32,7 +32,7 @@
 CDS = PREFIX + "envoy.config.cluster.v3.Cluster"
 EDS = PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
 LEDS = PREFIX + "envoy.config.endpoint.v3.LbEndpoint"
-TYPES = {ENTRY: LDS, ROUTES: RDS, POOL: CDS, SHARE: EDS, LINE: LEDS, OUT: LEDS}
+TYPES = {LISTENER: LDS, ROUTES: RDS, CLUSTER: CDS, ADMISSION: EDS, WEIGHT: LEDS, EJECTED: LEDS}
 COLLECTION = "xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/"
 ENTRY_NAME = "exchanges"
 WITHDRAWN = COLLECTION + "withdrawn/*"
@@ -46,35 +46,35 @@
 def name(key: Key) -> str:
     """A key's resource name."""
     kind = key[0]
-    if kind == LINE:
+    if kind == WEIGHT:
         return f"{COLLECTION}table-{key[1]}/{key[2]}"
-    if kind == OUT:
+    if kind == EJECTED:
         return f"{COLLECTION}withdrawn/{key[1]}"
-    if kind in (POOL, SHARE):
+    if kind in (CLUSTER, ADMISSION):
         return f"table-{key[1]}"
-    return str(key[2]) if kind == OTHER else ENTRY_NAME
+    return str(key[2]) if kind == FOREIGN else ENTRY_NAME
 
 
 def type_url(key: Key) -> str:
-    return str(key[1]) if key[0] == OTHER else TYPES[key[0]]
+    return str(key[1]) if key[0] == FOREIGN else TYPES[key[0]]
 
 
 def key_of(url: str, named: str) -> Key:
     """The key of a resource name; a name that is none of ours is a key of its own."""
-    other = (OTHER, url, named)
+    other = (FOREIGN, url, named)
     if url in (LDS, RDS):
-        return ((ENTRY,) if url == LDS else (ROUTES,)) if named == ENTRY_NAME else other
+        return ((LISTENER,) if url == LDS else (ROUTES,)) if named == ENTRY_NAME else other
     if url in (CDS, EDS):
         number = _whole(named.removeprefix("table-")) if named.startswith("table-") else None
-        return other if number is None else (POOL if url == CDS else SHARE, number)
+        return other if number is None else (CLUSTER if url == CDS else ADMISSION, number)
     if url == LEDS and named.startswith(COLLECTION):
         group, _, last = named.removeprefix(COLLECTION).partition("/")
         endpoint = _whole(last)
         if endpoint is not None and group == "withdrawn":
-            return (OUT, endpoint)
+            return (EJECTED, endpoint)
         table = _whole(group.removeprefix("table-")) if group.startswith("table-") else None
         if endpoint is not None and table is not None:
-            return (LINE, table, endpoint)
+            return (WEIGHT, table, endpoint)
     return other
 
 
@@ -85,7 +85,7 @@
 
 def collection(key: Key) -> str:
     """The glob collection that a line or withdrawal belongs to."""
-    return WITHDRAWN if key[0] == OUT else f"{COLLECTION}table-{key[1]}/*"
+    return WITHDRAWN if key[0] == EJECTED else f"{COLLECTION}table-{key[1]}/*"
 
 
 class Encoder:
@@ -110,22 +110,22 @@
 
     def message(self, key: Key, content: Resource) -> Any:
         kind = key[0]
-        if kind == LINE:
-            host, port, weight = content.what
+        if kind == WEIGHT:
+            host, port, weight = content.content
             line = endpoint_components_pb2.LbEndpoint(health_status=health_check_pb2.HEALTHY)
             line.load_balancing_weight.value = max(1, round(weight))
             return _addressed(line, host, port)
-        if kind == OUT:
-            host, port, status = content.what
+        if kind == EJECTED:
+            host, port, status = content.content
             return _addressed(endpoint_components_pb2.LbEndpoint(health_status=STATUS[status]), host, port)
-        if kind == POOL:
+        if kind == CLUSTER:
             cluster = cluster_pb2.Cluster(name=name(key), type=cluster_pb2.Cluster.EDS)
             cluster.eds_cluster_config.eds_config.ads.SetInParent()
             cluster.eds_cluster_config.eds_config.resource_api_version = 2
             cluster.connect_timeout.FromMilliseconds(250)
             cluster.lb_policy = cluster_pb2.Cluster.ROUND_ROBIN
             return cluster
-        if kind == SHARE:
+        if kind == ADMISSION:
             return self.assignment(key, content)
         if kind == ROUTES:
             return self.routes(content)
@@ -153,7 +153,7 @@
         return assignment
 
     def drops(self, assignment: endpoint_pb2.ClusterLoadAssignment, content: Resource) -> None:
-        for place, allowed in content.what:
+        for place, allowed in content.content:
             if allowed < 1.0:
                 drop = assignment.policy.drop_overloads.add(category=self.classes[place].name)
                 drop.drop_percentage.numerator = round((1.0 - max(0.0, allowed)) * 10000)
@@ -162,7 +162,7 @@
     def routes(self, content: Resource) -> route_pb2.RouteConfiguration:
         routes = route_pb2.RouteConfiguration(name=ENTRY_NAME)
         host = routes.virtual_hosts.add(name=ENTRY_NAME, domains=["*"])
-        for place, table, allowed, tries in content.what:
+        for place, table, allowed, tries in content.content:
             row = self.classes[place]
             route = host.routes.add(name=row.name)
             route.match.prefix = f"/{row.name}"
--- a/quillstep/xds/sotw.py
+++ b/quillstep/xds/sotw.py
@@ -11,14 +11,14 @@
 from google.protobuf import any_pb2
 
 from quillstep.routing import Change, Key, Nack
-from quillstep.routing.resources import ENTRY, LINE, OUT, POOL, ROUTES, SHARE, Resource
+from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, LISTENER, ROUTES, WEIGHT, Resource
 from quillstep.xds import resources
 from quillstep.xds.stream import Response, Stream
 
 KINDS = {
-    resources.CDS: (POOL,),
-    resources.EDS: (SHARE, LINE, OUT),
-    resources.LDS: (ENTRY,),
+    resources.CDS: (CLUSTER,),
+    resources.EDS: (ADMISSION, WEIGHT, EJECTED),
+    resources.LDS: (LISTENER,),
     resources.RDS: (ROUTES,),
 }
 URLS = {kind: url for url, kinds in KINDS.items() for kind in kinds}
@@ -63,9 +63,9 @@
         names = self.names.get(url) if url else None
         if names is None or url is None:
             return False
-        if key[0] == OUT:
+        if key[0] == EJECTED:
             return True
-        named = f"table-{key[1]}" if key[0] in (POOL, SHARE, LINE) else resources.ENTRY_NAME
+        named = f"table-{key[1]}" if key[0] in (CLUSTER, ADMISSION, WEIGHT) else resources.ENTRY_NAME
         return named in names or (not names and url in FULL)
 
     def pump(self, now_ms: float) -> list[Response]:
@@ -104,7 +104,7 @@
             if found is None:
                 continue
             one = any_pb2.Any()
-            if key[0] == SHARE:
+            if key[0] == ADMISSION:
                 one.Pack(self.encoder.whole(key[1], found, self.lines(key[1])), deterministic=True)
             else:
                 one.Pack(self.encoder.message(key, found), deterministic=True)
@@ -114,7 +114,7 @@
     def lines(self, table: int) -> list[tuple]:
         rows = []
         for endpoint in self.tables.tables[table].lines:
-            found: Resource | None = self.tables.content((LINE, table, endpoint))
+            found: Resource | None = self.tables.content((WEIGHT, table, endpoint))
             if found:
-                rows.append((*found.what, self.tables.withdrawn.get(endpoint, "")))
+                rows.append((*found.content, self.tables.withdrawn.get(endpoint, "")))
         return rows
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -25,7 +25,7 @@
 from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
 from quillstep.platform.protocol.updates import ProtocolOutput
 from quillstep.recording import lives, read_life
-from quillstep.routing.resources import content
+from quillstep.routing.resources import make_resource
 from quillstep.simulator import decode
 from quillstep.simulator.host import Host
 from quillstep.store import Store
@@ -275,7 +275,7 @@
     rows.update({("line", 1, at): ("127.0.0.1", 9000 + at, 2.0) for at in range(3, 9)})
     rows["out", 9] = ("127.0.0.1", 9009, "draining")
     pilot = MemoryPilot()
-    files = Packer(pilot.encoder, form, 4).files({key: content(key, what) for key, what in rows.items()})
+    files = Packer(pilot.encoder, form, 4).files({key: make_resource(key, what) for key, what in rows.items()})
     found = {file.name: file.data.hex() for file in files}
     found["manifest"] = manifest("pilot-0-17", 5, 12, 1234.5, files).hex()
     return found
--- a/tests/files/test_files.py
+++ b/tests/files/test_files.py
@@ -19,7 +19,7 @@
 from quillstep.files.front import FileFront
 from quillstep.files.generation_files import contents_of, decode
 from quillstep.files.lane import Lane
-from quillstep.routing.resources import LINE, OUT, POOL, ROUTES
+from quillstep.routing.resources import CLUSTER, EJECTED, ROUTES, WEIGHT
 from quillstep.testbed.file_subscriber import read_generation
 
 WAIT_S = 20.0
@@ -64,7 +64,7 @@
     disk.swap("p", number, *packed(pilot, number, 9.0), {told.generation})
     after, files = read_generation(root / "p")
     assert after.generation == number
-    assert contents_of(files)[LINE, 0, 12].version == contents(9.0)[LINE, 0, 12].version
+    assert contents_of(files)[WEIGHT, 0, 12].version == contents(9.0)[WEIGHT, 0, 12].version
     assert sorted(os.listdir(root / "p" / "generations")) == sorted({str(told.generation), str(number)})
     assert not [name for name in os.listdir(root / ".objects") if name.startswith("new-")]
     disk.close()
@@ -241,8 +241,8 @@
     pilot = MemoryPilot()
     lane, step = lane_of(pilot)
     first = step()
-    assert {(POOL, 0), (ROUTES,)} <= first.contents.keys()
-    assert sum(key[0] == LINE for key in first.contents) == 6
+    assert {(CLUSTER, 0), (ROUTES,)} <= first.contents.keys()
+    assert sum(key[0] == WEIGHT for key in first.contents) == 6
     assert lane.word(pilot.core.tables, first.number, "", pilot.now).acknowledged
     order(pilot, lambda tables: tables.line(0, 3, 77.0))
     second = step()
@@ -263,12 +263,12 @@
     refused = step()
     assert lane.word(tables, refused.number, "bad line", pilot.now).refusal
     drain = step()
-    assert (OUT, 4) in drain.contents and drain.contents[LINE, 0, 3] != refused.contents[LINE, 0, 3]
+    assert (EJECTED, 4) in drain.contents and drain.contents[WEIGHT, 0, 3] != refused.contents[WEIGHT, 0, 3]
     assert lane.word(tables, drain.number, "", pilot.now).acknowledged
     alone = step()
-    assert alone.contents[LINE, 0, 3] == refused.contents[LINE, 0, 3]
-    assert lane.word(tables, alone.number, "bad line", pilot.now).refusal.alone
-    assert step(3000.0) is None or lane.newest[LINE, 0, 3] != refused.contents[LINE, 0, 3]
+    assert alone.contents[WEIGHT, 0, 3] == refused.contents[WEIGHT, 0, 3]
+    assert lane.word(tables, alone.number, "bad line", pilot.now).refusal.is_isolated
+    assert step(3000.0) is None or lane.newest[WEIGHT, 0, 3] != refused.contents[WEIGHT, 0, 3]
 
 
 def test_a_content_that_comes_round_again_is_held_by_its_own_generations_word_alone():
@@ -281,11 +281,11 @@
         order(pilot, lambda tables, weight=weight: tables.line(0, 3, weight))
         made.append(step())
     ledger = tables.ledgers[lane.proxy]
-    assert made[0].contents[LINE, 0, 3] == made[2].contents[LINE, 0, 3] and made[0].number < made[2].number
+    assert made[0].contents[WEIGHT, 0, 3] == made[2].contents[WEIGHT, 0, 3] and made[0].number < made[2].number
     lane.word(tables, made[0].number, "", pilot.now)
-    assert (LINE, 0, 3) in ledger.sent
+    assert (WEIGHT, 0, 3) in ledger.sent
     lane.word(tables, made[2].number, "", pilot.now)
-    assert not ledger.flights and ledger.held[LINE, 0, 3] == made[2].contents[LINE, 0, 3].version
+    assert not ledger.flights and ledger.held[WEIGHT, 0, 3] == made[2].contents[WEIGHT, 0, 3].version
 
 
 @pytest.mark.parametrize("number", [-1, 99, 7])
@@ -310,7 +310,7 @@
     lane.failed(tables.ledgers[lane.proxy], made.number, pilot.now, 200.0)
     assert lane.next(tables, pilot.now) is None  # and not at once after a failure
     again = step()
-    assert again.contents[LINE, 0, 3] == made.contents[LINE, 0, 3] and (OUT, 4) in again.contents
+    assert again.contents[WEIGHT, 0, 3] == made.contents[WEIGHT, 0, 3] and (EJECTED, 4) in again.contents
 
 
 def test_an_endpoint_withdrawn_while_a_generation_is_written_leaves_with_the_next_at_once():
@@ -323,7 +323,7 @@
     order(pilot, lambda tables: tables.withdraw(4, True, "draining"))
     lane.written()
     after = lane.next(tables, pilot.now)
-    assert (OUT, 4) in after.contents and after.changed == 1
+    assert (EJECTED, 4) in after.contents and after.changed == 1
     assert lane.word(tables, after.number, "", pilot.now).acknowledged
     assert not tables.ledgers[lane.proxy].flights  # the newer set has the older in it
 
@@ -342,7 +342,7 @@
         pilot.core.step(pilot.now)
         order(pilot, lambda tables: tables.withdraw(5, True, "lost"))
         made = lane.next(pilot.core.tables, pilot.now)
-    assert held.keys() <= made.contents.keys() and (OUT, 5) in made.contents
+    assert held.keys() <= made.contents.keys() and (EJECTED, 5) in made.contents
     assert sum(made.contents[key].version != version for key, version in held.items()) <= made.changed
 
 
@@ -446,7 +446,7 @@
         for name in stream.versions["type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"]
     )
     failing.clear()
-    fronted.until(lambda: current(here) > 1 and (OUT, 4) in contents_of(read_generation(here)[1]))
+    fronted.until(lambda: current(here) > 1 and (EJECTED, 4) in contents_of(read_generation(here)[1]))
     fronted.front.stop()
 
 
@@ -496,5 +496,5 @@
     again.until(lambda: current(here) > number)
     sent = [fields for what, fields in again.taps if what == "send"]
     assert not sent or sent[0]["lines"] <= 2
-    assert contents_of(read_generation(here)[1])[LINE, 0, 3]
+    assert contents_of(read_generation(here)[1])[WEIGHT, 0, 3]
     again.front.stop()
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -15,7 +15,7 @@
 from quillstep.model_checking.bounded_model import search
 from quillstep.model_checking.explore import explore
 from quillstep.routing.message_quota import KEPT_FREE, MessageQuota
-from quillstep.routing.resources import LINE, OUT, POOL
+from quillstep.routing.resources import CLUSTER, EJECTED, WEIGHT
 from quillstep.tracing.spans import FileExporter, Spans, read
 from quillstep.xds import resources
 from quillstep.xds.resources import CDS, EDS, LEDS, RDS, type_url
@@ -91,7 +91,7 @@
     pilot.run(30.0)
     assert any("withdrawn/4" in each for each in proxy.held(LEDS))
     pilot.run(4200.0)
-    assert tables.ledgers[0].held[LINE, 0, 3] == tables.content((LINE, 0, 3)).version
+    assert tables.ledgers[0].held[WEIGHT, 0, 3] == tables.content((WEIGHT, 0, 3)).version
 
 
 # real pilots
@@ -204,12 +204,12 @@
             ledger = tables.ledgers[proxy.number]
             for key in tables.keys(proxy.number):
                 want = tables.desired(ledger, key)
-                if want and key[0] != LINE:
+                if want and key[0] != WEIGHT:
                     assert self.held[name].get(type_url(key), {}).get(resources.name(key)) == want.version, key
-            out = {key[1] for key in ledger.held if key[0] == OUT}
+            out = {key[1] for key in ledger.held if key[0] == EJECTED}
             assert out >= set(tables.withdrawn)
             tables_held = [int(each.rpartition("-")[2]) for each in self.held[name].get(CDS, {})]
-            lines = {key[2] for key in ledger.held if key[0] == LINE and key[1] in tables_held}
+            lines = {key[2] for key in ledger.held if key[0] == WEIGHT and key[1] in tables_held}
             assert lines - out, "bare"
 
 
@@ -226,8 +226,8 @@
     proxy.refuses = lambda response: any(r.name.endswith("table-0/3") for r in response.resources)
     order(pilot, lambda tables: [tables.line(0, at, 40.0 + at) for at in range(1, 7)])
     pilot.run(2000.0, step=50.0)
-    wanted = {at: pilot.core.tables.content((LINE, 0, at)).version for at in range(1, 7)}
-    assert {at for at, version in wanted.items() if ledger.held[LINE, 0, at] == version} == {1, 2, 4, 5, 6}
+    wanted = {at: pilot.core.tables.content((WEIGHT, 0, at)).version for at in range(1, 7)}
+    assert {at for at, version in wanted.items() if ledger.held[WEIGHT, 0, at] == version} == {1, 2, 4, 5, 6}
 
 
 def test_a_cluster_that_is_refused_for_a_while_holds_later_and_its_table_with_it():
@@ -238,7 +238,7 @@
     assert not proxy.held(CDS) and not proxy.held(RDS)
     proxy.refuses = False
     pilot.run(9000.0, step=50.0)
-    assert proxy.held(CDS) and proxy.held(RDS) and (POOL, 0) in pilot.core.tables.ledgers[0].held
+    assert proxy.held(CDS) and proxy.held(RDS) and (CLUSTER, 0) in pilot.core.tables.ledgers[0].held
 
 
 def test_words_of_an_older_stream_on_the_newer_one_say_nothing():
@@ -252,9 +252,9 @@
     again = pilot.join("p0", "a", held)
     again.say(discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, response_nonce=f"x{old.nonce}"))
     ledger = pilot.core.tables.ledgers[again.number]
-    assert ledger.held[LINE, 0, 3] != pilot.core.tables.content((LINE, 0, 3)).version
+    assert ledger.held[WEIGHT, 0, 3] != pilot.core.tables.content((WEIGHT, 0, 3)).version
     pilot.run(3000.0)
-    assert again.held(LEDS)[resources.name((LINE, 0, 3))] == pilot.core.tables.content((LINE, 0, 3)).version
+    assert again.held(LEDS)[resources.name((WEIGHT, 0, 3))] == pilot.core.tables.content((WEIGHT, 0, 3)).version
 
 
 def test_version_names_that_a_proxy_knows_with_other_contents_are_not_taken_for_ours():
@@ -262,7 +262,7 @@
     pilot = MemoryPilot()
     counted = {
         CDS: {"table-0": "1"}, EDS: {"table-0": "2"}, RDS: {"exchanges": "3"},
-        LEDS: {resources.name((LINE, 0, at)): str(at) for at in range(1, 7)},
+        LEDS: {resources.name((WEIGHT, 0, at)): str(at) for at in range(1, 7)},
     }  # fmt: skip
     proxy = pilot.join("p0", "a", counted)
     pilot.run(3000.0)
@@ -281,12 +281,14 @@
     for weight in (55.0, 66.0, 55.0):
         order(pilot, lambda tables, weight=weight: tables.line(0, 3, weight))
         proxy.pump()
-    wanted = pilot.core.tables.content((LINE, 0, 3)).version
+    wanted = pilot.core.tables.content((WEIGHT, 0, 3)).version
     if late:
         proxy.read(1)
-        assert (LINE, 0, 3) in ledger.sent
+        assert (WEIGHT, 0, 3) in ledger.sent
     proxy.read()
-    assert ledger.held[LINE, 0, 3] == wanted == proxy.held(LEDS)[resources.name((LINE, 0, 3))] and not ledger.flights
+    assert (
+        ledger.held[WEIGHT, 0, 3] == wanted == proxy.held(LEDS)[resources.name((WEIGHT, 0, 3))] and not ledger.flights
+    )
 
 
 # bytes
--- a/tests/routing/test_ack_latency.py
+++ b/tests/routing/test_ack_latency.py
@@ -6,8 +6,9 @@
 from memory_fleet import MemoryPilot, order, small_day
 
 from quillstep.invariants import judge
+from quillstep.planner.messages import EndpointEntry
 from quillstep.routing.ack_latency import LATE, LOST, ON_ITS_WAY, STALLS, AckLatency, LineCostEstimate
-from quillstep.routing.resources import LINE, OUT, terms_of
+from quillstep.routing.resources import EJECTED, WEIGHT, table_number_offset
 from quillstep.routing.retry_policies import LOOSEST, RetryPolicies, allowed_way
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.xds.resources import LEDS
@@ -89,7 +90,7 @@
     lost = drop(proxy)
     order(pilot, lambda tables: tables.line(0, 4, 55.0))
     pilot.run(20)
-    assert (OUT, 3) in ledger.held and any("withdrawn/3" in name for name in proxy.held(LEDS))
+    assert (EJECTED, 3) in ledger.held and any("withdrawn/3" in name for name in proxy.held(LEDS))
     assert [v.kind for v in ledger.judge(pilot.now, None) if v.nonce == lost.nonce] == [LOST]
 
 
@@ -100,9 +101,9 @@
     lost = drop(proxy)
     proxy.log.clear()
     pilot.run(LATE_MS - 50.0)
-    assert (OUT, 3) not in ledger.held
+    assert (EJECTED, 3) not in ledger.held
     pilot.run(200.0)
-    assert (OUT, 3) in ledger.held and lost.nonce not in ledger.flights
+    assert (EJECTED, 3) in ledger.held and lost.nonce not in ledger.flights
     asked = [(names, removed) for _, names, removed in proxy.log if not names and not removed]
     assert len(asked) == 1, "one question, without changes"
 
@@ -124,7 +125,7 @@
     lines = [each.name for r in proxy.waits for each in r.resources if each.name.endswith("table-0/3")]
     assert len(lines) <= 7, "what is overtaken after it is late is not sent"
     pilot.run(50.0)
-    assert ledger.held[LINE, 0, 3] == pilot.core.tables.content((LINE, 0, 3)).version and not ledger.flights
+    assert ledger.held[WEIGHT, 0, 3] == pilot.core.tables.content((WEIGHT, 0, 3)).version and not ledger.flights
     assert not [v for v in ledger.judge(pilot.now, None) if v.kind == LOST]
 
 
@@ -162,7 +163,7 @@
     assert any("withdrawn/55" in name for name in proxy.log[0][1])
     pilot.run(1500.0)
     tables = pilot.core.tables
-    assert all(ledger.held[key] == tables.content(key).version for key in tables.keys(0) if key[0] == LINE)
+    assert all(ledger.held[key] == tables.content(key).version for key in tables.keys(0) if key[0] == WEIGHT)
     sizes = [len(names) + len(removed) for _, names, removed in proxy.log]
     assert max(sizes) <= 25 and sum(sizes) >= 52
     gone = next(at for at, row in enumerate(proxy.log) if any(name.endswith("table-0/55") for name in row[2]))
@@ -177,7 +178,7 @@
     pilot.run(9000)
     core = pilot.core
     held = list(pilot.proxies.values())
-    core.roster("partial", [(3, "b", "terminated", 1.0, 0.0)], {})
+    core.roster("partial", [EndpointEntry(3, "b", "terminated", 1.0, 0.0)], {})
     core.heard(pilot.now)
     for _ in range(60):
         pilot.now += 10.0
@@ -186,7 +187,7 @@
             proxy.pump()
             if at >= stale:
                 proxy.read()
-    core.roster("partial", [(3, "b", "in_service", 1.0, pilot.now)], {})
+    core.roster("partial", [EndpointEntry(3, "b", "in_service", 1.0, pilot.now)], {})
     core.heard(pilot.now)
     core.tables.cold[3] = pilot.now
     order(pilot, lambda tables: (tables.line(0, 3, 2.0), tables.withdraw(3, False, "")))
@@ -292,9 +293,9 @@
 
 
 def test_a_table_means_another_zone_only_under_another_number():
-    base, other = terms_of(["a", "b"], True), terms_of(["b", "a"], True)
-    assert base != other and base >= 2**24 and terms_of(["a", "b"], False) == 0
-    assert terms_of(["a", "b"], True) == base
+    base, other = table_number_offset(["a", "b"], True), table_number_offset(["b", "a"], True)
+    assert base != other and base >= 2**24 and table_number_offset(["a", "b"], False) == 0
+    assert table_number_offset(["a", "b"], True) == base
 
 
 TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "work_ms": 20.0}
--- a/tests/routing/test_tables.py
+++ b/tests/routing/test_tables.py
@@ -8,7 +8,7 @@
 
 from quillstep.config.fleet import ChannelSettings
 from quillstep.routing import Tables
-from quillstep.routing.resources import LINE, OUT, POOL, ROUTES
+from quillstep.routing.resources import CLUSTER, EJECTED, ROUTES, WEIGHT
 from quillstep.xds.resources import CDS, EDS, LEDS, RDS, key_of, name, type_url
 
 LINE_3 = "xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/table-0/3"
@@ -43,13 +43,13 @@
         order(pilot, lambda tables, weight=weight: tables.line(0, 3, weight))
         pilot.run(400, step=50.0)
         assert [names for _, names, _ in proxy.log].count([LINE_3]) == 1
-        assert proxy.held(LEDS)[LINE_3] == before == ledger.held[LINE, 0, 3]
+        assert proxy.held(LEDS)[LINE_3] == before == ledger.held[WEIGHT, 0, 3]
     proxy.refuses = False
     pilot.run(1000, step=50.0)
-    assert ledger.held[LINE, 0, 3] == before  # not repeated unchanged
+    assert ledger.held[WEIGHT, 0, 3] == before  # not repeated unchanged
     order(pilot, lambda tables: tables.line(0, 3, 79.0))
     pilot.run(50)
-    assert ledger.held[LINE, 0, 3] == proxy.held(LEDS)[LINE_3] != before
+    assert ledger.held[WEIGHT, 0, 3] == proxy.held(LEDS)[LINE_3] != before
     assert not ledger.refused
 
 
@@ -66,7 +66,7 @@
     pilot.run(20)
     assert any(named.endswith("withdrawn/4") for named in proxy.held(LEDS))
     pilot.run(400)
-    assert pilot.core.tables.ledgers[0].refused.keys() == {(LINE, 0, 3)}
+    assert pilot.core.tables.ledgers[0].refused.keys() == {(WEIGHT, 0, 3)}
 
 
 def test_a_withdrawal_that_is_refused_is_tried_again_more_and_more_rarely_until_it_holds():
@@ -79,10 +79,10 @@
     before = len(proxy.log)
     pilot.run(10000.0)
     tried = [names for _, names, _ in proxy.log[before:] if any("withdrawn/3" in name for name in names)]
-    assert 5 <= len(tried) <= 10 and (OUT, 3) not in pilot.core.tables.ledgers[0].held
+    assert 5 <= len(tried) <= 10 and (EJECTED, 3) not in pilot.core.tables.ledgers[0].held
     proxy.refuses = False
     pilot.run(7000.0)
-    assert (OUT, 3) in pilot.core.tables.ledgers[0].held and not pilot.core.tables.ledgers[0].again
+    assert (EJECTED, 3) in pilot.core.tables.ledgers[0].held and not pilot.core.tables.ledgers[0].again
 
 
 def test_what_was_refused_once_is_sent_when_it_is_ordered_anew():
@@ -118,13 +118,13 @@
 def test_an_old_or_invented_nonce_acknowledges_nothing(nonce):
     pilot = settled()
     proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
-    before = ledger.held[LINE, 0, 3]
+    before = ledger.held[WEIGHT, 0, 3]
     order(pilot, lambda tables: tables.line(0, 3, 77.0))
     proxy.pump()
     word = proxy.request(LEDS)
     word.response_nonce = nonce
     proxy.say(word)
-    assert ledger.held[LINE, 0, 3] == before and ledger.flights
+    assert ledger.held[WEIGHT, 0, 3] == before and ledger.flights
 
 
 def test_the_acknowledgement_of_an_older_version_is_no_word_on_the_newer():
@@ -135,10 +135,10 @@
         proxy.pump()
     assert len(proxy.waits) == 2
     proxy.read(1)
-    newest = pilot.core.tables.content((LINE, 0, 3)).version
-    assert ledger.held[LINE, 0, 3] != newest and ledger.have((LINE, 0, 3)) == newest
+    newest = pilot.core.tables.content((WEIGHT, 0, 3)).version
+    assert ledger.held[WEIGHT, 0, 3] != newest and ledger.have((WEIGHT, 0, 3)) == newest
     proxy.read()
-    assert ledger.held[LINE, 0, 3] == newest
+    assert ledger.held[WEIGHT, 0, 3] == newest
 
 
 def test_a_stream_that_breaks_before_the_acknowledgement_holds_nothing_new_and_is_sent_only_what_differs():
@@ -191,11 +191,11 @@
         proxy.read(1)
         ledger = pilot.core.tables.ledgers[0]
         if 9 in ledger.routed:
-            assert {(POOL, 9), (LINE, 9, 1), (LINE, 9, 2)} <= ledger.held.keys()
+            assert {(CLUSTER, 9), (WEIGHT, 9, 1), (WEIGHT, 9, 2)} <= ledger.held.keys()
         else:
-            assert (POOL, 0) in ledger.held  # the old table stays until the routes have left it
+            assert (CLUSTER, 0) in ledger.held  # the old table stays until the routes have left it
     assert ledger.routed == {9}
-    assert (POOL, 0) not in ledger.held and "table-0" not in proxy.held(CDS)
+    assert (CLUSTER, 0) not in ledger.held and "table-0" not in proxy.held(CDS)
 
 
 def test_a_proxy_from_another_pilot_is_never_bare_while_it_is_bound_anew():
@@ -209,11 +209,11 @@
     order(two, write)
     ledger = two.core.tables.ledgers[moved.number]
     for _ in range(20):
-        before = {key for key in ledger.held if key[0] == LINE and key[1] == 0}
+        before = {key for key in ledger.held if key[0] == WEIGHT and key[1] == 0}
         moved.pump()
         moved.read(1)
         assert ledger.routed == {9} or len(before) == 6
-    assert {key for key in ledger.held if key[0] in (POOL, LINE)} == {(POOL, 9), (LINE, 9, 1)}
+    assert {key for key in ledger.held if key[0] in (CLUSTER, WEIGHT)} == {(CLUSTER, 9), (WEIGHT, 9, 1)}
 
 
 def test_a_receipt_comes_from_acknowledgements_alone():
@@ -276,9 +276,9 @@
 @pytest.mark.parametrize(
     ("url", "named", "key"),
     [
-        (CDS, "table-12", (POOL, 12)), (CDS, "table-012", None), (CDS, "table--1", None), (CDS, "table-", None),
-        (LEDS, LINE_3, (LINE, 0, 3)), (LEDS, OUT_3, (OUT, 3)), (LEDS, OUT_3 + "x", None), (RDS, "exchanges", (ROUTES,)),
-        (RDS, "table-1", None), (LEDS, "xdstp://quillstep/", None),
+        (CDS, "table-12", (CLUSTER, 12)), (CDS, "table-012", None), (CDS, "table--1", None), (CDS, "table-", None),
+        (LEDS, LINE_3, (WEIGHT, 0, 3)), (LEDS, OUT_3, (EJECTED, 3)), (LEDS, OUT_3 + "x", None),
+        (RDS, "exchanges", (ROUTES,)), (RDS, "table-1", None), (LEDS, "xdstp://quillstep/", None),
     ],
 )  # fmt: skip
 def test_names_and_keys_answer_each_other(url, named, key):
@@ -332,4 +332,4 @@
             tables.place(number, "127.0.0.1", 9000 + number)
             tables.line(0, number, number * 2.0)
             tables.commit()
-    assert [one.content((LINE, 0, n)) for n in (1, 2, 3)] == [two.content((LINE, 0, n)) for n in (1, 2, 3)]
+    assert [one.content((WEIGHT, 0, n)) for n in (1, 2, 3)] == [two.content((WEIGHT, 0, n)) for n in (1, 2, 3)]
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -17,7 +17,7 @@
 from quillstep.config.controller import RolloutGateSettings, StoreSettings
 from quillstep.invariants import judge
 from quillstep.routing.recovery import RecoveredTable, recovery_trust_ms
-from quillstep.routing.resources import LINE, OUT, content
+from quillstep.routing.resources import EJECTED, WEIGHT, make_resource
 from quillstep.routing.rollout_gate import BARE, COLD, GONE, MOVES, EndpointView, RolloutGate
 from quillstep.routing.versions import Version, version_of
 from quillstep.store import Store, StoreError
@@ -136,7 +136,8 @@
     """Whether a proxy has exactly these lines of table 0."""
     tables = pilot.core.tables
     wanted = {
-        name((LINE, 0, e)): content((LINE, 0, e), (*tables.addresses[e], float(w))).version for e, w in lines.items()
+        name((WEIGHT, 0, e)): make_resource((WEIGHT, 0, e), (*tables.addresses[e], float(w))).version
+        for e, w in lines.items()
     }
     return {n: v for n, v in proxy.held(LEDS).items() if "/table-0/" in n} == wanted
 
@@ -167,7 +168,7 @@
     pilot.core.book.pin(stood(pilot)[-1])
     pilot.roster("partial", [3], "terminating")
     pilot.run(1500)
-    assert (OUT, 3) in pilot.core.tables.ledgers[0].held
+    assert (EJECTED, 3) in pilot.core.tables.ledgers[0].held
     assert 3 not in pilot.core.book.target(0)[0]
     assert not any(line.endswith("table-0/3") for line in pilot.proxies["p0"].held(LEDS))
 
@@ -646,8 +647,8 @@
     assert said(played, "rollback", "--table", "0", "--version", "feed0001")["taken"]
     wanted = {}
     for endpoint, weight in weights.items():
-        key = (LINE, 0, endpoint)
-        wanted[name(key)] = content(key, ("127.0.0.1", played.ports[endpoint], weight)).version
+        key = (WEIGHT, 0, endpoint)
+        wanted[name(key)] = make_resource(key, ("127.0.0.1", played.ports[endpoint], weight)).version
     until(lambda: len(lines_held(played)) == 4 and all(held == wanted for held in lines_held(played).values()))
     held = said(played, "held")["proxies"]
     assert len(held) == 6 and {row["life"] for row in held} == {held[0]["life"]} and min(r["order"] for r in held) > 0
