--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -27,7 +27,7 @@
 )
 from quillstep.planner.planner import Planner
 from quillstep.routing import ProxyUpdate, Tables
-from quillstep.routing.ack_latency import STALL_PART
+from quillstep.routing.ack_latency import MAX_STALL_SHARE
 from quillstep.routing.recovery import recovery_trust_ms
 from quillstep.routing.resources import table_number_offset
 from quillstep.routing.retry_policies import RetryPolicies, allowed_way
@@ -58,7 +58,7 @@
         classes = record.fleet.classes
         self.ways = RetryPolicies([allowed_way(row.semantics) for row in classes], [row.deadline_ms for row in classes])
         stall_ms = (
-            STALL_PART * min(row.latency_objective_ms for row in classes) if record.limits.splits_updates else 0.0
+            MAX_STALL_SHARE * min(row.latency_objective_ms for row in classes) if record.limits.splits_updates else 0.0
         )
         self.tables = Tables(
             len(classes), proxies.admission, proxies.default_retry_policy, channel.lines_per_message, ways=self.ways,
@@ -140,7 +140,7 @@
         proxy = self.numbers.setdefault(node, len(self.numbers))
         self.zones[proxy] = zone
         self.fronts[proxy] = front
-        self.tables.join(proxy, zone, held)
+        self.tables.add_proxy(proxy, zone, held)
         self.ways.join(proxy, fresh, self.record.fleet.proxies.default_retry_policy)
         usual_ms = self.record.fleet.proxies.report_interval_ms
         self.gatherer.joined(ReportAccount(proxy, zone, life, usual_ms, usual_ms), node)
@@ -153,7 +153,7 @@
     def leave(self, proxy: int) -> None:
         self.zones.pop(proxy, None)
         self.fronts.pop(proxy, None)
-        self.tables.leave(proxy)
+        self.tables.remove_proxy(proxy)
         self.channel.drop(proxy)
         node = self.gatherer.names[proxy]
         self.gatherer.left(node)
@@ -200,7 +200,7 @@
             self.gatherer.complaints = []
             self.intake.take(self.gatherer.hand_over(now_ms), now_ms)
         self.ask(self.intake.plan(now_ms) if not self.by_inbox else [])
-        if receipts := self.tables.receipts():
+        if receipts := self.tables.completed_acks():
             self.incoming.acks += receipts
             self.heard(now_ms)
         if self.listed and self.due_ms() <= now_ms:
@@ -217,13 +217,13 @@
         kept: deque[tuple[ProxyUpdate, float]] = deque()
         while self.unstored:
             push, since_ms = self.unstored.popleft()
-            stored = push.number <= self.durable or push.number in self.urgent
+            stored = push.revision <= self.durable or push.revision in self.urgent
             if not stored and now_ms < since_ms + wait_ms:
                 kept.append((push, since_ms))
                 continue
             if not stored:
                 self.late_stores += 1
-            self.tables.release(push.proxy, push.number)
+            self.tables.release(push.proxy, push.revision)
         self.unstored = kept
 
     def catch_up(self, now_ms: float) -> None:
@@ -234,7 +234,7 @@
         room = CATCH_UP_PART * channel.max_queued_lines - self.channel.waiting
         self.look(now_ms)
         self.tables.begin()
-        self.ordered[self.tables.number] = now_ms
+        self.ordered[self.tables.revision] = now_ms
         self.book.catch_up(room - channel.lines_per_message * len(self.zones))
         self.channel.put(self.tables.commit(), now_ms)
         self.tell_held(now_ms)
@@ -243,14 +243,14 @@
         """What the book and the gate go by."""
         rules = self.record.fleet.rules
         warm_ms = rules.warm_up_ms
-        self.tables.cold = {e: at for e, at in self.started.items() if at and now_ms - at < warm_ms}
+        self.tables.warming_up = {e: at for e, at in self.started.items() if at and now_ms - at < warm_ms}
         self.book.now_ms = now_ms
         self.book.seen.started = self.started
         self.book.expire()
         self.book.seen.ready = {endpoint for endpoint, state in self.states.items() if state == "in_service"}
         low = rules.initial_capacity
         self.book.seen.part = {
-            e: low + (1.0 - low) * max(0.0, now_ms - at) / warm_ms for e, at in self.tables.cold.items()
+            e: low + (1.0 - low) * max(0.0, now_ms - at) / warm_ms for e, at in self.tables.warming_up.items()
         }
 
     def tell_held(self, now_ms: float) -> None:
@@ -339,10 +339,10 @@
         self.tables.begin()
         self.look(now_ms)
         for endpoint, host, port in self.placed:
-            self.tables.place(endpoint, host, port)
+            self.tables.set_address(endpoint, host, port)
         self.placed = []
-        self.ordered[self.tables.number] = now_ms
-        self.ordered.pop(self.tables.number - ORDERS_KEPT, None)
+        self.ordered[self.tables.revision] = now_ms
+        self.ordered.pop(self.tables.revision - ORDERS_KEPT, None)
         if self.orders is not None:
             self.orders = []
         self.next_round.call(incoming, CoreOutput(self) if self.orders is None else RecordingOutput(self, self.orders))
@@ -366,16 +366,16 @@
     def set_ejected(self, endpoint: int, out: bool) -> None:
         core = self.core
         status = "draining" if core.states.get(endpoint) == "terminating" else "lost"
-        core.tables.withdraw(endpoint, out, status)
+        core.tables.set_ejected(endpoint, out, status)
         if out:
-            core.urgent.append(core.tables.number)
+            core.urgent.append(core.tables.revision)
         where = "{}:{}".format(*core.tables.addresses.get(endpoint, ("", 0)))
         said = "endpoint withdrawn" if out else "endpoint let back"
         core.log.info(said, endpoint=endpoint, address=where, status=status if out else "ready")
 
     def assign_table(self, proxy: int, table: int, classes: Iterable[int]) -> None:
         self.core.book.flush(self.core.terms + table)
-        self.core.tables.bind(proxy, self.core.terms + table, classes)
+        self.core.tables.assign_table(proxy, self.core.terms + table, classes)
 
     def set_admission(self, table: int, classes: Iterable[int], allowed: float, tries: int) -> None:
         self.core.book.level(self.core.terms + table, classes, allowed, tries)
@@ -385,7 +385,7 @@
             self.core.probes.append((endpoint, *self.core.tables.addresses[endpoint]))
 
     def request_ack(self, serial: int) -> None:
-        self.core.tables.receipt(serial)
+        self.core.tables.request_ack(serial)
 
     def watch_endpoints(self) -> None:
         """Nothing to do: the roster's stream is dialled anew by itself, and brings what was missed."""
--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -60,7 +60,7 @@
     def turn(self, now_ms: float) -> None:
         """Let pushes leave, decide if a round is due, and have the fronts send."""
         self.core.step(now_ms)
-        stirred, self.core.tables.stirred = self.core.tables.stirred, set()
+        stirred, self.core.tables.pending_proxies = self.core.tables.pending_proxies, set()
         for front in self.fronts:
             front.pump(now_ms, stirred)
 
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -140,7 +140,7 @@
                 entries.append(keeper.released(version.table) if release else keeper.pinned(version, wall_ms))
             entries.append(keeper.done(key))
         self.core.granted = []
-        number = self.core.tables.number
+        number = self.core.tables.revision
         if number != self.kept_number:
             entries += keeper.orders(number, wall_ms, self.core.orders or [])
         if self.holds and now - self.holds_ms > HOLDS_MS:
@@ -203,11 +203,11 @@
             full = [self.teller.number(peer) for peer in self.decider.streams.full]
             self.capture.put(["step", now, now, full])
             if self.core.rounds != rounds:
-                number = self.core.tables.number
+                number = self.core.tables.revision
                 self.capture.put(["orders", now, now, self.core.rounds, self.core.orders, number])
             self.capture.flush()
         if self.spans and self.core.rounds != rounds:
-            self.spans.round(self.epoch, self.core.tables.number, now, self.now_ms(), late_ms=max(0.0, now - due))
+            self.spans.round(self.epoch, self.core.tables.revision, now, self.now_ms(), late_ms=max(0.0, now - due))
         for endpoint, host, port in self.core.probes:
             self.prober.ask(endpoint, host, port)
         self.core.probes = []
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -322,7 +322,7 @@
         if word.refusal:
             self.tap("nack", now_ms, proxy=node, nonce=nonce)
             warn_refused(self.log, node, word.refusal, number)
-        self.tables.stirred.add(lane.proxy)
+        self.tables.pending_proxies.add(lane.proxy)
 
     def load(self, lane: Lane, data: bytes) -> None:
         try:
@@ -337,7 +337,7 @@
         lane, generation = job.lane, job.generation
         here = self.lanes.get(job.directory) is lane
         if trouble:
-            ledger = self.tables.ledgers.get(lane.proxy) if here else None
+            ledger = self.tables.proxies.get(lane.proxy) if here else None
             lane.failed(ledger, generation.number, now_ms, self.facts.retry_backoff_ms)
             self.log.error(
                 "generation not written",
@@ -356,7 +356,7 @@
                 ordered=self.ordered_ms(generation.order), lines=generation.changed + generation.removed,
                 bytes=job.bytes, nonce=f"{self.epoch}.g{generation.number}", type="files",
             )  # fmt: skip
-            self.tables.stirred.add(lane.proxy)  # what came meanwhile leaves with the next at once
+            self.tables.pending_proxies.add(lane.proxy)  # what came meanwhile leaves with the next at once
 
     def pump(self, now_ms: float, stirred: set[int]) -> None:
         """Hand the next generation of every stirred proxy of ours to the writer."""
@@ -372,7 +372,7 @@
             generation = lane.next(self.tables, now_ms)
             if generation:
                 self.hand_over(directory, lane, generation)
-            elif not lane.writing and (look_ms := self.tables.ledgers[proxy].look_ms(now_ms)) is not None:
+            elif not lane.writing and (look_ms := self.tables.proxies[proxy].next_retry_ms(now_ms)) is not None:
                 self.waits[proxy] = max(now_ms + 1.0, look_ms)
             elif now_ms < lane.retry_ms:
                 self.waits[proxy] = lane.retry_ms
@@ -395,7 +395,7 @@
         for directory, lane in list(self.lanes.items()):
             node = self.nodes[lane.proxy]
             warn_overdue(self.tables, lane.proxy, node, self.record, self.warned, now_ms, self.log)
-            oldest = self.tables.ledgers[lane.proxy].oldest_flight_ms()
+            oldest = self.tables.proxies[lane.proxy].oldest_sent_ms()
             most = self.record.limits.ack_timeout_ms
             if now_ms - lane.heard_ms > self.facts.idle_timeout_ms:
                 self.leave(directory, f"no word from it for {self.facts.idle_timeout_ms:g} ms", now_ms)
--- a/quillstep/files/lane.py
+++ b/quillstep/files/lane.py
@@ -49,23 +49,23 @@
         """The next generation, if anything is to be sent and none is being written."""
         if self.writing or now_ms < self.retry_ms:
             return None
-        ledger = tables.ledgers[self.proxy]
+        ledger = tables.proxies[self.proxy]
         base = dict(self.accepted if self.refused_number > self.accepted_number else self.newest)
-        unknown = [key for key in ledger.held if key not in base]
-        if unknown and not ledger.bound:
+        unknown = [key for key in ledger.acknowledged if key not in base]
+        if unknown and not ledger.assignments:
             return None  # a set without what it holds from elsewhere would take that away; it is bound soon
-        changes = tables.take(self.proxy, now_ms, wants_all, together=True)
+        changes = tables.changes_to_send(self.proxy, now_ms, wants_all, together=True)
         if not changes:
             return None
         made, changes = self.fit(*self.complete(tables, base, changes))
         if not changes:
             return None
         self.number += 1
-        tables.send(self.proxy, str(self.number), changes, now_ms)
+        tables.record_sent(self.proxy, str(self.number), changes, now_ms)
         self.newest, self.sets[self.number] = made, made
         self.refused_number = 0
         self.writing = True
-        order = ledger.released
+        order = ledger.released_revision
         removed = sum(change.resource is None for change in changes)
         return Generation(self.number, order, made, len(changes) - removed, removed)
 
@@ -76,10 +76,10 @@
 
         Only its versions are known of that; where another version is wanted by now, that goes early.
         """
-        ledger = tables.ledgers[self.proxy]
+        ledger = tables.proxies[self.proxy]
         coming = {change.key for change in changes}
-        for key, version in ledger.held.items():
-            want = tables.desired(ledger, key)
+        for key, version in ledger.acknowledged.items():
+            want = tables.desired_resource(ledger, key)
             if want is None:
                 continue
             if key not in base:
@@ -115,7 +115,7 @@
         self.writing = False
         self.sets.pop(number, None)
         if ledger:
-            ledger.unsend(str(number))
+            ledger.cancel_in_flight(str(number))
         self.newest = dict(self.sets[max(self.sets)]) if self.sets else dict(self.accepted)
         self.retry_ms = now_ms + retry_ms * min(16.0, 2.0**self.fails)
         self.fails += 1
@@ -124,14 +124,14 @@
         """The proxy holds this generation, or refuses it for a reason."""
         if number not in self.sets or number > self.number:
             return Word([], None, f"generation {number} was never written")
-        ledger = tables.ledgers[self.proxy]
-        flights = sorted(int(nonce) for nonce in ledger.flights if int(nonce) <= number)
+        ledger = tables.proxies[self.proxy]
+        flights = sorted(int(nonce) for nonce in ledger.in_flight_updates if int(nonce) <= number)
         if reason:
             if not flights:
                 return Word([], None, "" if number == self.refused_number else "it had accepted that one")
             newest = str(flights[-1])
-            ledger.merge([str(each) for each in flights[:-1]], newest)
-            refusal = tables.refuse(self.proxy, newest, reason, now_ms)
+            ledger.merge_in_flight([str(each) for each in flights[:-1]], newest)
+            refusal = tables.record_nack(self.proxy, newest, reason, now_ms)
             self.refused_number = number
             self.sets = {each: held for each, held in self.sets.items() if each == self.accepted_number}
             self.newest = dict(self.accepted)
@@ -141,7 +141,7 @@
             return Word([], None, f"generation {number} is older than {self.accepted_number}, which it held")
         acknowledged: list[Change] = []
         for each in flights:
-            acknowledged += tables.acknowledge(self.proxy, str(each), now_ms)
+            acknowledged += tables.record_ack(self.proxy, str(each), now_ms)
         self.accepted_number = number
         self.accepted = self.sets[number]
         self.sets = {each: held for each, held in self.sets.items() if each >= number}
--- a/quillstep/model_checking/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -45,9 +45,9 @@
     def begin(self) -> None:
         def write(tables: Tables) -> None:
             for endpoint, weight in self.weights.items():
-                tables.place(endpoint, "127.0.0.1", 9000 + endpoint)
-                tables.line(0, endpoint, weight)
-            tables.level(0, [0], 1e6, self.tries)
+                tables.set_address(endpoint, "127.0.0.1", 9000 + endpoint)
+                tables.set_weight(0, endpoint, weight)
+            tables.set_admission(0, [0], 1e6, self.tries)
 
         self.order(write)
 
@@ -56,11 +56,11 @@
         self.tables.begin()
         write(self.tables)
         for push in self.tables.commit():
-            self.tables.release(push.proxy, push.number)
+            self.tables.release(push.proxy, push.revision)
 
     def joined(self) -> None:
-        if not self.tables.ledgers[0].bound:
-            self.order(lambda t: t.bind(0, 0, [0]))
+        if not self.tables.proxies[0].assignments:
+            self.order(lambda t: t.assign_table(0, 0, [0]))
 
 
 @dataclass
@@ -91,7 +91,7 @@
         first = self.request(CDS, [])
         first.node.id = "proxy"
         told = stream.first(first)
-        at.tables.join(0, "a", told)
+        at.tables.add_proxy(0, "a", told)
         at.ways.join(0, not self.held.get(RDS), 0)
         stream.proxy = 0
         stream.request(first, self.now_ms)
@@ -110,7 +110,7 @@
         return request
 
     def break_off(self) -> None:
-        self.pilots[self.owner].tables.leave(0)
+        self.pilots[self.owner].tables.remove_proxy(0)
         self.owner, self.stream, self.down, self.up = -1, None, [], []
 
     def push(self) -> bool:
@@ -147,8 +147,8 @@
     # what is asked of it
 
     def settled(self) -> bool:
-        ledger = self.pilots[self.owner].tables.ledgers[0]
-        return not (self.down or self.up or ledger.flights)
+        ledger = self.pilots[self.owner].tables.proxies[0]
+        return not (self.down or self.up or ledger.in_flight_updates)
 
     def play_out(self) -> str:
         """Go on without further faults until nothing moves; what is left behind, in words."""
@@ -161,24 +161,24 @@
             elif self.down:
                 self.take("apply")
             elif not self.push():
-                ledger = tables.ledgers[0]
-                if self.settled() and ledger.look_ms(self.now_ms) is None:
+                ledger = tables.proxies[0]
+                if self.settled() and ledger.next_retry_ms(self.now_ms) is None:
                     break
                 self.now_ms += TICK_MS
         else:
             return "it never settles"
-        ledger = tables.ledgers[0]
-        for key in tables.keys(0):
-            want = tables.desired(ledger, key)
+        ledger = tables.proxies[0]
+        for key in tables.desired_keys(0):
+            want = tables.desired_resource(ledger, key)
             version = self.held.get(resources.type_url(key), {}).get(resources.name(key))
-            if want and version != want.version and key not in ledger.refused:
+            if want and version != want.version and key not in ledger.nacked:
                 return f"{resources.name(key)} stays at {version}, {want.version} is wanted"
             if want and version != want.version and key[0] == EJECTED:
                 return f"{resources.name(key)} is wanted out, and was refused for good"
         for url, held in self.held.items():
             for name in held:
                 gone = resources.key_of(url, name)
-                if tables.desired(ledger, gone) is None and gone not in ledger.refused:
+                if tables.desired_resource(ledger, gone) is None and gone not in ledger.nacked:
                     return f"{name} is held, and nobody wants it"
         return ""
 
@@ -190,13 +190,13 @@
         if self.owner < 0:
             return ""
         pilot = self.pilots[self.owner]
-        ledger = pilot.tables.ledgers[0]
+        ledger = pilot.tables.proxies[0]
         waiting = {discovery_pb2.DeltaDiscoveryRequest.FromString(each).response_nonce for each in self.up}
         coming = {discovery_pb2.DeltaDiscoveryResponse.FromString(each).nonce for each in self.down}
-        for key, version in ledger.held.items():
+        for key, version in ledger.acknowledged.items():
             under_way = any(
                 change.key == key and (nonce in waiting or nonce not in coming)
-                for nonce, flight in ledger.flights.items()
+                for nonce, flight in ledger.in_flight_updates.items()
                 for change in flight.changes
             )
             has = self.held.get(resources.type_url(key), {}).get(resources.name(key))
@@ -216,14 +216,14 @@
         """What tells states apart: all but numbers that only count."""
         rows = []
         for pilot in self.pilots:
-            ledger = pilot.tables.ledgers.get(0)
+            ledger = pilot.tables.proxies.get(0)
             rows.append((
                 tuple(pilot.weights.items()), tuple(sorted(pilot.out)), pilot.tries,
                 ledger and (
-                    frozenset(ledger.held.items()), frozenset(ledger.dirty), frozenset(ledger.refused.items()),
-                    tuple(tuple(change for change in f.changes) for f in ledger.flights.values()),
-                    tuple(tuple(part) for part in ledger.apart), frozenset(ledger.again),
-                    frozenset((key, sent[0]) for key, sent in ledger.sent.items()),
+                    frozenset(ledger.acknowledged.items()), frozenset(ledger.pending), frozenset(ledger.nacked.items()),
+                    tuple(tuple(change for change in f.changes) for f in ledger.in_flight_updates.values()),
+                    tuple(tuple(part) for part in ledger.split_updates), frozenset(ledger.nack_retries_ms),
+                    frozenset((key, sent[0]) for key, sent in ledger.in_flight.items()),
                 ),
             ))  # fmt: skip
         held = frozenset((url, name, version) for url, row in self.held.items() for name, version in row.items())
@@ -255,15 +255,15 @@
 
     def weigh(p: ModelController) -> None:
         p.weights[1] = 30.0 - p.weights[1]
-        p.order(lambda t: t.line(0, 1, p.weights[1]))
+        p.order(lambda t: t.set_weight(0, 1, p.weights[1]))
 
     def withdraw(p: ModelController) -> None:
         p.out ^= {2}
-        p.order(lambda t: t.withdraw(2, 2 in p.out, "draining"))
+        p.order(lambda t: t.set_ejected(2, 2 in p.out, "draining"))
 
     def retry(p: ModelController) -> None:
         p.tries = 3 - p.tries
-        p.order(lambda t: t.level(0, [0], 1e6, p.tries))
+        p.order(lambda t: t.set_admission(0, [0], 1e6, p.tries))
 
     yield "weighs 1", weigh
     yield "withdraws 2" if 2 not in pilot.out else "lets 2 back", withdraw
--- a/quillstep/model_checking/fuzz.py
+++ b/quillstep/model_checking/fuzz.py
@@ -69,7 +69,7 @@
         pilot = ModelController(ENCODER, Tables)
         pilot.begin()
         stream = kind(pilot.tables, ENCODER, LIMITS, "e", ordered_ms)
-        pilot.tables.join(0, "a", {})
+        pilot.tables.add_proxy(0, "a", {})
         pilot.ways.join(0, True, 0)
         stream.proxy = 0
         pilot.joined()
@@ -83,7 +83,7 @@
                 pass
             at, now_ms = at + 1 + size, now_ms + 100.0
             stream.pump(now_ms)
-        assert len(pilot.tables.ledgers[0].flights) <= LIMITS.max_in_flight + 5
+        assert len(pilot.tables.proxies[0].in_flight_updates) <= LIMITS.max_in_flight + 5
 
 
 def report(data: bytes) -> None:
--- a/quillstep/model_checking/mutants.py
+++ b/quillstep/model_checking/mutants.py
@@ -10,58 +10,58 @@
 class HeldAtSending(Tables):
     """What has been sent counts as held."""
 
-    def send(self, proxy: int, nonce: str, changes: list[Change], now_ms: float, lane: str = "") -> None:
-        super().send(proxy, nonce, changes, now_ms, lane)
+    def record_sent(self, proxy: int, nonce: str, changes: list[Change], now_ms: float, lane: str = "") -> None:
+        super().record_sent(proxy, nonce, changes, now_ms, lane)
         for key, want in changes:
             if want:
-                self.ledgers[proxy].held[key] = want.version
+                self.proxies[proxy].acknowledged[key] = want.version
 
 
 class OldWordOnNew(Tables):
     """A word counts for the newest that was sent, whichever it is on."""
 
-    def acknowledge(self, proxy: int, nonce: str, now_ms: float = 0.0) -> list[Change]:
-        found = super().acknowledge(proxy, nonce, now_ms)
-        ledger = self.ledgers[proxy]
+    def record_ack(self, proxy: int, nonce: str, now_ms: float = 0.0) -> list[Change]:
+        found = super().record_ack(proxy, nonce, now_ms)
+        ledger = self.proxies[proxy]
         for key, _ in found:
-            if (newest := ledger.sent.pop(key, None)) and newest[0]:
-                ledger.held[key] = newest[0]
+            if (newest := ledger.in_flight.pop(key, None)) and newest[0]:
+                ledger.acknowledged[key] = newest[0]
         return found
 
 
 class Forgiving(ProxyState):
     """A response that has no word, and never will, is not missed."""
 
-    def landed(self, nonce: str, now_ms: float) -> InFlightUpdate | None:
-        return self.flights.pop(nonce, None)
+    def end_in_flight(self, nonce: str, now_ms: float) -> InFlightUpdate | None:
+        return self.in_flight_updates.pop(nonce, None)
 
 
 class LostAndNotMissed(Tables):
     """See Forgiving."""
 
-    ledger_type = Forgiving
+    proxy_state_type = Forgiving
 
 
 class RefusedForGood(Tables):
     """A withdrawal that was refused is set apart like anything else."""
 
-    def refuse(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Nack | None:
-        found = super().refuse(proxy, nonce, reason, now_ms, whole)
-        self.ledgers[proxy].again.clear()
+    def record_nack(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Nack | None:
+        found = super().record_nack(proxy, nonce, reason, now_ms, whole)
+        self.proxies[proxy].nack_retries_ms.clear()
         return found
 
 
 class Hasty(ProxyState):
     """Nothing waits for anything."""
 
-    def too_early(self, change: Change, wants: Callable[[Key], bool]) -> bool:
+    def must_wait(self, change: Change, wants: Callable[[Key], bool]) -> bool:
         return False
 
 
 class NobodyWaits(Tables):
     """See Hasty."""
 
-    ledger_type = Hasty
+    proxy_state_type = Hasty
 
 
 class TrustsItsMemory(Tables):
@@ -71,16 +71,16 @@
         super().__init__(*facts, **more)
         self.last: dict[Key, str] = {}
 
-    def join(self, proxy: int, zone: str, held: Any) -> ProxyState:
-        return super().join(proxy, zone, self.last or held)
+    def add_proxy(self, proxy: int, zone: str, held: Any) -> ProxyState:
+        return super().add_proxy(proxy, zone, self.last or held)
 
-    def holds(self, proxy: int, held: Any) -> None:
-        super().holds(proxy, {} if self.last else held)
+    def add_acknowledged(self, proxy: int, held: Any) -> None:
+        super().add_acknowledged(proxy, {} if self.last else held)
 
-    def leave(self, proxy: int) -> None:
-        if proxy in self.ledgers:
-            self.last = dict(self.ledgers[proxy].held)
-        super().leave(proxy)
+    def remove_proxy(self, proxy: int) -> None:
+        if proxy in self.proxies:
+            self.last = dict(self.proxies[proxy].acknowledged)
+        super().remove_proxy(proxy)
 
 
 TWINS: dict[str, type[Tables]] = {
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -41,27 +41,27 @@
         core = self.pilot.core
         for number in sorted(stirred):
             proxy = self.pilot.joined.get(number)
-            ledger = core.tables.ledgers.get(number)
-            if proxy is None or ledger is None or len(ledger.flights) >= 8:
+            ledger = core.tables.proxies.get(number)
+            if proxy is None or ledger is None or len(ledger.in_flight_updates) >= 8:
                 continue
-            changes = core.tables.take(number, now_ms, lambda key: True)
+            changes = core.tables.changes_to_send(number, now_ms, lambda key: True)
             if changes:
                 self.nonces += 1
                 nonce = str(self.nonces)
-                core.tables.send(number, nonce, changes, now_ms)
-                self.pilot.sent(proxy, ledger.released, len(changes), now_ms)
+                core.tables.record_sent(number, nonce, changes, now_ms)
+                self.pilot.sent(proxy, ledger.released_revision, len(changes), now_ms)
                 delay = self.pilot.delay(proxy.name)
                 self.day.clock.at(now_ms + ACK_PART * delay, self.arrive, number, ledger, proxy, nonce, changes)
                 self.day.clock.at(now_ms + delay, self.word, number, ledger, nonce)
 
     def arrive(self, number: int, ledger: Any, proxy: Proxy, nonce: str, changes: list) -> None:
-        if self.pilot.core.tables.ledgers.get(number) is ledger:
+        if self.pilot.core.tables.proxies.get(number) is ledger:
             proxy.apply(changes)
 
     def word(self, number: int, ledger: Any, nonce: str) -> None:
         tables = self.pilot.core.tables
-        if tables.ledgers.get(number) is ledger:
-            tables.acknowledge(number, nonce, self.day.clock.now)
+        if tables.proxies.get(number) is ledger:
+            tables.record_ack(number, nonce, self.day.clock.now)
             self.pilot.poke()
 
     def drop(self, proxy: int, reason: str, now_ms: float) -> None:
@@ -131,7 +131,7 @@
         self.core.now_ms = self.day.clock.now
         number = self.core.join(name, proxy.zone, proxy.usual, proxy.versions, fields["fresh"], self.decider.fronts[0])
         self.joined[number] = proxy
-        self.core.tables.ask(number, [(LISTENER,)], False)
+        self.core.tables.subscribe(number, [(LISTENER,)], False)
         self.poke()
 
     def leave(self, name: str, fields: dict[str, Any]) -> None:
--- a/quillstep/routing/ack_latency.py
+++ b/quillstep/routing/ack_latency.py
@@ -9,12 +9,12 @@
 from statistics import median
 from typing import NamedTuple
 
-ON_ITS_WAY, LATE, STALLS, LOST = "on its way", "late", "stalls", "lost"
+IN_TIME, LATE, STALLED, LOST = "on its way", "late", "stalls", "lost"
 SMALL, LARGE = 2, 8  # lines: what a round trip is told by, and what a line's cost is told by
 LOOKED_BACK, ENOUGH = 64, 8  # answers of all proxies: that are looked back on, that say something
 BELIEVED = 2  # answers of many lines that tell a proxy's own cost
 KEPT = 8  # answers of each size that are looked back on
-STALL_PART = 0.1  # of the shortest agreed time: as long as one piece may make a proxy stand still
+MAX_STALL_SHARE = 0.1  # of the shortest agreed time: as long as one piece may make a proxy stand still
 FIRST_LINES = 16  # of one piece while nothing is known of anybody
 LEAST_LINES = 4  # of a piece, however long they take
 REST = 1.0  # after a piece the proxy has its time for exchanges: as long again as it stood still
@@ -24,22 +24,22 @@
     """What a line costs most proxies: the median of the last answers, whoever gave them; few slow ones don't count."""
 
     def __init__(self) -> None:
-        self.answers: deque[float] = deque(maxlen=LOOKED_BACK)
+        self.samples_ms: deque[float] = deque(maxlen=LOOKED_BACK)
 
     def add(self, line_ms: float) -> None:
-        self.answers.append(line_ms)
+        self.samples_ms.append(line_ms)
 
     def line_ms(self) -> float | None:
         """None until enough have answered."""
-        return median(self.answers) if len(self.answers) >= ENOUGH else None
+        return median(self.samples_ms) if len(self.samples_ms) >= ENOUGH else None
 
 
-class Verdict(NamedTuple):
+class AckDelay(NamedTuple):
     """What is to be thought of a response that has no word yet: which, since when, after how many ms, why."""
 
     nonce: str
-    kind: str
-    waits_ms: float
+    status: str
+    waiting_ms: float
     reason: str
 
 
@@ -51,43 +51,43 @@
         self, max_ack_delay_ms: float = 0.0, stall_ms: float = 0.0, usual_line_ms: float | None = None
     ) -> None:
         self.max_ack_delay_ms, self.stall_ms, self.usual_line_ms = max_ack_delay_ms, stall_ms, usual_line_ms
-        self.small: deque[float] = deque(maxlen=KEPT)
-        self.large: deque[tuple[int, float]] = deque(maxlen=KEPT)
+        self.small_update_ms: deque[float] = deque(maxlen=KEPT)
+        self.large_updates: deque[tuple[int, float]] = deque(maxlen=KEPT)
         self.last_line_ms: float | None = None  # the cost of a line by the last answer that tells one
-        self.word_ms = float("-inf")  # when its last word came
-        self.next_ms = 0.0  # before which no further piece of ordinary changes goes
+        self.last_ack_ms = float("-inf")  # when its last word came
+        self.rest_until_ms = 0.0  # before which no further piece of ordinary changes goes
 
-    def answered(self, lines: int, sent_ms: float, now_ms: float) -> None:
+    def record_ack(self, lines: int, sent_ms: float, now_ms: float) -> None:
         """Its word on a response of so many lines; what came before it in the stream was taken first."""
-        took = now_ms - max(sent_ms, self.word_ms)
-        self.word_ms = now_ms
+        took = now_ms - max(sent_ms, self.last_ack_ms)
+        self.last_ack_ms = now_ms
         if lines <= SMALL:
-            self.small.append(took)
+            self.small_update_ms.append(took)
         elif lines >= LARGE:
-            self.large.append((lines, took))
-            self.last_line_ms = max(0.0, took - self.trip_ms()) / lines
-        self.next_ms = now_ms + REST * self.stands_ms(lines)
+            self.large_updates.append((lines, took))
+            self.last_line_ms = max(0.0, took - self.round_trip_ms()) / lines
+        self.rest_until_ms = now_ms + REST * self.apply_ms(lines)
 
-    def trip_ms(self) -> float:
+    def round_trip_ms(self) -> float:
         """What an answer takes that costs nothing to apply."""
-        return min(self.small, default=0.0)
+        return min(self.small_update_ms, default=0.0)
 
     def line_ms(self) -> float | None:
         """What a line makes it stand still for; None: nothing is known.
 
         One answer alone may have met a busy pilot; until there are more, it is taken for one of many.
         """
-        if len(self.large) < BELIEVED:
+        if len(self.large_updates) < BELIEVED:
             return self.usual_line_ms
-        trip = self.trip_ms()
-        return min(max(0.0, took - trip) / lines for lines, took in self.large)
+        trip = self.round_trip_ms()
+        return min(max(0.0, took - trip) / lines for lines, took in self.large_updates)
 
-    def stands_ms(self, lines: int) -> float:
+    def apply_ms(self, lines: int) -> float:
         """How long so many lines make it stand still, as far as that is worth a rest."""
         stands = lines * (self.line_ms() or 0.0)
         return stands if stands > 0.5 * self.stall_ms else 0.0
 
-    def lines_most(self) -> int | None:
+    def max_lines(self) -> int | None:
         """The lines of one piece; None: all at once."""
         line_ms = self.line_ms()
         if not self.stall_ms:
@@ -98,18 +98,18 @@
 
     def late_ms(self, lines: int) -> float:
         """From when on a response of so many lines is late: the settings' figure, or what it surely takes."""
-        return max(self.max_ack_delay_ms, 2.0 * (self.trip_ms() + lines * (self.line_ms() or 0.0)))
+        return max(self.max_ack_delay_ms, 2.0 * (self.round_trip_ms() + lines * (self.line_ms() or 0.0)))
 
-    def judge(self, nonce: str, lines: int, sent_ms: float, now_ms: float, heard_ms: float | None) -> Verdict:
+    def ack_delay(self, nonce: str, lines: int, sent_ms: float, now_ms: float, heard_ms: float | None) -> AckDelay:
         """A response without a word.  `heard_ms`: when anything at all last came from this peer, if that is known.
 
         One that still talks and does not answer stands still over it, or will never apply it; one from which nothing
         comes may have it under way.  Neither counts as held.  That it was lost only a later word can tell.
         """
-        since = max(sent_ms, self.word_ms)
+        since = max(sent_ms, self.last_ack_ms)
         waits = now_ms - since
         if not self.max_ack_delay_ms or waits <= self.late_ms(lines):
-            return Verdict(nonce, ON_ITS_WAY, waits, "")
+            return AckDelay(nonce, IN_TIME, waits, "")
         if heard_ms is not None and heard_ms > since + self.max_ack_delay_ms:
-            return Verdict(nonce, STALLS, waits, f"it talks and has not applied {lines} lines")
-        return Verdict(nonce, LATE, waits, f"nothing came from it since it was sent {lines} lines")
+            return AckDelay(nonce, STALLED, waits, f"it talks and has not applied {lines} lines")
+        return AckDelay(nonce, LATE, waits, f"nothing came from it since it was sent {lines} lines")
--- a/quillstep/routing/message_quota.py
+++ b/quillstep/routing/message_quota.py
@@ -7,30 +7,30 @@
 
 from collections import deque
 
-KEPT_FREE = 2  # of the limit, for endpoints to keep out
+EJECTION_RESERVE = 2  # of the limit, for endpoints to keep out
 
 
 class MessageQuota:
     """`most` messages within `over_ms`; 0: no limit.  What goes under one order is one message."""
 
     def __init__(self, most: int = 0, over_ms: float = 0.0) -> None:
-        self.most, self.over_ms = most, over_ms
+        self.max_messages, self.window_ms = most, over_ms
         self.sent: deque[tuple[int, float]] = deque()  # order and when its first response went
 
-    def room(self, number: int, now_ms: float) -> int:
-        """How many further messages may go now under this order: more than `KEPT_FREE` for any change at all, fewer for
-        endpoints to keep out alone, 0 for nothing."""
-        while self.sent and self.sent[0][1] <= now_ms - self.over_ms:
+    def remaining(self, number: int, now_ms: float) -> int:
+        """How many further messages may go now under this order: more than `EJECTION_RESERVE` for any change at all,
+        fewer for endpoints to keep out alone, 0 for nothing."""
+        while self.sent and self.sent[0][1] <= now_ms - self.window_ms:
             self.sent.popleft()
-        if not self.most or any(order == number for order, _ in self.sent):
-            return KEPT_FREE + 1
-        return max(0, self.most - len(self.sent))
+        if not self.max_messages or any(order == number for order, _ in self.sent):
+            return EJECTION_RESERVE + 1
+        return max(0, self.max_messages - len(self.sent))
 
     def count(self, number: int, now_ms: float) -> None:
         """A response has been sent under this order."""
-        if self.most and all(order != number for order, _ in self.sent):
+        if self.max_messages and all(order != number for order, _ in self.sent):
             self.sent.append((number, now_ms))
 
-    def next_ms(self) -> float:
+    def next_expiry_ms(self) -> float:
         """When the oldest message no longer counts."""
-        return self.sent[0][1] + self.over_ms + 1.0 if self.sent else 0.0
+        return self.sent[0][1] + self.window_ms + 1.0 if self.sent else 0.0
--- a/quillstep/routing/unacknowledged.py
+++ b/quillstep/routing/unacknowledged.py
@@ -9,13 +9,13 @@
 from quillstep.routing.proxy_state import Change, ProxyState
 from quillstep.routing.resources import EJECTED, WEIGHT, Key, Resource
 
-LOOK_MS = 50.0  # between two looks at who still holds an old line
+RECHECK_INTERVAL_MS = 50.0  # between two looks at who still holds an old line
 
 
 def by_old_line(ledger: ProxyState, line: Key, wanted: Resource | None) -> bool:
     """Whether a proxy may pick an endpoint by a line other than the one it should hold, as far as its word goes."""
-    held = ledger.held.get(line)
-    if held is None or (EJECTED, line[2]) in ledger.held:
+    held = ledger.acknowledged.get(line)
+    if held is None or (EJECTED, line[2]) in ledger.acknowledged:
         return False
     return held != (wanted.version if wanted else None)
 
@@ -35,7 +35,7 @@
     kind = change.key[0]
     if kind == WEIGHT and change.resource and change.key[2] in cold:
         endpoint = change.key[2]
-        return endpoint if change.key not in ledger.held or (EJECTED, endpoint) in ledger.held else None
+        return endpoint if change.key not in ledger.acknowledged or (EJECTED, endpoint) in ledger.acknowledged else None
     if kind == EJECTED and change.resource is None and change.key[1] in cold:
         return int(change.key[1])
     return None
--- a/quillstep/routing/versions.py
+++ b/quillstep/routing/versions.py
@@ -127,7 +127,7 @@
             levels = {place: leaf.levels[place] for place in leaf.fresh_levels}
             leaf.fresh_lines, leaf.fresh_levels = set(), set()
             record = self.tables.tables.get(table)
-            if leaf.pin and not (record and record.users):  # nobody is on it yet: it starts as it is pinned
+            if leaf.pin and not (record and record.proxies):  # nobody is on it yet: it starts as it is pinned
                 lines = self.differences(self.stands(table)[0], self.target(table)[0])
                 self.stand(table, lines, levels, leaf.pin.cause, leaf.pin.who)
             elif leaf.pin:
@@ -152,14 +152,14 @@
 
     def stands(self, table: int) -> tuple[Lines, Levels]:
         record = self.tables.tables.get(table)
-        return (record.lines, record.levels) if record else ({}, {})
+        return (record.weights, record.admission) if record else ({}, {})
 
     def stand(self, table: int, lines: Lines, levels: Levels, cause: str, who: str) -> None:
         """These changes stand from now on, but for what the gate keeps."""
         leaf = self.leaf(table)
         record = self.tables.tables.get(table)
-        if self.gate and record and record.users:
-            lines, held = self.gate.lines(table, record.lines, lines, self.seen, self.now_ms)
+        if self.gate and record and record.proxies:
+            lines, held = self.gate.lines(table, record.weights, lines, self.seen, self.now_ms)
             for place, (allowed, tries) in list(levels.items()):
                 if fault := self.gate.level(table, place, allowed, tries):
                     held.append(fault)
@@ -167,9 +167,9 @@
             leaf.waits |= bool(held)
             self.held += held
         for endpoint, weight in lines.items():
-            self.tables.line(table, endpoint, weight)
+            self.tables.set_weight(table, endpoint, weight)
         for place, (allowed, tries) in levels.items():
-            self.tables.level(table, [place], allowed, tries)
+            self.tables.set_admission(table, [place], allowed, tries)
         if lines or levels:
             self.note(table, cause, who)
 
@@ -180,7 +180,7 @@
         parent = leaf.versions[-1].name if leaf.versions else ""
         if name == parent:
             return
-        version = Version(name, table, parent, cause, who, self.now_ms, self.tables.number, dict(lines), dict(levels))
+        version = Version(name, table, parent, cause, who, self.now_ms, self.tables.revision, dict(lines), dict(levels))
         leaf.versions.append(version)
         del leaf.versions[:-KEPT]
         self.kept(version)
@@ -242,11 +242,11 @@
             record = self.tables.tables.get(table)
             if not leaf.waits or record is None:
                 continue
-            users = max(1, len(record.users))
+            users = max(1, len(record.proxies))
             lines, levels = self.target(table)
-            changes = self.differences(record.lines, lines)
+            changes = self.differences(record.weights, lines)
             fit = int(max(0.0, room_lines) / users)
-            level_changes = {p: level for p, level in levels.items() if record.levels.get(p) != level}
+            level_changes = {p: level for p, level in levels.items() if record.admission.get(p) != level}
             if level_changes and fit:
                 fit -= 1
             else:
@@ -256,8 +256,8 @@
                 cause, who = (leaf.pin.cause, leaf.pin.who) if leaf.pin else ("release", "")
                 self.stand(table, first, level_changes, cause, who)
                 room_lines -= users * (len(first) + bool(level_changes))
-            leaf.waits = bool(self.differences(record.lines, lines)) or any(
-                record.levels.get(place) != level for place, level in levels.items()
+            leaf.waits = bool(self.differences(record.weights, lines)) or any(
+                record.admission.get(place) != level for place, level in levels.items()
             )
 
     @staticmethod
--- a/quillstep/xds/delta.py
+++ b/quillstep/xds/delta.py
@@ -57,7 +57,7 @@
         fresh = url not in self.subscriptions
         held = self.subscriptions.setdefault(url, Subscription())
         if fresh:
-            self.tables.holds(self.proxy, self.held(request))
+            self.tables.add_acknowledged(self.proxy, self.held(request))
             bare = not request.resource_names_subscribe
             if bare and url in (resources.LDS, resources.CDS):
                 held.wildcard = True
@@ -79,19 +79,19 @@
                 held.globs.add(named)
             else:
                 key = resources.key_of(url, named)
-                told = key in self.tables.ledgers[self.proxy].held and named not in held.names
+                told = key in self.tables.proxies[self.proxy].acknowledged and named not in held.names
                 (known if told else again).append(key)
                 held.names.add(named)
                 continue
             self.ask_all(url, held)
         self.bounded(len(held.names) + len(held.globs))
-        self.tables.ask(self.proxy, known, False)
-        self.tables.ask(self.proxy, again, True)
+        self.tables.subscribe(self.proxy, known, False)
+        self.tables.subscribe(self.proxy, again, True)
 
     def ask_all(self, url: str, held: Subscription) -> None:
         """Mark all that a wildcard or glob covers; what is held already needs no repetition."""
-        keys = [key for key in self.tables.keys(self.proxy) if resources.type_url(key) == url]
-        self.tables.ask(self.proxy, [key for key in keys if self.covers(held, key)], False)
+        keys = [key for key in self.tables.desired_keys(self.proxy) if resources.type_url(key) == url]
+        self.tables.subscribe(self.proxy, [key for key in keys if self.covers(held, key)], False)
 
     def unsubscribe(self, url: str, held: Subscription, names: Iterable[str]) -> None:
         for named in names:
@@ -99,10 +99,10 @@
                 held.wildcard = False
             held.names.discard(named)
             held.globs.discard(named)
-        ledger = self.tables.ledgers[self.proxy]
-        gone = [k for k in ledger.held if resources.type_url(k) == url and not self.covers(held, k)]
-        under_way = [k for k in ledger.sent if resources.type_url(k) == url and not self.covers(held, k)]
-        ledger.forget(gone + under_way)
+        ledger = self.tables.proxies[self.proxy]
+        gone = [k for k in ledger.acknowledged if resources.type_url(k) == url and not self.covers(held, k)]
+        under_way = [k for k in ledger.in_flight if resources.type_url(k) == url and not self.covers(held, k)]
+        ledger.unsubscribe(gone + under_way)
 
     def covers(self, held: Subscription, key: Key) -> bool:
         if held.wildcard or resources.name(key) in held.names:
@@ -123,26 +123,28 @@
         what is overtaken is never sent.
         """
         out, self.errors = self.errors, []
-        ledger = self.tables.ledgers[self.proxy]
-        behind = ledger.behind(now_ms)
-        if lane := ledger.question(now_ms):
+        ledger = self.tables.proxies[self.proxy]
+        behind = ledger.has_late_ack(now_ms)
+        if lane := ledger.probe_type_url(now_ms):
             nonce = self.nonce()
-            self.tables.send(self.proxy, nonce, [], now_ms, lane)
-            out.append(self.response(lane, nonce, [], ledger.released))
-        while len(ledger.flights) < self.limits.max_in_flight:
-            apart = bool(ledger.apart)  # parts of what was refused are small, and go by themselves
-            changes = self.tables.take(self.proxy, now_ms, self.wants)
+            self.tables.record_sent(self.proxy, nonce, [], now_ms, lane)
+            out.append(self.response(lane, nonce, [], ledger.released_revision))
+        while len(ledger.in_flight_updates) < self.limits.max_in_flight:
+            apart = bool(ledger.split_updates)  # parts of what was refused are small, and go by themselves
+            changes = self.tables.changes_to_send(self.proxy, now_ms, self.wants)
             if not apart:
                 changes = (
-                    [change for change in changes if change.is_urgent] if behind else ledger.piece(changes, now_ms)
+                    [change for change in changes if change.is_urgent]
+                    if behind
+                    else ledger.limit_update(changes, now_ms)
                 )
             if not changes:
                 break
             for url, group in grouped(changes):
                 nonce = self.nonce()
-                self.tables.send(self.proxy, nonce, group, now_ms, url)
-                out.append(self.response(url, nonce, group, ledger.released))
-            if not ledger.apart:
+                self.tables.record_sent(self.proxy, nonce, group, now_ms, url)
+                out.append(self.response(url, nonce, group, ledger.released_revision))
+            if not ledger.split_updates:
                 break
         return out
 
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -11,7 +11,7 @@
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.routing import Nack, Tables
-from quillstep.routing.ack_latency import ON_ITS_WAY, Verdict
+from quillstep.routing.ack_latency import IN_TIME, AckDelay
 from quillstep.routing.proxy_state import NACK_BACKOFF_FACTORS
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
@@ -90,7 +90,7 @@
             self.tap("nack", now_ms, proxy=self.nodes[stream.proxy], nonce=request.response_nonce)
             first = refusal.changes[0].resource
             warn_refused(self.log, self.nodes[stream.proxy], refusal, first.version if first else "removal")
-            self.held_back[stream.proxy] = self.tables.ledgers[stream.proxy].not_before_ms
+            self.held_back[stream.proxy] = self.tables.proxies[stream.proxy].split_retry_ms
 
     def join(self, at: At, stream: DeltaStream | SotwStream, request: Any, now_ms: float) -> None:
         held = stream.first(request)
@@ -144,12 +144,12 @@
                 continue
             if at[0].unsent() > self.record.limits.max_unsent_bytes:
                 self.full.append(at[0])
-                self.tables.stirred.add(proxy)  # the newest state goes when there is room, no backlog
+                self.tables.pending_proxies.add(proxy)  # the newest state goes when there is room, no backlog
                 continue
             for response in self.streams[at].pump(now_ms):
                 self.carry(proxy, at, response, now_ms)
-            ledger = self.tables.ledgers.get(proxy)
-            if ledger and (look_ms := ledger.look_ms(now_ms)) is not None:
+            ledger = self.tables.proxies.get(proxy)
+            if ledger and (look_ms := ledger.next_retry_ms(now_ms)) is not None:
                 self.held_back[proxy] = max(now_ms, look_ms)
         if now_ms - self.tended_ms > TEND_MS:
             self.tended_ms = now_ms
@@ -169,12 +169,12 @@
         most = self.record.limits.ack_timeout_ms
         for proxy, at in list(self.at.items()):
             warn_overdue(self.tables, proxy, self.nodes[proxy], self.record, self.warned, now_ms, self.log)
-            ledger = self.tables.ledgers[proxy]
-            for verdict in ledger.judge(now_ms, at[0].heard_ms):
+            ledger = self.tables.proxies[proxy]
+            for verdict in ledger.new_ack_delays(now_ms, at[0].heard_ms):
                 self.tell(proxy, verdict, now_ms)
-            if ledger.behind(now_ms):
+            if ledger.has_late_ack(now_ms):
                 self.held_back[proxy] = now_ms  # it may have to be asked
-            oldest = ledger.oldest_flight_ms()
+            oldest = ledger.oldest_sent_ms()
             if oldest is not None and now_ms - oldest > most:
                 text = f"no acknowledgement within {most:g} ms"
                 self.log.warning("stream ended", proxy=self.nodes[proxy], reason=text)
@@ -183,13 +183,13 @@
                 at[0].stop(text)
                 self.end(at, text, now_ms)
 
-    def tell(self, proxy: int, verdict: Verdict, now_ms: float) -> None:
+    def tell(self, proxy: int, verdict: AckDelay, now_ms: float) -> None:
         """What is thought of a response without a word."""
-        node, waits_ms = self.nodes[proxy], round(verdict.waits_ms, 1)
-        self.tap("verdict", now_ms, proxy=node, nonce=verdict.nonce, kind=verdict.kind, waits=waits_ms)
-        said = self.log.info if verdict.kind == ON_ITS_WAY else self.log.warning
+        node, waits_ms = self.nodes[proxy], round(verdict.waiting_ms, 1)
+        self.tap("verdict", now_ms, proxy=node, nonce=verdict.nonce, kind=verdict.status, waits=waits_ms)
+        said = self.log.info if verdict.status == IN_TIME else self.log.warning
         reason = verdict.reason or "it is answered in time again"
-        said("order " + verdict.kind, proxy=node, version=verdict.nonce, waits_ms=waits_ms, reason=reason)
+        said("order " + verdict.status, proxy=node, version=verdict.nonce, waits_ms=waits_ms, reason=reason)
 
     def next_ms(self) -> float:
         waits = min(self.held_back.values(), default=float("inf"))
@@ -232,7 +232,7 @@
     tables: Tables, proxy: int, node: str, record: ControllerSettings, warned: set, now_ms: float, log: Any
 ) -> None:
     """Say once of each withdrawal that half the grace has gone without its acknowledgement: it is not done."""
-    for late in tables.ledgers[proxy].overdue(now_ms, 0.5 * record.fleet.rules.drain_grace_ms):
+    for late in tables.proxies[proxy].overdue_ejections(now_ms, 0.5 * record.fleet.rules.drain_grace_ms):
         if late not in warned:
             if len(warned) > 10000:
                 warned.clear()
--- a/quillstep/xds/sotw.py
+++ b/quillstep/xds/sotw.py
@@ -54,8 +54,8 @@
         before = self.names.get(url)
         self.names[url] = names
         if before is None or names - before:
-            keys = [key for key in self.tables.keys(self.proxy) if key[0] in KINDS[url] and self.wants(key)]
-            self.tables.ask(self.proxy, keys, anew=True)
+            keys = [key for key in self.tables.desired_keys(self.proxy) if key[0] in KINDS[url] and self.wants(key)]
+            self.tables.subscribe(self.proxy, keys, anew=True)
         return acknowledged, refusal
 
     def wants(self, key: Key) -> bool:
@@ -71,36 +71,36 @@
     def pump(self, now_ms: float) -> list[Response]:
         """What may be sent now: one response a type, and none of a type while one is under way."""
         out, self.errors = self.errors, []
-        ledger = self.tables.ledgers[self.proxy]
-        changes = self.tables.take(self.proxy, now_ms, self.wants)
+        ledger = self.tables.proxies[self.proxy]
+        changes = self.tables.changes_to_send(self.proxy, now_ms, self.wants)
         for url, kinds in KINDS.items():
             group = [change for change in changes if change.key[0] in kinds]
-            if not group or any(key[0] in kinds for key in ledger.sent):
+            if not group or any(key[0] in kinds for key in ledger.in_flight):
                 continue
             named = {change.key for change in group}
-            again = [key for key in ledger.refused if key[0] in kinds and key not in named]
-            group += [Change(key, self.tables.desired(ledger, key)) for key in again]
+            again = [key for key in ledger.nacked if key[0] in kinds and key not in named]
+            group += [Change(key, self.tables.desired_resource(ledger, key)) for key in again]
             nonce = self.nonce()
             packed = self.state(url)
             version = xxhash.xxh3_64_hexdigest(b"".join(one.SerializeToString() for one in packed))
-            self.tables.send(self.proxy, nonce, group, now_ms, url)
+            self.tables.record_sent(self.proxy, nonce, group, now_ms, url)
             self.newest[url] = nonce
             response = discovery_pb2.DiscoveryResponse(
                 version_info=version, resources=packed, type_url=url, nonce=nonce
             )
-            response.control_plane.identifier = self.stamp(ledger.released)
+            response.control_plane.identifier = self.stamp(ledger.released_revision)
             message = response.SerializeToString()
-            out.append(Response(message, ledger.released, url, nonce, len(group), 0))
+            out.append(Response(message, ledger.released_revision, url, nonce, len(group), 0))
         return out
 
     def state(self, url: str) -> list[any_pb2.Any]:
         """All resources of a type that the client asks for, packed."""
-        ledger = self.tables.ledgers[self.proxy]
+        ledger = self.tables.proxies[self.proxy]
         packed = []
-        for key in self.tables.keys(self.proxy):
+        for key in self.tables.desired_keys(self.proxy):
             if key[0] != KINDS[url][0] or not self.wants(key):
                 continue
-            found = self.tables.desired(ledger, key)
+            found = self.tables.desired_resource(ledger, key)
             if found is None:
                 continue
             one = any_pb2.Any()
@@ -113,8 +113,8 @@
 
     def lines(self, table: int) -> list[tuple]:
         rows = []
-        for endpoint in self.tables.tables[table].lines:
-            found: Resource | None = self.tables.content((WEIGHT, table, endpoint))
+        for endpoint in self.tables.tables[table].weights:
+            found: Resource | None = self.tables.shared_resource((WEIGHT, table, endpoint))
             if found:
-                rows.append((*found.content, self.tables.withdrawn.get(endpoint, "")))
+                rows.append((*found.content, self.tables.ejected.get(endpoint, "")))
         return rows
--- a/quillstep/xds/stream.py
+++ b/quillstep/xds/stream.py
@@ -68,8 +68,8 @@
         if request.HasField("error_detail"):
             reason = request.error_detail.message or f"code {request.error_detail.code}"
             nonce = request.response_nonce
-            return [], self.tables.refuse(self.proxy, nonce, reason, now_ms, self.whole)
-        return self.tables.acknowledge(self.proxy, request.response_nonce, now_ms), None
+            return [], self.tables.record_nack(self.proxy, nonce, reason, now_ms, self.whole)
+        return self.tables.record_ack(self.proxy, request.response_nonce, now_ms), None
 
     def bounded(self, names: int) -> None:
         """Raises StreamFault where a peer asks for more names than it may."""
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -198,19 +198,19 @@
     pilot.run(3000)
     sotw = SotwProxy(pilot, "old", "b", lines)
     sotw.run(2000)
-    order(pilot, lambda tables: [tables.line(0, 3, 17.0), tables.level(0, [0, 1], 12.5, 1)])
+    order(pilot, lambda tables: [tables.set_weight(0, 3, 17.0), tables.set_admission(0, [0, 1], 12.5, 1)])
     sotw.run(600)
     pilot.roster("partial", [2], "terminating")
     sotw.run(1500)
     proxy.refuses = True
-    order(pilot, lambda tables: tables.line(0, 4, 3.0))
+    order(pilot, lambda tables: tables.set_weight(0, 4, 3.0))
     sotw.run(300)
     proxy.refuses = False
-    order(pilot, lambda tables: tables.line(0, 4, 5.0))
+    order(pilot, lambda tables: tables.set_weight(0, 4, 5.0))
     sotw.run(1500)
     held = {url: dict(versions) for url, versions in proxy.versions.items()}
     proxy.leave()
-    order(pilot, lambda tables: [tables.line(0, 1, 0.0), tables.line(0, 5, 8.0)])
+    order(pilot, lambda tables: [tables.set_weight(0, 1, 0.0), tables.set_weight(0, 5, 8.0)])
     sotw.run(400)
     recording_proxy(pilot, "p0", "a", lines, held)
     sotw.run(3000)
--- a/tests/files/test_files.py
+++ b/tests/files/test_files.py
@@ -244,7 +244,7 @@
     assert {(CLUSTER, 0), (ROUTES,)} <= first.contents.keys()
     assert sum(key[0] == WEIGHT for key in first.contents) == 6
     assert lane.word(pilot.core.tables, first.number, "", pilot.now).acknowledged
-    order(pilot, lambda tables: tables.line(0, 3, 77.0))
+    order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     second = step()
     assert (second.changed, second.removed) == (1, 0) and len(second.contents) == len(first.contents)
 
@@ -256,8 +256,8 @@
     lane.word(tables, step().number, "", pilot.now)
 
     def write(tables):
-        tables.withdraw(4, True, "draining")
-        tables.line(0, 3, 77.0)
+        tables.set_ejected(4, True, "draining")
+        tables.set_weight(0, 3, 77.0)
 
     order(pilot, write)
     refused = step()
@@ -278,14 +278,14 @@
     lane.word(tables, step().number, "", pilot.now)
     made = []
     for weight in (55.0, 66.0, 55.0):
-        order(pilot, lambda tables, weight=weight: tables.line(0, 3, weight))
+        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
         made.append(step())
-    ledger = tables.ledgers[lane.proxy]
+    ledger = tables.proxies[lane.proxy]
     assert made[0].contents[WEIGHT, 0, 3] == made[2].contents[WEIGHT, 0, 3] and made[0].number < made[2].number
     lane.word(tables, made[0].number, "", pilot.now)
-    assert (WEIGHT, 0, 3) in ledger.sent
+    assert (WEIGHT, 0, 3) in ledger.in_flight
     lane.word(tables, made[2].number, "", pilot.now)
-    assert not ledger.flights and ledger.held[WEIGHT, 0, 3] == made[2].contents[WEIGHT, 0, 3].version
+    assert not ledger.in_flight_updates and ledger.acknowledged[WEIGHT, 0, 3] == made[2].contents[WEIGHT, 0, 3].version
 
 
 @pytest.mark.parametrize("number", [-1, 99, 7])
@@ -295,7 +295,7 @@
     step()
     word = lane.word(pilot.core.tables, number, "", pilot.now)
     assert word.trouble and not word.acknowledged
-    assert not pilot.core.tables.ledgers[lane.proxy].held
+    assert not pilot.core.tables.proxies[lane.proxy].acknowledged
 
 
 def test_what_could_not_be_written_is_written_next_with_what_came_since():
@@ -303,11 +303,11 @@
     lane, step = lane_of(pilot)
     tables = pilot.core.tables
     lane.word(tables, step().number, "", pilot.now)
-    order(pilot, lambda tables: tables.line(0, 3, 77.0))
+    order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     made = lane.next(tables, pilot.now)
-    order(pilot, lambda tables: tables.withdraw(4, True, "draining"))
+    order(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
     assert lane.next(tables, pilot.now) is None  # one at a time
-    lane.failed(tables.ledgers[lane.proxy], made.number, pilot.now, 200.0)
+    lane.failed(tables.proxies[lane.proxy], made.number, pilot.now, 200.0)
     assert lane.next(tables, pilot.now) is None  # and not at once after a failure
     again = step()
     assert again.contents[WEIGHT, 0, 3] == made.contents[WEIGHT, 0, 3] and (EJECTED, 4) in again.contents
@@ -318,21 +318,21 @@
     lane, step = lane_of(pilot)
     tables = pilot.core.tables
     lane.word(tables, step().number, "", pilot.now)
-    order(pilot, lambda tables: tables.line(0, 3, 77.0))
+    order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     assert lane.next(tables, pilot.now)
-    order(pilot, lambda tables: tables.withdraw(4, True, "draining"))
+    order(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
     lane.written()
     after = lane.next(tables, pilot.now)
     assert (EJECTED, 4) in after.contents and after.changed == 1
     assert lane.word(tables, after.number, "", pilot.now).acknowledged
-    assert not tables.ledgers[lane.proxy].flights  # the newer set has the older in it
+    assert not tables.proxies[lane.proxy].in_flight_updates  # the newer set has the older in it
 
 
 def test_a_proxy_that_comes_from_a_stream_loses_nothing_on_its_first_generation():
     pilot = MemoryPilot()
     stream = pilot.join("p1")
     pilot.run(3000)
-    held = dict(pilot.core.tables.ledgers[stream.number].held)
+    held = dict(pilot.core.tables.proxies[stream.number].acknowledged)
     stream.leave()
     proxy = pilot.core.join("p1", "a", 5.0, held, False)
     lane = Lane(proxy, 0, {})
@@ -340,7 +340,7 @@
     while made is None:
         pilot.now += 10.0
         pilot.core.step(pilot.now)
-        order(pilot, lambda tables: tables.withdraw(5, True, "lost"))
+        order(pilot, lambda tables: tables.set_ejected(5, True, "lost"))
         made = lane.next(pilot.core.tables, pilot.now)
     assert held.keys() <= made.contents.keys() and (EJECTED, 5) in made.contents
     assert sum(made.contents[key].version != version for key, version in held.items()) <= made.changed
@@ -384,7 +384,7 @@
             for each in news:
                 self.front.take(each, self.pilot.now)
             self.pilot.core.step(self.pilot.now)
-            stirred, self.pilot.core.tables.stirred = self.pilot.core.tables.stirred, set()
+            stirred, self.pilot.core.tables.pending_proxies = self.pilot.core.tables.pending_proxies, set()
             self.front.pump(self.pilot.now, stirred)
 
     def hello(self, root, node, **more):
@@ -416,8 +416,8 @@
     fronted.answer(here, 99)
     fronted.answer(here, current(here))
     fronted.until(lambda: any(what == "ack" for what, _ in fronted.taps))
-    ledger = next(iter(fronted.pilot.core.tables.ledgers.values()))
-    assert (ROUTES,) in ledger.held and not ledger.flights
+    ledger = next(iter(fronted.pilot.core.tables.proxies.values()))
+    assert (ROUTES,) in ledger.acknowledged and not ledger.in_flight_updates
     fronted.front.stop()
 
 
@@ -436,8 +436,8 @@
     fronted.until(lambda: any(what == "ack" for what, _ in fronted.taps))
     failing.append(True)
     stream = fronted.pilot.join("s/1")  # a proxy on a stream beside it
-    fronted.until(lambda: fronted.pilot.core.tables.ledgers[stream.number].bound)
-    order(fronted.pilot, lambda tables: tables.withdraw(4, True, "draining"))
+    fronted.until(lambda: fronted.pilot.core.tables.proxies[stream.number].assignments)
+    order(fronted.pilot, lambda tables: tables.set_ejected(4, True, "draining"))
     fronted.until(lambda: next(iter(fronted.front.lanes.values())).fails >= 2)
     assert current(here) == 1 and read_generation(here)[0].generation == 1
     catch_up(stream)  # its neighbour's drain does not wait for the disk
@@ -461,7 +461,7 @@
     here = fronted.hello(tmp_path, "p/1")
     stream = fronted.pilot.join("s/1")
     fronted.until(lambda: fronted.front.lanes and next(iter(fronted.front.lanes.values())).writing)
-    fronted.until(lambda: fronted.pilot.core.tables.ledgers[stream.number].bound)
+    fronted.until(lambda: fronted.pilot.core.tables.proxies[stream.number].assignments)
     catch_up(stream)
     assert "exchanges" in stream.versions["type.googleapis.com/envoy.config.route.v3.RouteConfiguration"]
     assert not current(here)
@@ -489,10 +489,10 @@
     fronted.front.disk.close()
     again = Fronted(tmp_path)
     fronted.hello(tmp_path, "p/1", generation=number)
-    again.until(lambda: again.front.lanes and again.pilot.core.tables.ledgers[0].bound)
-    ledger = again.pilot.core.tables.ledgers[0]
-    assert ledger.held and not ledger.flights
-    order(again.pilot, lambda tables: tables.line(0, 3, 77.0))
+    again.until(lambda: again.front.lanes and again.pilot.core.tables.proxies[0].assignments)
+    ledger = again.pilot.core.tables.proxies[0]
+    assert ledger.acknowledged and not ledger.in_flight_updates
+    order(again.pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     again.until(lambda: current(here) > number)
     sent = [fields for what, fields in again.taps if what == "send"]
     assert not sent or sent[0]["lines"] <= 2
--- a/tests/memory_fleet.py
+++ b/tests/memory_fleet.py
@@ -156,7 +156,7 @@
     write(tables)
     pushes = tables.commit()
     for push in pushes:
-        tables.release(push.proxy, push.number)
+        tables.release(push.proxy, push.revision)
     return pushes
 
 
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -14,7 +14,7 @@
 from quillstep.model_checking import fuzz, message_limit_model, mutants, rollback_model, stream_model
 from quillstep.model_checking.bounded_model import search
 from quillstep.model_checking.explore import explore
-from quillstep.routing.message_quota import KEPT_FREE, MessageQuota
+from quillstep.routing.message_quota import EJECTION_RESERVE, MessageQuota
 from quillstep.routing.resources import CLUSTER, EJECTED, WEIGHT
 from quillstep.tracing.spans import FileExporter, Spans, read
 from quillstep.xds import resources
@@ -63,13 +63,13 @@
     ration, now, left = MessageQuota(*limit), 0.0, deque()
     for number, (wait, urgent) in enumerate(steps):
         now += wait
-        room = ration.room(number, now)
-        if room > (0 if urgent else KEPT_FREE):
+        room = ration.remaining(number, now)
+        if room > (0 if urgent else EJECTION_RESERVE):
             ration.count(number, now)
             ration.count(number, now)  # further responses of one order are one message
             left.append(now)
         elif not urgent:
-            assert ration.next_ms() > now
+            assert ration.next_expiry_ms() > now
         while left and left[0] <= now - limit[1]:
             left.popleft()
         assert len(left) <= limit[0]
@@ -83,15 +83,15 @@
     tables, sent = pilot.core.tables, []
     for weight in range(30, 50):
         proxy.log.clear()
-        order(pilot, lambda tables, weight=weight: tables.line(0, 3, float(weight)))
+        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, float(weight)))
         pilot.run(50.0)
         sent += [pilot.now] * any(names for _, names, _ in proxy.log)
     assert len(sent) <= 4, "of six, two are kept for drains"
-    order(pilot, lambda tables: tables.withdraw(4, True, "draining"))
+    order(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
     pilot.run(30.0)
     assert any("withdrawn/4" in each for each in proxy.held(LEDS))
     pilot.run(4200.0)
-    assert tables.ledgers[0].held[WEIGHT, 0, 3] == tables.content((WEIGHT, 0, 3)).version
+    assert tables.proxies[0].acknowledged[WEIGHT, 0, 3] == tables.shared_resource((WEIGHT, 0, 3)).version
 
 
 # real pilots
@@ -124,7 +124,7 @@
                 pilot.now += 50.0
                 pilot.core.step(pilot.now)
                 pilot.core.probes.clear()
-                pilot.core.tables.stirred.clear()
+                pilot.core.tables.pending_proxies.clear()
                 for name, proxy in list(pilot.proxies.items()):
                     before = len(proxy.waits)
                     proxy.pump()
@@ -184,9 +184,9 @@
     def nothing_counts_as_held_without_a_word(self):
         for name, at in getattr(self, "at", {}).items():
             proxy = self.pilots[at].proxies[name]
-            ledger = self.pilots[at].core.tables.ledgers[proxy.number]
-            if not ledger.flights:
-                for key, version in ledger.held.items():
+            ledger = self.pilots[at].core.tables.proxies[proxy.number]
+            if not ledger.in_flight_updates:
+                for key, version in ledger.acknowledged.items():
                     assert self.held[name].get(type_url(key), {}).get(resources.name(key)) == version
 
     def teardown(self):
@@ -201,15 +201,15 @@
         for name, at in self.at.items():
             proxy = self.pilots[at].proxies[name]
             tables = self.pilots[at].core.tables
-            ledger = tables.ledgers[proxy.number]
-            for key in tables.keys(proxy.number):
-                want = tables.desired(ledger, key)
+            ledger = tables.proxies[proxy.number]
+            for key in tables.desired_keys(proxy.number):
+                want = tables.desired_resource(ledger, key)
                 if want and key[0] != WEIGHT:
                     assert self.held[name].get(type_url(key), {}).get(resources.name(key)) == want.version, key
-            out = {key[1] for key in ledger.held if key[0] == EJECTED}
-            assert out >= set(tables.withdrawn)
+            out = {key[1] for key in ledger.acknowledged if key[0] == EJECTED}
+            assert out >= set(tables.ejected)
             tables_held = [int(each.rpartition("-")[2]) for each in self.held[name].get(CDS, {})]
-            lines = {key[2] for key in ledger.held if key[0] == WEIGHT and key[1] in tables_held}
+            lines = {key[2] for key in ledger.acknowledged if key[0] == WEIGHT and key[1] in tables_held}
             assert lines - out, "bare"
 
 
@@ -222,12 +222,12 @@
 
 def test_one_bad_line_among_many_is_set_apart_and_all_others_hold():
     pilot = settled()
-    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
+    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.proxies[0]
     proxy.refuses = lambda response: any(r.name.endswith("table-0/3") for r in response.resources)
-    order(pilot, lambda tables: [tables.line(0, at, 40.0 + at) for at in range(1, 7)])
+    order(pilot, lambda tables: [tables.set_weight(0, at, 40.0 + at) for at in range(1, 7)])
     pilot.run(2000.0, step=50.0)
-    wanted = {at: pilot.core.tables.content((WEIGHT, 0, at)).version for at in range(1, 7)}
-    assert {at for at, version in wanted.items() if ledger.held[WEIGHT, 0, at] == version} == {1, 2, 4, 5, 6}
+    wanted = {at: pilot.core.tables.shared_resource((WEIGHT, 0, at)).version for at in range(1, 7)}
+    assert {at for at, version in wanted.items() if ledger.acknowledged[WEIGHT, 0, at] == version} == {1, 2, 4, 5, 6}
 
 
 def test_a_cluster_that_is_refused_for_a_while_holds_later_and_its_table_with_it():
@@ -238,23 +238,23 @@
     assert not proxy.held(CDS) and not proxy.held(RDS)
     proxy.refuses = False
     pilot.run(9000.0, step=50.0)
-    assert proxy.held(CDS) and proxy.held(RDS) and (CLUSTER, 0) in pilot.core.tables.ledgers[0].held
+    assert proxy.held(CDS) and proxy.held(RDS) and (CLUSTER, 0) in pilot.core.tables.proxies[0].acknowledged
 
 
 def test_words_of_an_older_stream_on_the_newer_one_say_nothing():
     pilot = settled()
     proxy = pilot.proxies["p0"]
-    order(pilot, lambda tables: tables.line(0, 3, 55.0))
+    order(pilot, lambda tables: tables.set_weight(0, 3, 55.0))
     proxy.pump()
     old = proxy.waits.pop(0)
     held = {url: dict(row) for url, row in proxy.versions.items()}
     proxy.leave()
     again = pilot.join("p0", "a", held)
     again.say(discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, response_nonce=f"x{old.nonce}"))
-    ledger = pilot.core.tables.ledgers[again.number]
-    assert ledger.held[WEIGHT, 0, 3] != pilot.core.tables.content((WEIGHT, 0, 3)).version
+    ledger = pilot.core.tables.proxies[again.number]
+    assert ledger.acknowledged[WEIGHT, 0, 3] != pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
     pilot.run(3000.0)
-    assert again.held(LEDS)[resources.name((WEIGHT, 0, 3))] == pilot.core.tables.content((WEIGHT, 0, 3)).version
+    assert again.held(LEDS)[resources.name((WEIGHT, 0, 3))] == pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
 
 
 def test_version_names_that_a_proxy_knows_with_other_contents_are_not_taken_for_ours():
@@ -268,8 +268,8 @@
     pilot.run(3000.0)
     tables = pilot.core.tables
     assert all(
-        proxy.held(type_url(key))[resources.name(key)] == tables.desired(tables.ledgers[0], key).version
-        for key in tables.keys(0)
+        proxy.held(type_url(key))[resources.name(key)] == tables.desired_resource(tables.proxies[0], key).version
+        for key in tables.desired_keys(0)
     )
 
 
@@ -277,17 +277,18 @@
 def test_a_version_that_comes_round_again_is_the_newest_all_the_same(late):
     """A, then B, then A: the word on the first A is no word on the second, and B is not taken for the last."""
     pilot = settled()
-    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
+    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.proxies[0]
     for weight in (55.0, 66.0, 55.0):
-        order(pilot, lambda tables, weight=weight: tables.line(0, 3, weight))
+        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
         proxy.pump()
-    wanted = pilot.core.tables.content((WEIGHT, 0, 3)).version
+    wanted = pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
     if late:
         proxy.read(1)
-        assert (WEIGHT, 0, 3) in ledger.sent
+        assert (WEIGHT, 0, 3) in ledger.in_flight
     proxy.read()
     assert (
-        ledger.held[WEIGHT, 0, 3] == wanted == proxy.held(LEDS)[resources.name((WEIGHT, 0, 3))] and not ledger.flights
+        ledger.acknowledged[WEIGHT, 0, 3] == wanted == proxy.held(LEDS)[resources.name((WEIGHT, 0, 3))]
+        and not ledger.in_flight_updates
     )
 
 
--- a/tests/routing/test_ack_latency.py
+++ b/tests/routing/test_ack_latency.py
@@ -7,7 +7,7 @@
 
 from quillstep.invariants import judge
 from quillstep.planner.messages import EndpointEntry
-from quillstep.routing.ack_latency import LATE, LOST, ON_ITS_WAY, STALLS, AckLatency, LineCostEstimate
+from quillstep.routing.ack_latency import IN_TIME, LATE, LOST, STALLED, AckLatency, LineCostEstimate
 from quillstep.routing.resources import EJECTED, WEIGHT, table_number_offset
 from quillstep.routing.retry_policies import LOOSEST, RetryPolicies, allowed_way
 from quillstep.testbed.scenarios.runner import play_arm
@@ -19,7 +19,7 @@
 def pace(*answers, usual=None):
     made, now = AckLatency(LATE_MS, STALL_MS, usual), 0.0
     for lines, took in answers:
-        made.answered(lines, now, now + took)
+        made.record_ack(lines, now, now + took)
         now += took
     return made
 
@@ -39,7 +39,7 @@
 def test_what_a_line_costs_is_the_least_it_has_cost(answers, usual, line_ms, most):
     made = pace(*answers, usual=usual)
     assert made.line_ms() == (pytest.approx(line_ms) if line_ms is not None else None)
-    assert made.lines_most() == most
+    assert made.max_lines() == most
 
 
 def test_few_slow_proxies_do_not_move_what_is_usual():
@@ -53,21 +53,21 @@
 @pytest.mark.parametrize(
     ("waits", "heard", "kind"),
     [
-        (500.0, None, ON_ITS_WAY),
+        (500.0, None, IN_TIME),
         (700.0, None, LATE),
         (700.0, 100.0, LATE),  # what came before it was due says nothing
-        (700.0, 650.0, STALLS),
+        (700.0, 650.0, STALLED),
     ],
 )
 def test_a_proxy_that_talks_and_does_not_apply_is_told_from_one_that_is_silent(waits, heard, kind):
-    assert pace().judge("n", 3, 0.0, waits, heard).kind == kind
+    assert pace().ack_delay("n", 3, 0.0, waits, heard).status == kind
 
 
 def test_what_surely_takes_long_is_not_late():
     slow = pace((1, 5.0), (100, 2005.0), (100, 2005.0))
-    now = slow.word_ms
-    assert slow.judge("n", 100, now, now + 3000.0, None).kind == ON_ITS_WAY
-    assert slow.judge("n", 1, now, now + 3000.0, None).kind == LATE
+    now = slow.last_ack_ms
+    assert slow.ack_delay("n", 100, now, now + 3000.0, None).status == IN_TIME
+    assert slow.ack_delay("n", 1, now, now + 3000.0, None).status == LATE
 
 
 def settled(**other):
@@ -85,60 +85,63 @@
 
 def test_a_response_that_a_later_word_passes_over_is_lost_and_sent_again():
     pilot = settled()
-    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
-    order(pilot, lambda tables: tables.withdraw(3, True, "draining"))
+    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.proxies[0]
+    order(pilot, lambda tables: tables.set_ejected(3, True, "draining"))
     lost = drop(proxy)
-    order(pilot, lambda tables: tables.line(0, 4, 55.0))
+    order(pilot, lambda tables: tables.set_weight(0, 4, 55.0))
     pilot.run(20)
-    assert (EJECTED, 3) in ledger.held and any("withdrawn/3" in name for name in proxy.held(LEDS))
-    assert [v.kind for v in ledger.judge(pilot.now, None) if v.nonce == lost.nonce] == [LOST]
+    assert (EJECTED, 3) in ledger.acknowledged and any("withdrawn/3" in name for name in proxy.held(LEDS))
+    assert [v.status for v in ledger.new_ack_delays(pilot.now, None) if v.nonce == lost.nonce] == [LOST]
 
 
 def test_a_lost_drain_is_found_by_a_question_where_nothing_follows_it():
     pilot = settled()
-    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
-    order(pilot, lambda tables: tables.withdraw(3, True, "draining"))
+    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.proxies[0]
+    order(pilot, lambda tables: tables.set_ejected(3, True, "draining"))
     lost = drop(proxy)
     proxy.log.clear()
     pilot.run(LATE_MS - 50.0)
-    assert (EJECTED, 3) not in ledger.held
+    assert (EJECTED, 3) not in ledger.acknowledged
     pilot.run(200.0)
-    assert (EJECTED, 3) in ledger.held and lost.nonce not in ledger.flights
+    assert (EJECTED, 3) in ledger.acknowledged and lost.nonce not in ledger.in_flight_updates
     asked = [(names, removed) for _, names, removed in proxy.log if not names and not removed]
     assert len(asked) == 1, "one question, without changes"
 
 
 def test_a_staller_is_asked_once_and_told_of_drains_alone_until_it_answers():
     pilot = settled()
-    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
-    order(pilot, lambda tables: tables.line(0, 3, 55.0))
+    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.proxies[0]
+    order(pilot, lambda tables: tables.set_weight(0, 3, 55.0))
     proxy.pump()
     held = len(proxy.waits)
     for weight in range(60, 70):
         pilot.run(100.0, read=False)
-        order(pilot, lambda tables, weight=weight: tables.line(0, 3, float(weight)))
-    order(pilot, lambda tables: tables.withdraw(4, True, "draining"))
+        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, float(weight)))
+    order(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
     pilot.run(50.0, read=False)
     late = proxy.waits[held:]
     drains = [r for r in late if any("withdrawn/4" in each.name for each in r.resources)]
-    assert len(drains) == 1 and ledger.behind(pilot.now)
+    assert len(drains) == 1 and ledger.has_late_ack(pilot.now)
     lines = [each.name for r in proxy.waits for each in r.resources if each.name.endswith("table-0/3")]
     assert len(lines) <= 7, "what is overtaken after it is late is not sent"
     pilot.run(50.0)
-    assert ledger.held[WEIGHT, 0, 3] == pilot.core.tables.content((WEIGHT, 0, 3)).version and not ledger.flights
-    assert not [v for v in ledger.judge(pilot.now, None) if v.kind == LOST]
+    assert (
+        ledger.acknowledged[WEIGHT, 0, 3] == pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
+        and not ledger.in_flight_updates
+    )
+    assert not [v for v in ledger.new_ack_delays(pilot.now, None) if v.status == LOST]
 
 
 def test_words_that_come_late_and_in_sequence_are_no_loss():
     pilot = settled()
-    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
+    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.proxies[0]
     for weight in (55.0, 56.0, 57.0):
-        order(pilot, lambda tables, weight=weight: tables.line(0, 3, weight))
+        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
         proxy.pump()
     pilot.run(2000.0, read=False)
     pilot.run(20.0)
-    kinds = [v.kind for v in ledger.judge(pilot.now, None)]
-    assert LOST not in kinds and not ledger.flights
+    kinds = [v.status for v in ledger.new_ack_delays(pilot.now, None)]
+    assert LOST not in kinds and not ledger.in_flight_updates
 
 
 def test_what_stalls_most_is_spread_with_drains_first_and_no_proxy_bare():
@@ -146,24 +149,28 @@
     proxy = pilot.join("p0")
     proxy.line_ms = 2.0
     pilot.run(4000)
-    ledger = pilot.core.tables.ledgers[0]
+    ledger = pilot.core.tables.proxies[0]
     assert max(len(names) for _, names, _ in proxy.log) <= 25, "the first table too goes in pieces"
-    most = ledger.pace.lines_most()
+    most = ledger.ack_latency.max_lines()
     assert most and 10 <= most <= 25
     proxy.log.clear()
 
     def write(tables):
         for endpoint in range(1, 51):
-            tables.line(0, endpoint, 33.0)
-        tables.line(0, 55, 0.0)
-        tables.withdraw(55, True, "draining")
+            tables.set_weight(0, endpoint, 33.0)
+        tables.set_weight(0, 55, 0.0)
+        tables.set_ejected(55, True, "draining")
 
     order(pilot, write)
     pilot.run(60.0)
     assert any("withdrawn/55" in name for name in proxy.log[0][1])
     pilot.run(1500.0)
     tables = pilot.core.tables
-    assert all(ledger.held[key] == tables.content(key).version for key in tables.keys(0) if key[0] == WEIGHT)
+    assert all(
+        ledger.acknowledged[key] == tables.shared_resource(key).version
+        for key in tables.desired_keys(0)
+        if key[0] == WEIGHT
+    )
     sizes = [len(names) + len(removed) for _, names, removed in proxy.log]
     assert max(sizes) <= 25 and sum(sizes) >= 52
     gone = next(at for at, row in enumerate(proxy.log) if any(name.endswith("table-0/55") for name in row[2]))
@@ -189,11 +196,11 @@
                 proxy.read()
     core.roster("partial", [EndpointEntry(3, "b", "in_service", 1.0, pilot.now)], {})
     core.heard(pilot.now)
-    core.tables.cold[3] = pilot.now
-    order(pilot, lambda tables: (tables.line(0, 3, 2.0), tables.withdraw(3, False, "")))
+    core.tables.warming_up[3] = pilot.now
+    order(pilot, lambda tables: (tables.set_weight(0, 3, 2.0), tables.set_ejected(3, False, "")))
     for _ in range(20):
         pilot.now += 10.0
-        core.tables.stirred.update(core.tables.ledgers)
+        core.tables.pending_proxies.update(core.tables.proxies)
         for at, proxy in enumerate(held):
             proxy.pump()
             if at >= stale:
--- a/tests/routing/test_tables.py
+++ b/tests/routing/test_tables.py
@@ -21,36 +21,36 @@
     assert len(proxy.held(LEDS)) == 6 and list(proxy.held(RDS)) == ["exchanges"]
     types = [url for url, _, _ in proxy.log]
     assert types.index(CDS) < types.index(EDS) < types.index(LEDS) < types.index(RDS)
-    assert not pilot.core.tables.ledgers[0].flights
+    assert not pilot.core.tables.proxies[0].in_flight_updates
 
 
 def test_one_changed_slot_costs_one_line():
     pilot = settled()
     proxy = pilot.proxies["p0"]
     proxy.log.clear()
-    order(pilot, lambda tables: tables.line(0, 3, 77.0))
+    order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     pilot.run(20)
     assert proxy.log == [(LEDS, [LINE_3], [])]
 
 
 def test_a_refused_table_is_kept_back_until_its_next_version():
     pilot = settled()
-    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
+    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.proxies[0]
     before = proxy.held(LEDS)[LINE_3]
     proxy.refuses = True
     for weight in (77.0, 78.0):  # refused twice, each version once
         proxy.log.clear()
-        order(pilot, lambda tables, weight=weight: tables.line(0, 3, weight))
+        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
         pilot.run(400, step=50.0)
         assert [names for _, names, _ in proxy.log].count([LINE_3]) == 1
-        assert proxy.held(LEDS)[LINE_3] == before == ledger.held[WEIGHT, 0, 3]
+        assert proxy.held(LEDS)[LINE_3] == before == ledger.acknowledged[WEIGHT, 0, 3]
     proxy.refuses = False
     pilot.run(1000, step=50.0)
-    assert ledger.held[WEIGHT, 0, 3] == before  # not repeated unchanged
-    order(pilot, lambda tables: tables.line(0, 3, 79.0))
+    assert ledger.acknowledged[WEIGHT, 0, 3] == before  # not repeated unchanged
+    order(pilot, lambda tables: tables.set_weight(0, 3, 79.0))
     pilot.run(50)
-    assert ledger.held[WEIGHT, 0, 3] == proxy.held(LEDS)[LINE_3] != before
-    assert not ledger.refused
+    assert ledger.acknowledged[WEIGHT, 0, 3] == proxy.held(LEDS)[LINE_3] != before
+    assert not ledger.nacked
 
 
 def test_a_drain_reaches_a_proxy_that_refuses_the_line_beside_it():
@@ -59,14 +59,14 @@
     proxy.refuses = lambda response: any(r.name == LINE_3 for r in response.resources)
 
     def write(tables):
-        tables.withdraw(4, True, "draining")
-        tables.line(0, 3, 77.0)
+        tables.set_ejected(4, True, "draining")
+        tables.set_weight(0, 3, 77.0)
 
     order(pilot, write)
     pilot.run(20)
     assert any(named.endswith("withdrawn/4") for named in proxy.held(LEDS))
     pilot.run(400)
-    assert pilot.core.tables.ledgers[0].refused.keys() == {(WEIGHT, 0, 3)}
+    assert pilot.core.tables.proxies[0].nacked.keys() == {(WEIGHT, 0, 3)}
 
 
 def test_a_withdrawal_that_is_refused_is_tried_again_more_and_more_rarely_until_it_holds():
@@ -79,23 +79,25 @@
     before = len(proxy.log)
     pilot.run(10000.0)
     tried = [names for _, names, _ in proxy.log[before:] if any("withdrawn/3" in name for name in names)]
-    assert 5 <= len(tried) <= 10 and (EJECTED, 3) not in pilot.core.tables.ledgers[0].held
+    assert 5 <= len(tried) <= 10 and (EJECTED, 3) not in pilot.core.tables.proxies[0].acknowledged
     proxy.refuses = False
     pilot.run(7000.0)
-    assert (EJECTED, 3) in pilot.core.tables.ledgers[0].held and not pilot.core.tables.ledgers[0].again
+    assert (EJECTED, 3) in pilot.core.tables.proxies[0].acknowledged and not pilot.core.tables.proxies[
+        0
+    ].nack_retries_ms
 
 
 def test_what_was_refused_once_is_sent_when_it_is_ordered_anew():
     pilot = settled()
     proxy = pilot.proxies["p0"]
     proxy.refuses = True
-    order(pilot, lambda tables: tables.withdraw(3, True, "lost"))
+    order(pilot, lambda tables: tables.set_ejected(3, True, "lost"))
     pilot.run(50)
     proxy.refuses = False
-    order(pilot, lambda tables: tables.withdraw(3, False, "lost"))
+    order(pilot, lambda tables: tables.set_ejected(3, False, "lost"))
     pilot.run(50)
     assert OUT_3 not in proxy.held(LEDS)
-    order(pilot, lambda tables: tables.withdraw(3, True, "lost"))
+    order(pilot, lambda tables: tables.set_ejected(3, True, "lost"))
     pilot.run(50)
     assert OUT_3 in proxy.held(LEDS)
 
@@ -103,54 +105,54 @@
 def test_a_withdrawal_without_its_acknowledgement_is_overdue_and_counts_as_not_done():
     pilot = settled(proxies=2)
     tables = pilot.core.tables
-    order(pilot, lambda tables: [tables.withdraw(3, True, "draining"), tables.receipt(9)])
+    order(pilot, lambda tables: [tables.set_ejected(3, True, "draining"), tables.request_ack(9)])
     one, two = pilot.proxies.values()
     for proxy in (one, two):
         proxy.pump()
     one.read()
-    late = {number: ledger.overdue(pilot.now + 1500.0, 1000.0) for number, ledger in tables.ledgers.items()}
+    late = {number: ledger.overdue_ejections(pilot.now + 1500.0, 1000.0) for number, ledger in tables.proxies.items()}
     assert late[one.number] == [] and [endpoint for _, endpoint in late[two.number]] == [3]
-    assert tables.ledgers[two.number].overdue(pilot.now + 500.0, 1000.0) == []
-    assert tables.receipts() == [9]  # of the one alone
+    assert tables.proxies[two.number].overdue_ejections(pilot.now + 500.0, 1000.0) == []
+    assert tables.completed_acks() == [9]  # of the one alone
 
 
 @pytest.mark.parametrize("nonce", ["", "e.0", "e.999", "other.1"])
 def test_an_old_or_invented_nonce_acknowledges_nothing(nonce):
     pilot = settled()
-    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
-    before = ledger.held[WEIGHT, 0, 3]
-    order(pilot, lambda tables: tables.line(0, 3, 77.0))
+    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.proxies[0]
+    before = ledger.acknowledged[WEIGHT, 0, 3]
+    order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     proxy.pump()
     word = proxy.request(LEDS)
     word.response_nonce = nonce
     proxy.say(word)
-    assert ledger.held[WEIGHT, 0, 3] == before and ledger.flights
+    assert ledger.acknowledged[WEIGHT, 0, 3] == before and ledger.in_flight_updates
 
 
 def test_the_acknowledgement_of_an_older_version_is_no_word_on_the_newer():
     pilot = settled()
-    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.ledgers[0]
+    proxy, ledger = pilot.proxies["p0"], pilot.core.tables.proxies[0]
     for weight in (77.0, 78.0):
-        order(pilot, lambda tables, weight=weight: tables.line(0, 3, weight))
+        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
         proxy.pump()
     assert len(proxy.waits) == 2
     proxy.read(1)
-    newest = pilot.core.tables.content((WEIGHT, 0, 3)).version
-    assert ledger.held[WEIGHT, 0, 3] != newest and ledger.have((WEIGHT, 0, 3)) == newest
+    newest = pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
+    assert ledger.acknowledged[WEIGHT, 0, 3] != newest and ledger.newest_sent_version((WEIGHT, 0, 3)) == newest
     proxy.read()
-    assert ledger.held[WEIGHT, 0, 3] == newest
+    assert ledger.acknowledged[WEIGHT, 0, 3] == newest
 
 
 def test_a_stream_that_breaks_before_the_acknowledgement_holds_nothing_new_and_is_sent_only_what_differs():
     pilot = settled()
     proxy = pilot.proxies["p0"]
-    order(pilot, lambda tables: tables.line(0, 3, 77.0))
+    order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     proxy.pump()
     assert proxy.waits
     held = proxy.versions
     proxy.leave()
     again = pilot.join("p0", held=held)
-    order(pilot, lambda tables: tables.bind(0, 0, (0, 1)))
+    order(pilot, lambda tables: tables.assign_table(0, 0, (0, 1)))
     pilot.run(100)
     lines = [names + gone for url, names, gone in again.log if url == LEDS]
     assert lines == [[LINE_3]]
@@ -182,20 +184,20 @@
 
     def write(tables):
         for endpoint in (1, 2):
-            tables.line(9, endpoint, 5.0)
-        tables.bind(0, 9, (0, 1))
+            tables.set_weight(9, endpoint, 5.0)
+        tables.assign_table(0, 9, (0, 1))
 
     order(pilot, write)
     for _ in range(12):
         proxy.pump()
         proxy.read(1)
-        ledger = pilot.core.tables.ledgers[0]
-        if 9 in ledger.routed:
-            assert {(CLUSTER, 9), (WEIGHT, 9, 1), (WEIGHT, 9, 2)} <= ledger.held.keys()
+        ledger = pilot.core.tables.proxies[0]
+        if 9 in ledger.routed_tables:
+            assert {(CLUSTER, 9), (WEIGHT, 9, 1), (WEIGHT, 9, 2)} <= ledger.acknowledged.keys()
         else:
-            assert (CLUSTER, 0) in ledger.held  # the old table stays until the routes have left it
-    assert ledger.routed == {9}
-    assert (CLUSTER, 0) not in ledger.held and "table-0" not in proxy.held(CDS)
+            assert (CLUSTER, 0) in ledger.acknowledged  # the old table stays until the routes have left it
+    assert ledger.routed_tables == {9}
+    assert (CLUSTER, 0) not in ledger.acknowledged and "table-0" not in proxy.held(CDS)
 
 
 def test_a_proxy_from_another_pilot_is_never_bare_while_it_is_bound_anew():
@@ -203,38 +205,38 @@
     moved = two.join("p9", held=one.proxies["p0"].versions)
 
     def write(tables):
-        tables.line(9, 1, 5.0)
-        tables.bind(moved.number, 9, (0, 1))
+        tables.set_weight(9, 1, 5.0)
+        tables.assign_table(moved.number, 9, (0, 1))
 
     order(two, write)
-    ledger = two.core.tables.ledgers[moved.number]
+    ledger = two.core.tables.proxies[moved.number]
     for _ in range(20):
-        before = {key for key in ledger.held if key[0] == WEIGHT and key[1] == 0}
+        before = {key for key in ledger.acknowledged if key[0] == WEIGHT and key[1] == 0}
         moved.pump()
         moved.read(1)
-        assert ledger.routed == {9} or len(before) == 6
-    assert {key for key in ledger.held if key[0] in (CLUSTER, WEIGHT)} == {(CLUSTER, 9), (WEIGHT, 9, 1)}
+        assert ledger.routed_tables == {9} or len(before) == 6
+    assert {key for key in ledger.acknowledged if key[0] in (CLUSTER, WEIGHT)} == {(CLUSTER, 9), (WEIGHT, 9, 1)}
 
 
 def test_a_receipt_comes_from_acknowledgements_alone():
     pilot = settled(proxies=2)
     tables = pilot.core.tables
-    tables.receipts()
+    tables.completed_acks()
 
     def write(tables):
-        tables.withdraw(3, True, "draining")
-        tables.receipt(5)
+        tables.set_ejected(3, True, "draining")
+        tables.request_ack(5)
 
     pushes = order(pilot, write)
-    assert len(pushes) == 2 and tables.receipts() == []
+    assert len(pushes) == 2 and tables.completed_acks() == []
     one, two = pilot.proxies.values()
     two.refuses = True
     for proxy in (one, two):
         proxy.pump()
-    assert tables.receipts() == []  # sent is not held
+    assert tables.completed_acks() == []  # sent is not held
     one.read()
     two.read()
-    assert tables.receipts() == [5]  # a refusal is no receipt
+    assert tables.completed_acks() == [5]  # a refusal is no receipt
 
 
 def test_a_proxy_that_is_behind_gets_one_difference_with_the_newest_of_all():
@@ -242,12 +244,12 @@
     proxy = pilot.proxies["p0"]
     proxy.log.clear()
     for at in range(5):
-        order(pilot, lambda tables, at=at: [tables.line(0, e, 50.0 + at) for e in (1, 2, 3 + at % 3)])
+        order(pilot, lambda tables, at=at: [tables.set_weight(0, e, 50.0 + at) for e in (1, 2, 3 + at % 3)])
         proxy.pump()
-        assert len(pilot.core.tables.ledgers[0].flights) <= 1
+        assert len(pilot.core.tables.proxies[0].in_flight_updates) <= 1
     proxy.read()
     assert len([entry for entry in proxy.log if entry[0] == LEDS]) == 2
-    assert not pilot.core.tables.ledgers[0].dirty
+    assert not pilot.core.tables.proxies[0].pending
 
 
 def test_more_joins_at_once_than_the_channel_holds_wait_their_turn():
@@ -263,7 +265,7 @@
 @pytest.mark.parametrize("waits_ms", [0.0, 300.0])
 def test_a_drain_goes_first_while_tables_are_in_flight(waits_ms):
     pilot = settled(proxies=3)
-    order(pilot, lambda tables: [tables.line(0, e, 50.0) for e in range(1, 7)])
+    order(pilot, lambda tables: [tables.set_weight(0, e, 50.0) for e in range(1, 7)])
     for proxy in pilot.proxies.values():
         proxy.pump()
     pilot.run(waits_ms + 1.0, read=False)
@@ -295,9 +297,9 @@
     for do, endpoint, much in steps:
         proxy = pilot.proxies["p0"]
         if do <= 2:
-            order(pilot, lambda tables, e=endpoint, w=much: tables.line(0, e, float(w)))
+            order(pilot, lambda tables, e=endpoint, w=much: tables.set_weight(0, e, float(w)))
         elif do == 3:
-            order(pilot, lambda tables, e=endpoint, w=much: tables.withdraw(e, w > 1, "lost"))
+            order(pilot, lambda tables, e=endpoint, w=much: tables.set_ejected(e, w > 1, "lost"))
         elif do == 4:
             proxy.refuses = much == 0
         elif do == 5:
@@ -307,18 +309,18 @@
             versions = proxy.versions
             proxy.leave()
             pilot.join("p0", held=versions)
-            order(pilot, lambda tables: tables.bind(0, 0, (0, 1)))
+            order(pilot, lambda tables: tables.assign_table(0, 0, (0, 1)))
     proxy, tables = pilot.proxies["p0"], pilot.core.tables
     proxy.refuses = False
-    order(pilot, lambda tables: [tables.line(0, e, 91.0 + e) for e in range(1, 7)])
-    order(pilot, lambda tables: [tables.withdraw(e, e == 2, "draining") for e in range(1, 7)])
+    order(pilot, lambda tables: [tables.set_weight(0, e, 91.0 + e) for e in range(1, 7)])
+    order(pilot, lambda tables: [tables.set_ejected(e, e == 2, "draining") for e in range(1, 7)])
     for _ in range(40):
         pilot.now += 10000.0
         proxy.pump()
         proxy.read()
-    ledger = tables.ledgers[0]
-    wanted = {key: tables.desired(ledger, key).version for key in tables.keys(0)}
-    assert ledger.held == wanted
+    ledger = tables.proxies[0]
+    wanted = {key: tables.desired_resource(ledger, key).version for key in tables.desired_keys(0)}
+    assert ledger.acknowledged == wanted
     assert {n: v for held in proxy.versions.values() for n, v in held.items()} == {
         name(key): version for key, version in wanted.items()
     }
@@ -329,7 +331,9 @@
     for tables, numbers in ((one, (1, 2, 3)), (two, (3, 2, 1))):
         for number in numbers:
             tables.begin()
-            tables.place(number, "127.0.0.1", 9000 + number)
-            tables.line(0, number, number * 2.0)
+            tables.set_address(number, "127.0.0.1", 9000 + number)
+            tables.set_weight(0, number, number * 2.0)
             tables.commit()
-    assert [one.content((WEIGHT, 0, n)) for n in (1, 2, 3)] == [two.content((WEIGHT, 0, n)) for n in (1, 2, 3)]
+    assert [one.shared_resource((WEIGHT, 0, n)) for n in (1, 2, 3)] == [
+        two.shared_resource((WEIGHT, 0, n)) for n in (1, 2, 3)
+    ]
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -129,7 +129,7 @@
         core.book.line(0, endpoint, weight)
     core.book.flush()
     for push in core.tables.commit():
-        core.tables.release(push.proxy, push.number)
+        core.tables.release(push.proxy, push.revision)
 
 
 def holds(pilot, proxy, lines):
@@ -168,7 +168,7 @@
     pilot.core.book.pin(stood(pilot)[-1])
     pilot.roster("partial", [3], "terminating")
     pilot.run(1500)
-    assert (EJECTED, 3) in pilot.core.tables.ledgers[0].held
+    assert (EJECTED, 3) in pilot.core.tables.proxies[0].acknowledged
     assert 3 not in pilot.core.book.target(0)[0]
     assert not any(line.endswith("table-0/3") for line in pilot.proxies["p0"].held(LEDS))
 
@@ -225,7 +225,7 @@
 def test_what_the_gate_keeps_comes_later_a_part_at_a_time_and_is_told():
     pilot = settled(gate=RolloutGateSettings(max_moved_share=0.3, move_window_ms=1000.0))
     module_writes(pilot, {1: 40.0, 2: 40.0, 3: 10.0})
-    lines = pilot.core.tables.tables[0].lines
+    lines = pilot.core.tables.tables[0].weights
     assert lines[1] < 40.0 or lines[2] < 40.0
     assert pilot.core.book.held and pilot.core.book.held[0].rule == MOVES
 
@@ -241,12 +241,12 @@
     pilot.core.planner.run_interval = lambda incoming, orders: None  # what it orders itself would come on top
     again = pilot.join("p0", "a", kept)
     pilot.core.tables.begin()
-    pilot.core.tables.bind(again.number, 0, [0, 1])
+    pilot.core.tables.assign_table(again.number, 0, [0, 1])
     pilot.core.channel.put(pilot.core.tables.commit(), pilot.now)
     pilot.run(3000)
     lines = [names for url, names, _ in again.log if url == LEDS]
     assert sum("/table-0/3" in each for names in lines for each in names) == 1
-    assert holds(pilot, again, pilot.core.tables.tables[0].lines)
+    assert holds(pilot, again, pilot.core.tables.tables[0].weights)
 
 
 class ChosenVersion(RuleBasedStateMachine):
@@ -290,7 +290,7 @@
         self.pilot.join(f"p{at}", "ab"[at], kept)
         core = self.pilot.core
         core.tables.begin()
-        core.tables.bind(self.pilot.proxies[f"p{at}"].number, 0, [0, 1])
+        core.tables.assign_table(self.pilot.proxies[f"p{at}"].number, 0, [0, 1])
         core.channel.put(core.tables.commit(), self.pilot.now)
 
     @invariant()
@@ -301,7 +301,7 @@
         refused = any(proxy.refuses for proxy in self.pilot.proxies.values())
         for proxy in self.pilot.proxies.values():
             proxy.refuses = False
-        if refused or any(ledger.refused for ledger in self.pilot.core.tables.ledgers.values()):
+        if refused or any(ledger.nacked for ledger in self.pilot.core.tables.proxies.values()):
             # A line that was refused alone waits for its next version: each is written once more.
             book = self.pilot.core.book
             lines = dict(book.target(0)[0])
@@ -570,19 +570,19 @@
     proxy, core = pilot.join("p0"), pilot.core
     core.from_store("stored", 10**9, [])
     pilot.run(4000)
-    core.durable = core.tables.number
-    module_wrote = core.tables.number
+    core.durable = core.tables.revision
+    module_wrote = core.tables.revision
     core.look(pilot.now)
     core.tables.begin()
     core.book.line(0, 3, 14.0)
     core.book.flush()
     core.channel.put(core.tables.commit(), pilot.now)
-    number = core.tables.number
+    number = core.tables.revision
     pilot.run(100)
-    assert core.tables.ledgers[0].released <= module_wrote
+    assert core.tables.proxies[0].released_revision <= module_wrote
     core.from_store("stored", number, [])
     pilot.run(20)
-    assert core.tables.ledgers[0].released >= number
+    assert core.tables.proxies[0].released_revision >= number
     core.durable = 0.0
     pilot.roster("partial", [4], "terminating")
     pilot.run(200)
