--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -25,7 +25,7 @@
 from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
 from quillstep.platform.protocol.updates import ProtocolOutput
 from quillstep.recording import lives, read_life
-from quillstep.routing.resources import content
+from quillstep.routing.resources import make_resource
 from quillstep.simulator import decode
 from quillstep.simulator.host import Host
 from quillstep.store import Store
@@ -205,19 +205,19 @@
     pilot.run(3000)
     sotw = SotwProxy(pilot, "old", "b", lines)
     sotw.run(2000)
-    order(pilot, lambda tables: [tables.line(0, 3, 17.0), tables.level(0, [0, 1], 12.5, 1)])
+    order(pilot, lambda tables: [tables.set_weight(0, 3, 17.0), tables.set_admission(0, [0, 1], 12.5, 1)])
     sotw.run(600)
     pilot.roster("partial", [2], "terminating")
     sotw.run(1500)
     proxy.refuses = True
-    order(pilot, lambda tables: tables.line(0, 4, 3.0))
+    order(pilot, lambda tables: tables.set_weight(0, 4, 3.0))
     sotw.run(300)
     proxy.refuses = False
-    order(pilot, lambda tables: tables.line(0, 4, 5.0))
+    order(pilot, lambda tables: tables.set_weight(0, 4, 5.0))
     sotw.run(1500)
     held = {url: dict(versions) for url, versions in proxy.versions.items()}
     proxy.leave()
-    order(pilot, lambda tables: [tables.line(0, 1, 0.0), tables.line(0, 5, 8.0)])
+    order(pilot, lambda tables: [tables.set_weight(0, 1, 0.0), tables.set_weight(0, 5, 8.0)])
     sotw.run(400)
     recording_proxy(pilot, "p0", "a", lines, held)
     sotw.run(3000)
@@ -282,7 +282,7 @@
     rows.update({("line", 1, at): ("127.0.0.1", 9000 + at, 2.0) for at in range(3, 9)})
     rows["out", 9] = ("127.0.0.1", 9009, "draining")
     pilot = MemoryPilot()
-    files = Packer(pilot.encoder, form, 4).files({key: content(key, what) for key, what in rows.items()})
+    files = Packer(pilot.encoder, form, 4).files({key: make_resource(key, what) for key, what in rows.items()})
     found = {file.name: file.data.hex() for file in files}
     found["manifest"] = manifest("pilot-0-17", 5, 12, 1234.5, files).hex()
     return found
