--- a/quillstep/config/start_settings.py
+++ b/quillstep/config/start_settings.py
@@ -1,79 +1,120 @@
-"""The settings of a start, flat (`lanes.0.aim`, `lanes.count`, lists joined by commas), in the module's words.
+"""The settings of a start: flat names (`lanes.0.aim`, `lanes.count`, lists joined by commas) as the planner's config.
 
-Both ways in give them so: the adapter reads them from a line, a live pilot from its configuration file.
+The simulator's adapter reads them from a line of the wire, the platform's controller from its configuration file.
+The quoted names below are the wire's; the names beside them are what the code calls them.
 """
 
-from collections.abc import Callable
-
+from quillstep.errors import QuillstepError
 from quillstep.planner.messages import ClassConfig, PlannerConfig
 
+Fields = dict[str, str]
+
+
+class InvalidFieldError(QuillstepError, ValueError):
+    """A field's value can't be read; the message names the field and the value."""
+
+
+def read_number(fields: Fields, key: str, absent: float = 0.0) -> float:
+    """A field as a number.
 
-def number(found: dict[str, str], key: str, absent: float = 0.0, to: Callable = float) -> float:
-    """A field as a number; `absent` where it was left out."""
-    text = found.get(key)
+    Args:
+        fields: Values by name.
+        key: The field's name.
+        absent: The result where the field is absent or empty.
+
+    Raises:
+        InvalidFieldError: The value is not a finite number.
+    """
+    text = fields.get(key)
     if text is None or text == "":
         return absent
     try:
-        value = to(text)
-    except ValueError:
-        raise ValueError(f"{key}={text!r} is not a number") from None
+        value = float(text)
+    except ValueError as error:
+        raise InvalidFieldError(f"{key}={text!r} is not a number") from error
     if value != value or value in (float("inf"), float("-inf")):
-        raise ValueError(f"{key}={text!r} is not a finite number")
+        raise InvalidFieldError(f"{key}={text!r} is not a finite number")
     return value
 
 
-def whole(found: dict[str, str], key: str, absent: int = 0) -> int:
-    return int(number(found, key, absent, int))
+def read_integer(fields: Fields, key: str, absent: int = 0) -> int:
+    """A field as a whole number; `absent` where it is absent or empty.
 
+    Raises:
+        InvalidFieldError: The value is not a whole number.
+    """
+    text = fields.get(key)
+    if text is None or text == "":
+        return absent
+    try:
+        return int(text)
+    except ValueError as error:
+        raise InvalidFieldError(f"{key}={text!r} is not a number") from error
 
-def ms(found: dict[str, str], key: str) -> float:
-    """A time in microseconds, with fractions where a settings file has them."""
-    return number(found, key) / 1000.0
 
+def read_milliseconds(fields: Fields, key: str) -> float:
+    """A field in microseconds, which a settings file may give with fractions, as milliseconds.
 
-def yes(found: dict[str, str], key: str) -> bool:
-    return found.get(key, "") in ("1", "true")
+    Raises:
+        InvalidFieldError: The value is not a finite number.
+    """
+    return read_number(fields, key) / 1000.0
 
 
-def planner_config_of_start(found: dict[str, str]) -> tuple[PlannerConfig, list[str]]:
-    """The settings of a `start` in our words, and the wire's names of the classes by their places."""
-    places = range(whole(found, "lanes.count"))
-    home_zone_only = found.get("specifics.homeOnly", "").split(",")
+def read_flag(fields: Fields, key: str) -> bool:
+    """Whether a field is set; false where it is absent."""
+    return fields.get(key, "") in ("1", "true")
+
+
+def planner_config_from_start(fields: Fields) -> tuple[PlannerConfig, list[str]]:
+    """The planner's configuration, and the names of the classes by their indexes.
+
+    Raises:
+        InvalidFieldError: A value can't be read.
+    """
+    indexes = range(read_integer(fields, "lanes.count"))
+    home_zone_only = fields.get("specifics.homeOnly", "").split(",")
     classes = []
-    for place in places:
-        lane = f"lanes.{place}."
-        classes.append(
-            ClassConfig(
-                latency_objective_ms=ms(found, lane + "aim"),
-                priority_weight=number(found, lane + "worth"),
-                semantics=found.get(lane + "semantics", "unsafe"),
-                idempotency_scope=found.get(lane + "keyScope", ""),
-                idempotency_window_ms=ms(found, lane + "repeatWindow"),
-                home_zone_only=place < len(home_zone_only) and home_zone_only[place] in ("1", "true"),
-            )
-        )
-    facts = PlannerConfig(
+    for index in indexes:
+        is_home_zone_only = index < len(home_zone_only) and home_zone_only[index] in ("1", "true")
+        classes.append(_class_config(fields, f"lanes.{index}.", is_home_zone_only))
+    names = [fields.get(f"lanes.{index}.name", "") for index in indexes]
+    return _planner_config(fields, classes), names
+
+
+def _class_config(fields: Fields, prefix: str, is_home_zone_only: bool) -> ClassConfig:
+    return ClassConfig(
+        latency_objective_ms=read_milliseconds(fields, prefix + "aim"),
+        priority_weight=read_number(fields, prefix + "worth"),
+        semantics=fields.get(prefix + "semantics", "unsafe"),
+        idempotency_scope=fields.get(prefix + "keyScope", ""),
+        idempotency_window_ms=read_milliseconds(fields, prefix + "repeatWindow"),
+        home_zone_only=is_home_zone_only,
+    )
+
+
+def _planner_config(fields: Fields, classes: list[ClassConfig]) -> PlannerConfig:
+    return PlannerConfig(
         classes=classes,
-        zones=[zone for zone in found.get("zones", "").split(",") if zone],
-        slices=whole(found, "specifics.slices"),
-        watches_on_request=found.get("discovery") == "on_request",
-        health_checks_allowed=yes(found, "allowed.probing"),
-        load_from_health_checks=found.get("stats.how") == "probe",
-        admission=found.get("specifics.admission", "none"),
-        default_retry_policy=whole(found, "specifics.baseMode"),
-        attempt_timeout_factor=number(found, "specifics.tryFactor"),
-        local_ejection_failures=whole(found, "specifics.ejects"),
-        initial_table_size=whole(found, "specifics.standing"),
-        report_interval_ms=ms(found, "specifics.reportEvery"),
-        channel_lines_per_s=number(found, "specifics.channelRate"),
-        lines_per_message=number(found, "specifics.perMessage"),
-        max_queued_lines=number(found, "specifics.mostWaiting"),
-        max_messages=whole(found, "specifics.pushesAllowed"),
-        message_window_ms=ms(found, "specifics.messagesOver"),
-        max_update_delay_ms=ms(found, "specifics.lateMost"),
-        drain_grace_ms=ms(found, "rules.stopSendingWithin"),
-        initial_capacity=number(found, "rules.startCapacity"),
-        warm_up_ms=ms(found, "rules.warmAfter"),
-        overload_multiple=number(found, "rules.fallMultiple"),
+        zones=[zone for zone in fields.get("zones", "").split(",") if zone],
+        slices=read_integer(fields, "specifics.slices"),
+        watches_on_request=fields.get("discovery") == "on_request",
+        health_checks_allowed=read_flag(fields, "allowed.probing"),
+        load_from_health_checks=fields.get("stats.how") == "probe",
+        admission=fields.get("specifics.admission", "none"),
+        default_retry_policy=read_integer(fields, "specifics.baseMode"),
+        attempt_timeout_factor=read_number(fields, "specifics.tryFactor"),
+        local_ejection_failures=read_integer(fields, "specifics.ejects"),
+        initial_table_size=read_integer(fields, "specifics.standing"),
+        report_interval_ms=read_milliseconds(fields, "specifics.reportEvery"),
+        channel_lines_per_s=read_number(fields, "specifics.channelRate"),
+        lines_per_message=read_number(fields, "specifics.perMessage"),
+        max_queued_lines=read_number(fields, "specifics.mostWaiting"),
+        max_messages=read_integer(fields, "specifics.pushesAllowed"),
+        message_window_ms=read_milliseconds(fields, "specifics.messagesOver"),
+        max_update_delay_ms=read_milliseconds(fields, "specifics.lateMost"),
+        drain_grace_ms=read_milliseconds(fields, "rules.stopSendingWithin"),
+        initial_capacity=read_number(fields, "rules.startCapacity"),
+        warm_up_ms=read_milliseconds(fields, "rules.warmAfter"),
+        overload_multiple=read_number(fields, "rules.fallMultiple"),
     )
-    return facts, [found.get(f"lanes.{place}.name", "") for place in places]
--- a/quillstep/controller/baselines.py
+++ b/quillstep/controller/baselines.py
@@ -1,52 +1,54 @@
-"""Baselines to compare with: every listed, ready endpoint in one table, evenly or by listed weight."""
+"""Baselines to compare the planner with: every endpoint in service in one table, evenly or by listed weight."""
 
-from quillstep.planner.messages import Observations, PlannerConfig, PlannerOutput
+from quillstep.planner.messages import EndpointId, Observations, PlannerConfig, PlannerOutput
 
 TABLE = 0
+BASE_WEIGHT = 10.0  # of each endpoint, or of a unit of listed weight
 
 
 class EvenPlanner:
-    """Follows the list and nothing else; called as the module is."""
+    """Follows the endpoint list and nothing else, through the same interface as `Planner`."""
 
-    weigh = False
+    uses_listed_weight = False
 
-    def __init__(self, facts: PlannerConfig, seed: int) -> None:
-        self.classes = len(facts.classes)
-        self.ready: dict[int, float] = {}
-        self.out: set[int] = set()
-        self.unbound: list[int] = []
+    def __init__(self, config: PlannerConfig, seed: int) -> None:
+        self._class_count = len(config.classes)
+        self._weights: dict[EndpointId, float] = {}  # of the endpoints in service
+        self._ejected: set[EndpointId] = set()
+        self._waiting_proxies: list[int] = []
 
-    def run_interval(self, incoming: Observations, orders: PlannerOutput) -> None:
-        for update in incoming.endpoint_lists:
+    def run_interval(self, observations: Observations, output: PlannerOutput) -> None:
+        """Takes in what was observed, and writes what follows from it."""
+        for update in observations.endpoint_lists:
             listed = {entry.endpoint: (entry.state, entry.weight) for entry in update.entries}
             if update.kind == "complete":
-                listed = {**dict.fromkeys(self.ready, ("terminated", 0.0)), **listed}
+                listed = {**dict.fromkeys(self._weights, ("terminated", 0.0)), **listed}
             for endpoint, (state, weight) in listed.items():
-                self.follow(endpoint, state == "in_service", weight, orders)
-        for stream in incoming.proxy_streams:
-            if stream.is_open:
-                self.unbound.append(stream.proxy)
-        if self.ready:
-            for proxy in self.unbound:
-                orders.assign_table(proxy, TABLE, range(self.classes))
-            self.unbound = []
-
-    def follow(self, endpoint: int, ready: bool, listed: float, orders: PlannerOutput) -> None:
-        weight = 10.0 * (listed or 1.0) if self.weigh else 10.0
-        if ready and self.ready.get(endpoint) != weight:
-            self.ready[endpoint] = weight
-            orders.set_weight(TABLE, endpoint, weight)
-        if ready and endpoint in self.out:
-            self.out.discard(endpoint)
-            orders.set_ejected(endpoint, False)
-        if not ready and endpoint not in self.out:
-            self.out.add(endpoint)
-            self.ready.pop(endpoint, None)
-            orders.set_weight(TABLE, endpoint, 0.0)
-            orders.set_ejected(endpoint, True)
+                self._follow(endpoint, state == "in_service", weight, output)
+        for event in observations.proxy_streams:
+            if event.is_open:
+                self._waiting_proxies.append(event.proxy)
+        if self._weights:
+            for proxy in self._waiting_proxies:
+                output.assign_table(proxy, TABLE, range(self._class_count))
+            self._waiting_proxies = []
+
+    def _follow(self, endpoint: EndpointId, is_in_service: bool, listed_weight: float, output: PlannerOutput) -> None:
+        weight = BASE_WEIGHT * (listed_weight or 1.0) if self.uses_listed_weight else BASE_WEIGHT
+        if is_in_service and self._weights.get(endpoint) != weight:
+            self._weights[endpoint] = weight
+            output.set_weight(TABLE, endpoint, weight)
+        if is_in_service and endpoint in self._ejected:
+            self._ejected.discard(endpoint)
+            output.set_ejected(endpoint, False)
+        if not is_in_service and endpoint not in self._ejected:
+            self._ejected.add(endpoint)
+            self._weights.pop(endpoint, None)
+            output.set_weight(TABLE, endpoint, 0.0)
+            output.set_ejected(endpoint, True)
 
 
 class ListedPlanner(EvenPlanner):
     """By listed weight."""
 
-    weigh = True
+    uses_listed_weight = True
--- a/quillstep/platform/configuration.py
+++ b/quillstep/platform/configuration.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from quillstep.config.start_settings import ms, planner_config_of_start, whole
+from quillstep.config.start_settings import planner_config_from_start, read_integer, read_milliseconds
 from quillstep.planner.messages import PlannerConfig
 from quillstep.platform.endpoint_list import address_of
 from quillstep.platform.protocol.validation import Known
@@ -141,12 +141,13 @@
     classes = texts(names, "a list of classes", "$.settings.lanes", path)
     try:
         settings = flat(record.settings)
-        start, _ = planner_config_of_start(settings)
+        start, _ = planner_config_from_start(settings)
         # As the file tells them: a name may hold what joins names and paths in a start.
         start.zones = zones
-        deadline_ms = max(ms(settings, f"lanes.{place}.giveUp") for place in range(len(classes)))
-        proxies = whole(settings, "specifics.dataPlaneSize")
-        dial_ms, tick_ms = ms(settings, "allowed.dialTimeout"), ms(settings, "tick")
+        deadline_ms = max(read_milliseconds(settings, f"lanes.{place}.giveUp") for place in range(len(classes)))
+        proxies = read_integer(settings, "specifics.dataPlaneSize")
+        dial_ms = read_milliseconds(settings, "allowed.dialTimeout")
+        tick_ms = read_milliseconds(settings, "tick")
     except ValueError as trouble:
         raise ConfigurationError(f"{path}: Expected a number, found {trouble} - at `$.settings`") from None
     except RecursionError:
--- a/quillstep/simulator/__main__.py
+++ b/quillstep/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Run as `python -m quillstep.simulator`: wire on standard input and output, trouble on standard error."""
+"""Runs as `python -m quillstep.simulator`: the wire on standard input and output, errors on standard error."""
 
 import sys
 
@@ -6,10 +6,11 @@
 
 
 def main() -> int:
+    """Serves the wire until the input ends; returns the exit status."""
     try:
         Host().serve(sys.stdin.buffer, sys.stdout)
-    except MalformedInputError as trouble:
-        print(trouble, file=sys.stderr)
+    except MalformedInputError as error:
+        print(error, file=sys.stderr)
         return 1
     except (KeyboardInterrupt, BrokenPipeError):
         return 1
--- a/quillstep/simulator/host.py
+++ b/quillstep/simulator/host.py
@@ -1,148 +1,177 @@
-"""Hosts the instances: gathers a batch for each, calls its planner once, writes one reply."""
+"""Hosts the instances: reads a batch, runs the planner of each instance with an event once, writes one reply."""
 
+import traceback
 from collections.abc import Iterable
 from typing import TextIO
 
-from quillstep.planner.messages import (
-    DownstreamStats,
-    EndpointEntry,
-    EndpointListUpdate,
-    HealthCheckResult,
-    Observations,
-    ProxyStreamEvent,
-    UpstreamStats,
-)
+from quillstep.config.start_settings import Fields
+from quillstep.errors import QuillstepError
+from quillstep.planner.messages import EndpointEntry, EndpointListUpdate, Observations
 from quillstep.planner.planner import Planner
 from quillstep.simulator import decode
+from quillstep.simulator.decode import Line, MalformedLineError
 from quillstep.simulator.output import SimulatorOutput
 
+END_OF_REPLY = "end"
 
-class MalformedInputError(Exception):
+
+class MalformedInputError(QuillstepError):
     """The input can't be read any further; the message is the sentence for the operator."""
 
 
+class EndpointLists:
+    """The numbered endpoint lists of the process, which any instance's update may refer to."""
+
+    def __init__(self) -> None:
+        self.missing_entries = 0
+        self._lists: dict[int, list[EndpointEntry]] = {}
+        self._filling: list[EndpointEntry] = []
+
+    def announce(self, announcement: decode.ListAnnouncement) -> None:
+        """Begins a list, in place of the one that had its number."""
+        self._filling = self._lists[announcement.number] = []
+        self.missing_entries = announcement.entries
+
+    def add(self, fields: Fields) -> None:
+        """Adds the entry of a line to the list that was begun.
+
+        Raises:
+            MalformedLineError: The list is complete.
+        """
+        if not self.missing_entries:
+            raise MalformedLineError("an 'item' came that no 'manifest' had announced")
+        self._filling.append(decode.endpoint_entry(fields))
+        self.missing_entries -= 1
+
+    def update(self, reference: decode.ListReference) -> EndpointListUpdate:
+        """The update that refers to a list, as the list is now.
+
+        Raises:
+            MalformedLineError: No list has that number.
+        """
+        if reference.kind == "error":
+            return EndpointListUpdate(reference.kind, [])
+        if reference.number not in self._lists:
+            raise MalformedLineError(f"no 'manifest' gave the list number {reference.number}")
+        return EndpointListUpdate(reference.kind, list(self._lists[reference.number]))
+
+
 class Instance:
-    """One started planner, the wire's names of its classes, and what it has been brought in this batch."""
+    """One started planner, and its observations of the batch that is being read."""
+
+    def __init__(self, fields: Fields, lists: EndpointLists) -> None:
+        config, class_names = decode.start_config(fields)
+        self.planner = Planner(config, decode.start_seed(fields))
+        self._class_indexes = {name: index for index, name in enumerate(class_names)}
+        self._lists = lists
+        self._observations: Observations | None = None
+
+    def begin_interval(self, now_ms: float) -> Observations:
+        """Has the planner run after this batch, and returns the observations to add to."""
+        if self._observations is None:
+            self._observations = Observations(now_ms)
+        return self._observations
 
-    def __init__(self, found: dict[str, str]) -> None:
-        facts, names = decode.planner_config_of_start(found)
-        self.planner = Planner(facts, decode.whole(found, "randomSeed"))
-        self.places = {name: place for place, name in enumerate(names)}
-        self.incoming: Observations | None = None
+    def take_observations(self) -> Observations | None:
+        """The observations of this batch, or None where the planner does not run; the next ones are a new batch's."""
+        observations, self._observations = self._observations, None
+        return observations
+
+    def observe(self, line: Line, now_ms: float) -> None:
+        """Adds one event; one that this program does not act on only has the planner run."""
+        observations, fields = self.begin_interval(now_ms), line.fields
+        match line.name:
+            case decode.UPSTREAM_STATS:
+                observations.upstream_stats.append(decode.upstream_stats(fields))
+            case decode.DOWNSTREAM_STATS:
+                observations.downstream_stats.append(decode.downstream_stats(fields, self._class_indexes))
+            case decode.ACK:
+                observations.acks.append(decode.ack_serial(fields))
+            case decode.HEALTH_CHECK_RESULT:
+                observations.health_checks.append(decode.health_check_result(fields))
+            case decode.PROXY_JOINED:
+                observations.proxy_streams.append(decode.proxy_joined(fields))
+            case decode.PROXY_LEFT:
+                observations.proxy_streams.append(decode.proxy_left(fields))
+            case decode.ENDPOINT_LIST_UPDATE:
+                observations.endpoint_lists.append(self._lists.update(decode.list_reference(fields)))
 
 
 class Host:
-    """All instances that this process was given, and the numbered lists of the process."""
+    """All instances of this process, by the names that the wire gives them."""
 
     def __init__(self) -> None:
-        self.instances: dict[str, Instance] = {}
-        self.banks: dict[int, list[EndpointEntry]] = {}
-        self.now_ms = 0.0
-        self.filling: list[EndpointEntry] = []
-        self.entries_due = 0
+        self._instances: dict[str, Instance] = {}
+        self._lists = EndpointLists()
+        self._now_ms = 0.0
 
     def serve(self, source: Iterable[bytes], sink: TextIO) -> None:
-        """Answer batch after batch until the input ends between two of them."""
-        inside = False
-        at = 0
-        for at, raw in enumerate(source, 1):
+        """Answers batch after batch until the input ends between two of them.
+
+        Raises:
+            MalformedInputError: A line can't be read, or the input ends inside a batch.
+        """
+        in_batch = False
+        number = 0
+        for number, raw in enumerate(source, 1):
             try:
-                line = raw.decode("utf-8").rstrip("\r\n")
-                if not line and not inside:
+                text = raw.decode("utf-8").rstrip("\r\n")
+                if not text and not in_batch:
                     continue
-                name, found = decode.fields(line)
-                if inside == (name == "turn"):
-                    raise ValueError("a batch begins with 'turn' and ends with 'over_to_you'")
-                inside = name != "over_to_you"
-                self.take(name, found)
-            except ValueError as trouble:
-                raise MalformedInputError(f"quillstep: line {at} of the input can't be read: {trouble}.") from None
-            if not inside:
-                sink.write("\n".join([*self.reply(), "end\n"]))
+                line = decode.parse_line(text)
+                if in_batch == (line.name == decode.BATCH_START):
+                    raise MalformedLineError("a batch begins with 'turn' and ends with 'over_to_you'")
+                in_batch = line.name != decode.BATCH_END
+                self.handle(line)
+            except ValueError as error:
+                sentence = f"quillstep: line {number} of the input can't be read: {error}."
+                raise MalformedInputError(sentence) from error
+            if not in_batch:
+                sink.write("\n".join([*self.reply(), f"{END_OF_REPLY}\n"]))
                 sink.flush()
-        if inside:
-            raise MalformedInputError(f"quillstep: line {at} of the input is the last, but its batch is cut off.")
-
-    def take(self, name: str, found: dict[str, str]) -> None:
-        """Put one line of a batch where it belongs."""
-        if self.entries_due and name != "item":
-            raise ValueError(f"{self.entries_due} more 'item' lines were due")
-        if name == "turn":
-            self.now_ms = decode.ms(found, "atTime")
-        elif name == "manifest":
-            self.filling = self.banks[decode.whole(found, "bank")] = []
-            self.entries_due = decode.whole(found, "membersList")
-        elif name == "item":
-            if not self.entries_due:
-                raise ValueError("an 'item' came that no 'manifest' had announced")
-            self.filling.append(decode.entry(found))
-            self.entries_due -= 1
-        elif name == "start":
-            self.instances[found["i"]] = Instance(found)
-            self.gathered(found["i"])
-        elif name == "stop":
-            self.instances.pop(found["i"], None)
-        elif name != "over_to_you":
-            self.gather(name, found)
-
-    def gathered(self, instance: str) -> Observations:
-        hosted = self.instances[instance]
-        if hosted.incoming is None:
-            hosted.incoming = Observations(self.now_ms)
-        return hosted.incoming
-
-    def gather(self, name: str, found: dict[str, str]) -> None:
-        """Add one event to what its instance is brought; events of a stopped instance are void."""
-        instance = found["i"]
-        if instance not in self.instances:
-            return
-        incoming = self.gathered(instance)
-        whole = decode.whole
-        if name == "membership":
-            kind = found["mode"].lower()
-            bank = whole(found, "bank")
-            if kind != "error" and bank not in self.banks:
-                raise ValueError(f"no 'manifest' gave the list number {bank}")
-            entries = [] if kind == "error" else list(self.banks[bank])
-            incoming.endpoint_lists.append(EndpointListUpdate(kind, entries))
-        elif name == "joined":
-            usual, fresh = decode.number(found, "part"), decode.yes(found, "active")
-            incoming.proxy_streams.append(
-                ProxyStreamEvent(whole(found, "agent"), True, found["regionPart"], usual, fresh)
-            )
-        elif name == "disconnected":
-            incoming.proxy_streams.append(ProxyStreamEvent(whole(found, "agent"), False))
-        elif name == "observed":
-            incoming.upstream_stats.append(UpstreamStats(
-                whole(found, "endpoint"), whole(found, "many"), whole(found, "errors"),
-                decode.ms(found, "timeTaken"), decode.ms(found, "covers"), decode.load(found),
-            ))  # fmt: skip
-        elif name == "traffic":
-            place = self.instances[instance].places.get(found["service"])
-            if place is None:
-                raise ValueError(f"service={found['service']!r} is no class of the settings")
-            incoming.downstream_stats.append(DownstreamStats(
-                place, whole(found, "agent"), whole(found, "many"), whole(found, "errors"),
-                decode.ms(found, "covers"),
-            ))  # fmt: skip
-        elif name == "applied":
-            incoming.acks.append(whole(found, "serial"))
-        elif name == "health":
-            incoming.health_checks.append(HealthCheckResult(
-                whole(found, "endpoint"), found["disposition"] == "done",
-                decode.ms(found, "timeTaken"), decode.load(found),
-            ))  # fmt: skip
+        if in_batch:
+            raise MalformedInputError(f"quillstep: line {number} of the input is the last, but its batch is cut off.")
+
+    def handle(self, line: Line) -> None:
+        """Applies one line of a batch.
+
+        Raises:
+            ValueError: The line, or what it refers to, is wrong.
+        """
+        name, fields = line
+        if self._lists.missing_entries and name != decode.ENDPOINT_ENTRY:
+            raise MalformedLineError(f"{self._lists.missing_entries} more 'item' lines were due")
+        match name:
+            case decode.ENDPOINT_ENTRY:
+                self._lists.add(fields)
+            case decode.BATCH_START:
+                self._now_ms = decode.batch_time_ms(fields)
+            case decode.ENDPOINT_LIST:
+                self._lists.announce(decode.list_announcement(fields))
+            case decode.START:
+                instance = Instance(fields, self._lists)
+                instance.begin_interval(self._now_ms)
+                self._instances[decode.instance_name(fields)] = instance
+            case decode.STOP:
+                self._instances.pop(decode.instance_name(fields), None)
+            case decode.BATCH_END:
+                pass
+            case _:
+                # Events of an instance that was stopped are void.
+                if receiver := self._instances.get(decode.instance_name(fields)):
+                    receiver.observe(line, self._now_ms)
 
     def reply(self) -> list[str]:
-        """Call each planner that something came in for, and return the lines of the reply."""
+        """Runs each planner that has an event, and returns the lines of the reply."""
         lines: list[str] = []
-        for name, hosted in self.instances.items():
-            if hosted.incoming is None:
+        for name, instance in self._instances.items():
+            observations = instance.take_observations()
+            if observations is None:
                 continue
-            incoming, hosted.incoming = hosted.incoming, None
-            orders = SimulatorOutput(name, lines)
+            output = SimulatorOutput(name, lines)
             try:
-                hosted.planner.run_interval(incoming, orders)
-            except Exception as trouble:  # whatever goes wrong inside the module ends the day with its cause
-                orders.broken(f"{type(trouble).__name__}: {trouble}")
+                instance.planner.run_interval(observations, output)
+            except Exception as error:  # whatever goes wrong in the planner ends the simulation with its cause
+                traceback.print_exc()
+                output.report_failure(error)
         return lines
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -17,7 +17,7 @@
 from quillstep.config.cue import ConfigError
 from quillstep.config.loading import load
 from quillstep.config.scenario import ScenarioSettings
-from quillstep.config.start_settings import planner_config_of_start
+from quillstep.config.start_settings import planner_config_from_start
 from quillstep.files.generation_files import Packer, manifest
 from quillstep.platform import configuration, endpoint_list
 from quillstep.platform.protocol import validation
@@ -57,7 +57,7 @@
 
     def answer(self, lines):
         for line in lines:
-            self.host.take(*decode.fields(line))
+            self.host.handle(decode.parse_line(line))
         return self.host.reply()
 
 
@@ -328,8 +328,8 @@
 
 def start_values(line):
     """A `start` as the module is told it: values in order."""
-    _, found = decode.fields(line)
-    facts, names = planner_config_of_start(found)
+    found = decode.parse_line(line).fields
+    facts, names = planner_config_from_start(found)
     return plain([list(dataclasses.astuple(facts)), names])
 
 
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -23,7 +23,7 @@
 from quillstep.platform.protocol.connections import ConnectionLimits, add_arrivals, add_sums
 from quillstep.platform.protocol.updates import ProtocolOutput
 from quillstep.platform.service import PlatformController, limits_of
-from quillstep.simulator.decode import fields, planner_config_of_start
+from quillstep.simulator.decode import parse_line, start_config
 
 KNOWN = validation.Known(4, frozenset("ab"), {"lookup": 0, "issue": 1}, 1200.0)
 
@@ -340,7 +340,7 @@
     line = "start i=0 randomSeed=1 " + " ".join(f"{key}={value}" for key, value in flat.items() if " " not in value)
     path = configuration(tmp_path, "127.0.0.1:1", [])
     facts = platform_configuration.pilot_facts(platform_configuration.read({"BALANCER_CONFIG": str(path)}), str(path))
-    assert (facts.start, facts.classes) == planner_config_of_start(fields(line)[1])
+    assert (facts.start, facts.classes) == start_config(parse_line(line).fields)
     assert (
         facts.start.channel_lines_per_s == 3000.0
         and facts.start.health_checks_allowed
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_host.py
@@ -1,4 +1,4 @@
-"""The adapter: decoding, encoding, many instances, and what it says of bad input."""
+"""The simulator's adapter: decoding, output, many instances, and the errors of bad input."""
 
 import subprocess
 import sys
@@ -10,7 +10,7 @@
 
 START = "start i=pilot/{} randomSeed=5 novel=1 lanes.count=1 lanes.0.name=save lanes.0.aim=750 odd.key=x"
 LIST = "manifest bank=0 membersList=1\nitem endpoint=7 regionPart=a availability=in_service part=1.5 new=2"
-NEWS = "membership i=pilot/{} mode=Persisted bank=0 serial=4"
+UPDATE = "membership i=pilot/{} mode=Persisted bank=0 serial=4"
 JOIN = "joined i=pilot/{} agent=3 regionPart=a part=6.5 active=1"
 
 
@@ -24,8 +24,8 @@
     return [f"turn atTime={at}", *lines, "over_to_you"]
 
 
-def started(number):
-    return [START.format(number), LIST, NEWS.format(number), JOIN.format(number)]
+def start_events(number):
+    return [START.format(number), LIST, UPDATE.format(number), JOIN.format(number)]
 
 
 def test_an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean():
@@ -33,28 +33,28 @@
     assert (done.returncode, done.stdout, done.stderr) == (0, "end\nend\n", "")
 
 
-def test_orders_are_written_in_the_wires_names_and_units():
-    out = run(*batch(*started(3))).stdout.splitlines()
+def test_output_is_written_in_the_wires_names_and_units():
+    out = run(*batch(*start_events(3))).stdout.splitlines()
     assert out[0].startswith("sleep i=pilot/3 cookie=1 at=1") and len(out[0].split("at=")[1]) == 7
     assert "set_line i=pilot/3 mapId=0 endpoint=7 part=10" in out
     install = "install i=pilot/3 agent=3 mapId=0 classBits=1"
     assert out[-3:] == [install, "ask_receipt i=pilot/3 active=0 serial=1", "end"]
 
 
-def test_instances_act_alike_alone_and_together():
-    alone = [run(*batch(*started(number))).stdout.splitlines()[:-1] for number in (1, 2)]
-    both = run(*batch(*started(1), *started(2))).stdout.splitlines()
+def test_instances_write_the_same_alone_and_together():
+    alone = [run(*batch(*start_events(number))).stdout.splitlines()[:-1] for number in (1, 2)]
+    both = run(*batch(*start_events(1), *start_events(2))).stdout.splitlines()
     assert alone[0] and both == [*alone[0], *alone[1], "end"]
 
 
-def test_a_start_beside_a_stop_begins_clean():
-    again = [line for line in started(1) if not line.startswith("joined")]
-    out = run(*batch(*started(1)), *batch("stop i=pilot/1", *again, at=9000000)).stdout
+def test_a_start_in_the_batch_of_a_stop_takes_nothing_over():
+    again = [line for line in start_events(1) if not line.startswith("joined")]
+    out = run(*batch(*start_events(1)), *batch("stop i=pilot/1", *again, at=9000000)).stdout
     assert "install" not in out.split("end\n")[1]
 
 
 @pytest.mark.parametrize(
-    ("lines", "says"),
+    ("lines", "message"),
     [
         (["turn atTime=1", "what i=pilot/1", "over_to_you"], "line 2 of the input can't be read"),
         (["turn atTime=1", "joined i=pilot/1 agent=3", "over_to_you"], "'regionPart' of 'joined' is missing"),
@@ -64,23 +64,23 @@
         (["turn atTime=1", "turn atTime=1"], "a batch begins with 'turn'"),
         (["turn atTime=1", "manifest bank=0 membersList=2", "over_to_you"], "2 more 'item' lines were due"),
         (["turn atTime=1", "joined  i=pilot/1"], "'' is not a name=value pair"),
-        (["turn atTime=1", *started(1), "membership i=pilot/1 mode=Complete bank=9"], "the list number 9"),
-        (["turn atTime=1", *started(1), "traffic i=pilot/1 service=x many=1 agent=3"], "is no class"),
-        (["turn atTime=1", *started(1)], "its batch is cut off"),
+        (["turn atTime=1", *start_events(1), "membership i=pilot/1 mode=Complete bank=9"], "the list number 9"),
+        (["turn atTime=1", *start_events(1), "traffic i=pilot/1 service=x many=1 agent=3"], "is no class"),
+        (["turn atTime=1", *start_events(1)], "its batch is cut off"),
     ],
 )
-def test_bad_input_ends_with_one_plain_sentence(lines, says):
+def test_malformed_input_ends_with_one_sentence_and_no_reply(lines, message):
     done = run(*lines)
-    assert done.returncode != 0 and says in done.stderr and done.stdout == ""
+    assert done.returncode != 0 and message in done.stderr and done.stdout == ""
     assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
 
 
-def test_a_failure_inside_the_module_is_told_in_the_wires_word(monkeypatch):
-    def fails(*_):
+def test_an_exception_in_the_planner_is_reported_as_the_wire_has_it(monkeypatch):
+    def fail(*_):
         raise RuntimeError("out of\nreach")
 
-    monkeypatch.setattr(Planner, "run_interval", fails)
+    monkeypatch.setattr(Planner, "run_interval", fail)
     host = Host()
-    for line in "\n".join(started(1)).split("\n"):
-        host.take(*decode.fields(line))
+    for line in "\n".join(start_events(1)).split("\n"):
+        host.handle(decode.parse_line(line))
     assert host.reply() == ["broken i=pilot/1 line=RuntimeError: out of reach"]
