--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -30,9 +30,9 @@
 from quillstep.routing.ack_latency import MAX_STALL_SHARE
 from quillstep.routing.recovery import recovery_trust_ms
 from quillstep.routing.resources import table_number_offset
-from quillstep.routing.retry_policies import RetryPolicies, allowed_way
+from quillstep.routing.retry_policies import RetryPolicies, max_retry_policy
 from quillstep.routing.rollout_gate import RolloutGate
-from quillstep.routing.versions import Version, VersionedTables, version_of
+from quillstep.routing.versions import TableVersion, VersionedTables, version_from_row
 
 PLANNERS: dict[str, Any] = {"learnt": Planner, "even": EvenPlanner, "listed": ListedPlanner}
 ORDERS_KEPT = 4096  # whose times are remembered
@@ -42,7 +42,7 @@
 HELD_AGAIN_MS = 10000.0  # between two lines of the log on the same thing
 
 
-def forget(version: Version) -> None:
+def forget(version: TableVersion) -> None:
     """There is no store."""
 
 
@@ -56,7 +56,9 @@
         self.planner = PLANNERS[record.planner_kind](self.facts, record.seed)
         self.control_intervals = ControlIntervals(self.planner, record.batch_window_ms)
         classes = record.fleet.classes
-        self.ways = RetryPolicies([allowed_way(row.semantics) for row in classes], [row.deadline_ms for row in classes])
+        self.ways = RetryPolicies(
+            [max_retry_policy(row.semantics) for row in classes], [row.deadline_ms for row in classes]
+        )
         stall_ms = (
             MAX_STALL_SHARE * min(row.latency_objective_ms for row in classes) if record.limits.splits_updates else 0.0
         )
@@ -67,9 +69,9 @@
         )  # fmt: skip
         knobs = record.gate
         gate = RolloutGate(knobs.max_moved_share, knobs.move_window_ms, self.ways.allowed) if knobs.enabled else None
-        self.versions: list[Version] = []  # that have come to stand, and are to be stored
+        self.versions: list[TableVersion] = []  # that have come to stand, and are to be stored
         self.book = VersionedTables(self.tables, gate, self.versions.append if record.store.folder else forget)
-        self.granted: list[tuple[str, str, list[Version]]] = []  # operators' wishes: key, kind, versions or tables
+        self.granted: list[tuple[str, str, list[TableVersion]]] = []  # operators' wishes: key, kind, versions or tables
         self.durable = 0.0 if record.store.folder else float("inf")  # orders up to this one are stored
         self.unstored: deque[tuple[ProxyUpdate, float]] = (
             deque()
@@ -141,7 +143,7 @@
         self.zones[proxy] = zone
         self.fronts[proxy] = front
         self.tables.add_proxy(proxy, zone, held)
-        self.ways.join(proxy, fresh, self.record.fleet.proxies.default_retry_policy)
+        self.ways.add_proxy(proxy, fresh, self.record.fleet.proxies.default_retry_policy)
         usual_ms = self.record.fleet.proxies.report_interval_ms
         self.gatherer.joined(ReportAccount(proxy, zone, life, usual_ms, usual_ms), node)
         self.intake.joined(proxy, self.now_ms)
@@ -205,9 +207,9 @@
             self.heard(now_ms)
         if self.listed and self.due_ms() <= now_ms:
             self.round(now_ms)
-        if self.book.expires_ms() <= now_ms:
+        if self.book.recovery_expires_ms() <= now_ms:
             self.look(now_ms)
-        if self.book.waits() and self.catch_up_ms <= now_ms:
+        if self.book.is_behind() and self.catch_up_ms <= now_ms:
             self.catch_up(now_ms)
 
     def let_go(self, now_ms: float) -> None:
@@ -245,37 +247,37 @@
         warm_ms = rules.warm_up_ms
         self.tables.warming_up = {e: at for e, at in self.started.items() if at and now_ms - at < warm_ms}
         self.book.now_ms = now_ms
-        self.book.seen.started = self.started
-        self.book.expire()
-        self.book.seen.ready = {endpoint for endpoint, state in self.states.items() if state == "in_service"}
+        self.book.endpoints.started_ms = self.started
+        self.book.end_expired_recovery()
+        self.book.endpoints.in_service = {endpoint for endpoint, state in self.states.items() if state == "in_service"}
         low = rules.initial_capacity
-        self.book.seen.part = {
+        self.book.endpoints.capacity_shares = {
             e: low + (1.0 - low) * max(0.0, now_ms - at) / warm_ms for e, at in self.tables.warming_up.items()
         }
 
     def tell_held(self, now_ms: float) -> None:
         """Say what the gate kept, each thing once in a while."""
-        held, self.book.held = self.book.held, []
+        held, self.book.withheld = self.book.withheld, []
         for each in held:
-            key = (each.table, each.rule, each.endpoint, each.place)
+            key = (each.table, each.rule, each.endpoint, each.class_index)
             if now_ms - self.told_held.get(key, float("-inf")) > HELD_AGAIN_MS:
                 self.told_held[key] = now_ms
                 self.log.warning("held by the gate", rule=each.rule, reason=each.reason, table=each.table - self.terms,
-                                 endpoint=each.endpoint, place=each.place)  # fmt: skip
+                                 endpoint=each.endpoint, place=each.class_index)  # fmt: skip
 
     def from_store(self, kind: str, what: Any, more: list[Any]) -> None:
         """News of the store: what the last life left, what is durable, what operators ask for, that it is lost."""
         if kind == "opened":
             wall_ms, versions = what
             for told in versions:
-                self.book.remember(version_of(told))
+                self.book.add_stored_version(version_from_row(told))
             knobs = self.record.store
             self.book.now_ms = self.now_ms
             self.book.recover(
                 wall_ms, lambda age_ms: recovery_trust_ms(age_ms, knobs.recovery_trust_ms, knobs.max_recovery_age_ms)
             )
             for told, cause, who in more:
-                self.book.pin(version_of(told)._replace(cause=cause, who=who))
+                self.book.pin(version_from_row(told)._replace(cause=cause, operator=who))
                 self.log.info("table pinned", table=told[1] - self.terms, version=told[0], by=who, cause=cause)
         elif kind == "stored":
             self.durable = max(self.durable, what)
@@ -291,9 +293,9 @@
             if kind == "release":
                 if self.book.release(table):
                     self.log.info("table released", table=table - self.terms, by=who)
-                done.append(Version("", table, "", kind, who, 0.0, 0, {}, {}))
+                done.append(TableVersion("", table, "", kind, who, 0.0, 0, {}, {}))
             elif told:
-                version = version_of(told)._replace(cause=kind, who=who)
+                version = version_from_row(told)._replace(cause=kind, operator=who)
                 self.book.pin(version)
                 self.log.info("table pinned", table=table - self.terms, version=version.name, by=who, cause=kind)
                 done.append(version)
@@ -323,8 +325,8 @@
     def next_ms(self) -> float:
         """When `step` has something to do next."""
         due = min(self.due_ms(), self.channel.next_ms(), self.gatherer.due_ms())
-        due = min(due, self.book.expires_ms())
-        if self.book.waits():
+        due = min(due, self.book.recovery_expires_ms())
+        if self.book.is_behind():
             due = min(due, self.catch_up_ms)
         if self.unstored:
             due = min(due, self.unstored[0][1] + self.record.store.max_durability_wait_ms)
@@ -363,7 +365,7 @@
         self.core = core
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        self.core.book.line(self.core.terms + table, endpoint, weight)
+        self.core.book.set_weight(self.core.terms + table, endpoint, weight)
 
     def set_ejected(self, endpoint: int, out: bool) -> None:
         core = self.core
@@ -380,7 +382,7 @@
         self.core.tables.assign_table(proxy, self.core.terms + table, classes)
 
     def set_admission(self, table: int, classes: Iterable[int], allowed: float, tries: int) -> None:
-        self.core.book.level(self.core.terms + table, classes, allowed, tries)
+        self.core.book.set_admission(self.core.terms + table, classes, allowed, tries)
 
     def request_health_check(self, endpoint: int) -> None:
         if endpoint in self.core.tables.addresses:
--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -72,18 +72,20 @@
         changes = self.core.ways.changes(now_ms)
         nodes = {number: node for node, number in self.core.numbers.items()} if changes else {}
         for told in changes:
-            kind = self.core.record.fleet.classes[told.place].name
-            for loose, proxies in ((True, told.loose), (False, told.tight)):
+            kind = self.core.record.fleet.classes[told.class_index].name
+            for loose, proxies in ((True, told.exceeding), (False, told.compliant)):
                 for proxy in proxies:
                     self.tap("way", now_ms, kind=kind, proxy=nodes[proxy], loose=loose)
-            known = len(self.core.ways.held)
-            if not told.stand:
+            known = len(self.core.ways.proxies)
+            if not told.count_exceeding:
                 self.log.info("way of trying again in force", kind=kind, proxies=known)
-            elif told.stand == len(told.loose):  # the first of them
-                first = [nodes[proxy] for proxy in told.loose[:WAITS_SHOWN]]
-                self.log.info("looser way of trying again stands", kind=kind, way=told.way, proxies=first, of=known)
+            elif told.count_exceeding == len(told.exceeding):  # the first of them
+                first = [nodes[proxy] for proxy in told.exceeding[:WAITS_SHOWN]]
+                self.log.info(
+                    "looser way of trying again stands", kind=kind, way=told.retry_policy, proxies=first, of=known
+                )
 
     def next_ms(self) -> float:
         """When a turn has something to do without any news."""
         waits = [front.next_ms() for front in self.fronts]
-        return min([self.core.next_ms(), self.core.ways.due_ms, *waits])
+        return min([self.core.next_ms(), self.core.ways.next_expiry_ms, *waits])
--- a/quillstep/model_checking/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -92,7 +92,7 @@
         first.node.id = "proxy"
         told = stream.first(first)
         at.tables.add_proxy(0, "a", told)
-        at.ways.join(0, not self.held.get(RDS), 0)
+        at.ways.add_proxy(0, not self.held.get(RDS), 0)
         stream.proxy = 0
         stream.request(first, self.now_ms)
         tables = sorted(self.held.get(CDS, ()))
--- a/quillstep/model_checking/fuzz.py
+++ b/quillstep/model_checking/fuzz.py
@@ -70,7 +70,7 @@
         pilot.begin()
         stream = kind(pilot.tables, ENCODER, LIMITS, "e", ordered_ms)
         pilot.tables.add_proxy(0, "a", {})
-        pilot.ways.join(0, True, 0)
+        pilot.ways.add_proxy(0, True, 0)
         stream.proxy = 0
         pilot.joined()
         at, now_ms = 0, 0.0
--- a/quillstep/routing/recovery.py
+++ b/quillstep/routing/recovery.py
@@ -23,16 +23,22 @@
 class RecoveredTable:
     """A table as it stood when the last life ended: since when on our clock, and until when it counts."""
 
-    lines: Mapping[int, float]
-    stood_ms: float
-    until_ms: float
-    spoken: set[int] = field(default_factory=set)  # endpoints on which the module has had its first word
+    weights: Mapping[int, float]
+    recorded_ms: float
+    trusted_until_ms: float
+    planned: set[int] = field(default_factory=set)  # endpoints on which the module has had its first word
 
-    def word(self, endpoint: int, weight: float, now_ms: float, warm: bool, started_ms: float) -> float:
+    def effective_weight(self, endpoint: int, weight: float, now_ms: float, warm: bool, started_ms: float) -> float:
         """The weight that stands where the module says this one."""
-        first = endpoint not in self.spoken
-        self.spoken.add(endpoint)
-        before = self.lines.get(endpoint, 0.0)
-        if now_ms >= self.until_ms or weight <= 0.0 or before <= 0.0 or not warm or started_ms > self.stood_ms:
+        first = endpoint not in self.planned
+        self.planned.add(endpoint)
+        before = self.weights.get(endpoint, 0.0)
+        if (
+            now_ms >= self.trusted_until_ms
+            or weight <= 0.0
+            or before <= 0.0
+            or not warm
+            or started_ms > self.recorded_ms
+        ):
             return weight
         return before if first else min(before, weight)
--- a/quillstep/routing/tables.py
+++ b/quillstep/routing/tables.py
@@ -25,7 +25,11 @@
     make_resource,
 )
 from quillstep.routing.retry_policies import RetryPolicies
-from quillstep.routing.unacknowledged import RECHECK_INTERVAL_MS, grows, spent
+from quillstep.routing.unacknowledged import (
+    RECHECK_INTERVAL_MS,
+    is_saturated_by_outdated_weights,
+    warming_endpoint_that_gains,
+)
 
 OPEN_RATE = 1e5  # a rate from which on nothing is held back: no limit is sent
 
@@ -111,7 +115,7 @@
         """A proxy tells of more that it holds, in the first words on a further type."""
         ledger = self.proxies[proxy]
         if (ROUTES,) in held:
-            self.retry_policies.join(proxy, False, self.default_retry_policy)
+            self.retry_policies.add_proxy(proxy, False, self.default_retry_policy)
         for key, version in held.items():
             if key not in ledger.in_flight:
                 ledger.acknowledged[key] = version
@@ -252,14 +256,14 @@
         if self.warming_up and found:
             found = self.without_saturating(ledger, found, now_ms)
         if (
-            self.retry_policies.unknown(proxy)
+            self.retry_policies.is_unknown(proxy)
             and ledger.assignments
             and (ROUTES,) in ledger.acknowledged
             and (ROUTES,) not in ledger.pending
         ):
             routes = self.desired_routes(ledger)
             if routes and routes.version == ledger.acknowledged[(ROUTES,)]:
-                self.retry_policies.holds(proxy, ways_of(routes), now_ms)
+                self.retry_policies.record_reported(proxy, retry_policies_of(routes), now_ms)
         return found
 
     def without_saturating(self, ledger: ProxyState, changes: list[Change], now_ms: float) -> list[Change]:
@@ -270,7 +274,7 @@
         """
         kept = []
         for change in changes:
-            endpoint = grows(change, ledger, self.warming_up)
+            endpoint = warming_endpoint_that_gains(change, ledger, self.warming_up)
             if endpoint is None or not self.is_saturated(endpoint, now_ms):
                 kept.append(change)
             else:
@@ -287,7 +291,7 @@
             if wanted and table.proxies:
                 users = (self.proxies[proxy] for proxy in table.proxies)
                 usual = sum(table.weights.values()) / len(table.weights)
-                full |= spent(users, (WEIGHT, number, endpoint), wanted, usual)
+                full |= is_saturated_by_outdated_weights(users, (WEIGHT, number, endpoint), wanted, usual)
         self.saturation_checks[endpoint] = (now_ms + RECHECK_INTERVAL_MS, full)
         return full
 
@@ -299,7 +303,7 @@
             ledger.message_quota.count(ledger.released_revision, now_ms)
         for key, want in changes:
             if key[0] == ROUTES and want:
-                self.retry_policies.send(proxy, nonce, ways_of(want))
+                self.retry_policies.record_sent(proxy, nonce, retry_policies_of(want))
 
     def record_ack(self, proxy: int, nonce: str, now_ms: float = 0.0) -> list[Change]:
         """What a proxy holds by this word; one on what is not under way says nothing."""
@@ -308,7 +312,7 @@
         ledger = self.proxies[proxy]
         found = ledger.record_ack(nonce, now_ms)
         if found:
-            self.retry_policies.acknowledge(proxy, nonce, now_ms)
+            self.retry_policies.record_ack(proxy, nonce, now_ms)
             if ledger.ack_latency.last_line_ms is not None:
                 self.line_cost.add(ledger.ack_latency.last_line_ms)
                 ledger.ack_latency.last_line_ms = None
@@ -325,7 +329,7 @@
 
     def record_nack(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Nack | None:
         self.pending_proxies.add(proxy)
-        self.retry_policies.refuse(proxy, nonce)
+        self.retry_policies.record_nack(proxy, nonce)
         return self.proxies[proxy].record_nack(nonce, reason, now_ms, whole)
 
     def desired_keys(self, proxy: int) -> list[Key]:
@@ -389,6 +393,6 @@
         return make_resource((ROUTES,), tuple(rows))
 
 
-def ways_of(routes: Resource) -> dict[int, int]:
+def retry_policies_of(routes: Resource) -> dict[int, int]:
     """The way of trying again of each class, of routes of ours."""
     return {place: tries for place, _, _, tries in routes.content}
--- a/quillstep/routing/unacknowledged.py
+++ b/quillstep/routing/unacknowledged.py
@@ -12,7 +12,7 @@
 RECHECK_INTERVAL_MS = 50.0  # between two looks at who still holds an old line
 
 
-def by_old_line(ledger: ProxyState, line: Key, wanted: Resource | None) -> bool:
+def uses_outdated_weight(ledger: ProxyState, line: Key, wanted: Resource | None) -> bool:
     """Whether a proxy may pick an endpoint by a line other than the one it should hold, as far as its word goes."""
     held = ledger.acknowledged.get(line)
     if held is None or (EJECTED, line[2]) in ledger.acknowledged:
@@ -20,17 +20,17 @@
     return held != (wanted.version if wanted else None)
 
 
-def spent(ledgers: Iterable[ProxyState], line: Key, wanted: Resource, usual: float) -> bool:
+def is_saturated_by_outdated_weights(ledgers: Iterable[ProxyState], line: Key, wanted: Resource, usual: float) -> bool:
     """Whether proxies with old lines may push an endpoint by as much as all of them should by the wanted line.
 
     `usual`: the mean weight of the table's lines, which an old line is taken to have had.
     """
     rows = list(ledgers)
-    old = sum(by_old_line(ledger, line, wanted) for ledger in rows)
+    old = sum(uses_outdated_weight(ledger, line, wanted) for ledger in rows)
     return old * usual > len(rows) * float(wanted.content[2])
 
 
-def grows(change: Change, ledger: ProxyState, cold: Mapping[int, float]) -> int | None:
+def warming_endpoint_that_gains(change: Change, ledger: ProxyState, cold: Mapping[int, float]) -> int | None:
     """The cold endpoint that a change would send more to, at a proxy that sends it nothing now; None: it is no such."""
     kind = change.key[0]
     if kind == WEIGHT and change.resource and change.key[2] in cold:
--- a/quillstep/store/writer.py
+++ b/quillstep/store/writer.py
@@ -15,7 +15,7 @@
 import structlog
 
 from quillstep.config.controller import StoreSettings
-from quillstep.routing.versions import Version
+from quillstep.routing.versions import TableVersion
 from quillstep.store.records import AcknowledgedRow, Entry, IncarnationRow, PinRow, VersionRow, number_key
 from quillstep.store.store import Store, StoreError, nothing, set_aside
 
@@ -73,15 +73,15 @@
                 self.log.error("pin passed over", table=pin.table, version=pin.name, reason="its version is not kept")
         return ("store", "opened", [time.time() * 1000.0, [told(row) for row in versions]], pinned)
 
-    def version(self, version: Version, wall_ms: float) -> Entry:
+    def version(self, version: TableVersion, wall_ms: float) -> Entry:
         """A version as a row of its table."""
         table = version.table
         if table not in self.numbers:
             self.numbers[table] = self.store.last_number("versions", number_key(table))
         self.numbers[table] += 1
         row = VersionRow(
-            version.name, table, version.parent, version.cause, version.who, wall_ms, self.life, version.order,
-            sorted(version.lines.items()), sorted((place, *level) for place, level in version.levels.items()),
+            version.name, table, version.parent, version.cause, version.operator, wall_ms, self.life, version.revision,
+            sorted(version.weights.items()), sorted((place, *level) for place, level in version.admission.items()),
         )  # fmt: skip
         return Entry("versions", number_key(table, self.numbers[table]), row)
 
@@ -97,8 +97,8 @@
         return [Entry("journal", number_key(self.journal), [self.life, order, wall_ms, orders])]
 
     @staticmethod
-    def pinned(version: Version, wall_ms: float) -> Entry:
-        row = PinRow(version.table, version.name, version.who, wall_ms, version.cause)
+    def pinned(version: TableVersion, wall_ms: float) -> Entry:
+        row = PinRow(version.table, version.name, version.operator, wall_ms, version.cause)
         return Entry("pins", number_key(version.table), row)
 
     @staticmethod
--- a/tests/routing/test_ack_latency.py
+++ b/tests/routing/test_ack_latency.py
@@ -9,7 +9,7 @@
 from quillstep.planner.messages import EndpointEntry
 from quillstep.routing.ack_latency import IN_TIME, LATE, LOST, STALLED, AckLatency, LineCostEstimate
 from quillstep.routing.resources import EJECTED, WEIGHT, table_number_offset
-from quillstep.routing.retry_policies import LOOSEST, RetryPolicies, allowed_way
+from quillstep.routing.retry_policies import MAX_RETRY_POLICY, RetryPolicies, max_retry_policy
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.xds.resources import LEDS
 
@@ -220,67 +220,67 @@
     assert len(lines) == 1
 
 
-SAFE, KEYED, UNSAFE = (allowed_way(each) for each in ("safe", "keyed", "unsafe"))
+SAFE, KEYED, UNSAFE = (max_retry_policy(each) for each in ("safe", "keyed", "unsafe"))
 
 
 def loose(ways, now):
-    return {row.place: row.proxies for row in ways.standing(now)}
+    return {row.class_index: row.proxies for row in ways.excesses(now)}
 
 
 def test_a_tighter_way_is_in_force_when_it_is_acknowledged_and_the_last_exchange_is_over():
     ways = RetryPolicies([UNSAFE], [1000.0])
-    ways.join(1, True, 0)
+    ways.add_proxy(1, True, 0)
     ways.allowed = [2]
-    ways.send(1, "a", {0: 2})
-    ways.acknowledge(1, "a", 100.0)
+    ways.record_sent(1, "a", {0: 2})
+    ways.record_ack(1, "a", 100.0)
     ways.allowed = [UNSAFE]  # as new settings would have it
-    ways.moved = True
+    ways.has_changed = True
     assert loose(ways, 200.0) == {0: [1]}
-    ways.send(1, "b", {0: 1})
+    ways.record_sent(1, "b", {0: 1})
     assert loose(ways, 300.0) == {0: [1]}  # sent is not held
-    ways.acknowledge(1, "b", 400.0)
-    assert [(told.loose, told.tight) for told in ways.changes(1350.0)] == [([1], [])]
+    ways.record_ack(1, "b", 400.0)
+    assert [(told.exceeding, told.compliant) for told in ways.changes(1350.0)] == [([1], [])]
     assert loose(ways, 1399.0) == {0: [1]} and loose(ways, 1401.0) == {}
-    assert ways.due_ms == 1400.0
-    assert [(told.loose, told.tight) for told in ways.changes(1400.1)] == [([], [1])]
+    assert ways.next_expiry_ms == 1400.0
+    assert [(told.exceeding, told.compliant) for told in ways.changes(1400.1)] == [([], [1])]
 
 
 @pytest.mark.parametrize("steps", [["refuse"], ["rejoin"], ["leave"], ["unknown"]])
 def test_what_is_not_known_to_be_tight_counts_as_loose(steps):
     ways = RetryPolicies([UNSAFE], [1000.0])
-    ways.join(1, "unknown" not in steps, 0)
-    ways.send(1, "a", {0: 2})
+    ways.add_proxy(1, "unknown" not in steps, 0)
+    ways.record_sent(1, "a", {0: 2})
     if "refuse" in steps:
-        ways.acknowledge(1, "a", 0.0)
-        ways.send(1, "b", {0: 1})
-        ways.refuse(1, "b")
+        ways.record_ack(1, "a", 0.0)
+        ways.record_sent(1, "b", {0: 1})
+        ways.record_nack(1, "b")
     if "rejoin" in steps:  # it may have applied what its old stream brought
-        ways.send(1, "b", {0: 1})
-        ways.join(1, False, 0)
+        ways.record_sent(1, "b", {0: 1})
+        ways.add_proxy(1, False, 0)
     assert loose(ways, 5000.0) == {0: [1]}
 
 
 def test_a_looser_way_counts_from_its_sending_on():
     ways = RetryPolicies([KEYED], [1000.0])
-    ways.join(1, True, 0)
-    ways.send(1, "a", {0: LOOSEST})
-    assert ways.loosest(1, 0, 0.0) == LOOSEST
-    ways.send(1, "b", {0: 1})
-    ways.acknowledge(1, "b", 10.0)  # the first was overtaken: it may have been held for a while
-    assert ways.loosest(1, 0, 20.0) == LOOSEST and ways.loosest(1, 0, 1011.0) == 1
+    ways.add_proxy(1, True, 0)
+    ways.record_sent(1, "a", {0: MAX_RETRY_POLICY})
+    assert ways.highest_in_effect(1, 0, 0.0) == MAX_RETRY_POLICY
+    ways.record_sent(1, "b", {0: 1})
+    ways.record_ack(1, "b", 10.0)  # the first was overtaken: it may have been held for a while
+    assert ways.highest_in_effect(1, 0, 20.0) == MAX_RETRY_POLICY and ways.highest_in_effect(1, 0, 1011.0) == 1
 
 
 @given(st.lists(st.sampled_from(["loosen", "tighten", "ack", "nack", "apply", "begin", "rejoin", "wait"]), max_size=30))
 def test_no_exchange_goes_by_a_way_that_is_not_counted(steps):
     """A proxy on its own side of the stream: whatever it goes by, the pilot has counted."""
     ways, now, nonce = RetryPolicies([UNSAFE], [100.0]), 0.0, 0
-    ways.join(1, True, 0)
+    ways.add_proxy(1, True, 0)
     holds, waits, words, running = 0, [], [], []
     for step in steps:
         now += 30.0
         if step in ("loosen", "tighten"):
             nonce += 1
-            ways.send(1, str(nonce), {0: 2 if step == "loosen" else 1})
+            ways.record_sent(1, str(nonce), {0: 2 if step == "loosen" else 1})
             waits.append((str(nonce), 2 if step == "loosen" else 1))
         elif step == "apply" and waits:
             name, holds = waits.pop(0)
@@ -289,14 +289,14 @@
             words.append((waits.pop(0)[0], False))
         elif step == "ack" and words:
             name, good = words.pop(0)
-            ways.acknowledge(1, name, now) if good else ways.refuse(1, name)
+            ways.record_ack(1, name, now) if good else ways.record_nack(1, name)
         elif step == "rejoin":
             waits, words = [], []
-            ways.join(1, False, 0)
+            ways.add_proxy(1, False, 0)
         elif step == "begin":
             running.append((holds, now + 100.0))
         running = [row for row in running if row[1] > now]
-        assert ways.loosest(1, 0, now) >= max([holds, *(way for way, _ in running)])
+        assert ways.highest_in_effect(1, 0, now) >= max([holds, *(way for way, _ in running)])
 
 
 def test_a_table_means_another_zone_only_under_another_number():
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -18,8 +18,15 @@
 from quillstep.invariants import judge
 from quillstep.routing.recovery import RecoveredTable, recovery_trust_ms
 from quillstep.routing.resources import EJECTED, WEIGHT, make_resource
-from quillstep.routing.rollout_gate import BARE, COLD, GONE, MOVES, EndpointView, RolloutGate
-from quillstep.routing.versions import Version, version_of
+from quillstep.routing.rollout_gate import (
+    MOVED_SHARE,
+    NO_WARM_ENDPOINT,
+    NOT_IN_SERVICE,
+    WARMING_UP,
+    EndpointStates,
+    RolloutGate,
+)
+from quillstep.routing.versions import TableVersion, version_from_row
 from quillstep.store import Store, StoreError
 from quillstep.store.records import (
     PARTS,
@@ -43,7 +50,7 @@
 
 
 def seen(ready=range(1, 11), **part):
-    return EndpointView(set(ready), {int(each[1:]): value for each, value in part.items()})
+    return EndpointStates(set(ready), {int(each[1:]): value for each, value in part.items()})
 
 
 TEN = dict.fromkeys(range(1, 11), 10.0)
@@ -53,32 +60,32 @@
     ("wanted", "known", "passed", "rules"),
     [
         ({1: 15.0}, seen(), {1: 15.0}, []),
-        ({1: 15.0}, seen(range(2, 11)), {}, [GONE]),  # it drains
-        ({11: 10.0}, seen(range(1, 12), e11=0.2), {}, [COLD]),
+        ({1: 15.0}, seen(range(2, 11)), {}, [NOT_IN_SERVICE]),  # it drains
+        ({11: 10.0}, seen(range(1, 12), e11=0.2), {}, [WARMING_UP]),
         ({11: 3.0}, seen(range(1, 12), e11=0.2), {11: 3.0}, []),
         ({11: 1.0}, seen(range(1, 12), e11=0.001), {11: 1.0}, []),  # one slot is the least there is
         ({1: 0.0}, seen(), {1: 0.0}, []),  # what takes out is never held
-        ({1: 60.0, 2: 30.0}, seen(), {1: 60.0}, [MOVES]),  # 0.5 of the traffic, then 0.2 more of 0.6
-        ({1: 90.0}, seen(), {}, [MOVES]),
-        ({1: NAN}, seen(), {}, [MOVES]),
-        (dict.fromkeys(range(1, 11), 0.0), seen(), {}, [BARE]),
+        ({1: 60.0, 2: 30.0}, seen(), {1: 60.0}, [MOVED_SHARE]),  # 0.5 of the traffic, then 0.2 more of 0.6
+        ({1: 90.0}, seen(), {}, [MOVED_SHARE]),
+        ({1: NAN}, seen(), {}, [MOVED_SHARE]),
+        (dict.fromkeys(range(1, 11), 0.0), seen(), {}, [NO_WARM_ENDPOINT]),
         (dict.fromkeys(range(1, 10), 0.0), seen(), dict.fromkeys(range(1, 10), 0.0), []),
         (dict.fromkeys(range(1, 11), 0.0), seen(()), dict.fromkeys(range(1, 11), 0.0), []),  # all have died
         ({1: 5.0}, seen(e1=0.5), {1: 5.0}, []),  # a cold one's fall
     ],
 )
 def test_the_gate_passes_what_may_leave_and_says_what_may_not(wanted, known, passed, rules):
-    found, held = RolloutGate(0.6, 2000.0, [1]).lines(0, TEN, wanted, known, 0.0)
+    found, held = RolloutGate(0.6, 2000.0, [1]).filter_weights(0, TEN, wanted, known, 0.0)
     assert found == passed and [each.rule for each in held] == rules
 
 
 def test_the_traffic_moved_is_counted_over_time_and_falls_of_cold_ones_are_not():
     gate, known = RolloutGate(0.5, 1000.0, [1]), seen()
-    assert gate.lines(0, TEN, {1: 45.0}, known, 0.0)[0] == {1: 45.0}
-    assert gate.lines(0, TEN, {2: 45.0}, known, 500.0)[0] == {}
-    assert gate.lines(1, TEN, {2: 45.0}, known, 500.0)[0] == {2: 45.0}  # another table
-    assert gate.lines(0, TEN, {3: 0.0}, known, 600.0)[0] == {3: 0.0}
-    assert gate.lines(0, TEN, {2: 45.0}, known, 1001.0)[0] == {2: 45.0}
+    assert gate.filter_weights(0, TEN, {1: 45.0}, known, 0.0)[0] == {1: 45.0}
+    assert gate.filter_weights(0, TEN, {2: 45.0}, known, 500.0)[0] == {}
+    assert gate.filter_weights(1, TEN, {2: 45.0}, known, 500.0)[0] == {2: 45.0}  # another table
+    assert gate.filter_weights(0, TEN, {3: 0.0}, known, 600.0)[0] == {3: 0.0}
+    assert gate.filter_weights(0, TEN, {2: 45.0}, known, 1001.0)[0] == {2: 45.0}
 
 
 @pytest.mark.parametrize(
@@ -94,7 +101,7 @@
     ],  # fmt: skip
 )
 def test_levels_and_ways_stay_within_bounds(allowed, tries, good):
-    assert (RolloutGate(0.6, 2000.0, [1]).level(0, 0, allowed, tries) is None) is good
+    assert (RolloutGate(0.6, 2000.0, [1]).check_admission(0, 0, allowed, tries) is None) is good
 
 
 NUMBERS = st.integers(1, 12)
@@ -102,11 +109,11 @@
 
 @given(st.dictionaries(NUMBERS, st.floats(0.0, 100.0)), st.sets(NUMBERS), st.sets(NUMBERS))
 def test_whatever_is_wanted_no_table_loses_its_last_warm_line_nor_gains_a_gone_one(wanted, ready, cold):
-    known = EndpointView(ready, dict.fromkeys(cold, 0.3))
-    passed, _ = RolloutGate(0.6, 2000.0, [1]).lines(0, TEN, wanted, known, 0.0)
+    known = EndpointStates(ready, dict.fromkeys(cold, 0.3))
+    passed, _ = RolloutGate(0.6, 2000.0, [1]).filter_weights(0, TEN, wanted, known, 0.0)
     after = {**TEN, **passed}
-    warm = [e for e in TEN if known.warm(e)]
-    assert not warm or any(after[e] > 0 for e in after if known.warm(e))
+    warm = [e for e in TEN if known.is_warm(e)]
+    assert not warm or any(after[e] > 0 for e in after if known.is_warm(e))
     assert not [e for e, w in passed.items() if w > TEN.get(e, 0.0) and e not in ready]
 
 
@@ -126,7 +133,7 @@
     core.look(pilot.now)
     core.tables.begin()
     for endpoint, weight in lines.items():
-        core.book.line(0, endpoint, weight)
+        core.book.set_weight(0, endpoint, weight)
     core.book.flush()
     for push in core.tables.commit():
         core.tables.release(push.proxy, push.revision)
@@ -143,7 +150,7 @@
 
 
 def stood(pilot):
-    return pilot.core.book.leaves[0].versions
+    return pilot.core.book.rollouts[0].versions
 
 
 def test_a_pinned_table_goes_back_and_stays_while_the_module_writes_on():
@@ -152,15 +159,15 @@
     for weight in (14.0, 18.0):
         module_writes(pilot, {3: weight})
         pilot.run(50)
-    pilot.core.book.pin(before._replace(cause="rollback", who="op"))
+    pilot.core.book.pin(before._replace(cause="rollback", operator="op"))
     module_writes(pilot, {3: 22.0, 4: 13.0})
     pilot.run(1500)
-    assert all(holds(pilot, proxy, before.lines) for proxy in pilot.proxies.values())
-    assert ("rollback", "op") in {(version.cause, version.who) for version in stood(pilot)}
+    assert all(holds(pilot, proxy, before.weights) for proxy in pilot.proxies.values())
+    assert ("rollback", "op") in {(version.cause, version.operator) for version in stood(pilot)}
     pilot.core.book.release(0)
     pilot.run(5000)
-    wanted = pilot.core.book.leaves[0].lines
-    assert all(holds(pilot, proxy, wanted) for proxy in pilot.proxies.values()) and not pilot.core.book.waits()
+    wanted = pilot.core.book.rollouts[0].wanted_weights
+    assert all(holds(pilot, proxy, wanted) for proxy in pilot.proxies.values()) and not pilot.core.book.is_behind()
 
 
 def test_what_the_module_takes_out_of_a_pinned_table_is_out_at_once_and_stays_out_of_the_pin():
@@ -179,13 +186,13 @@
     pilot.core.started[3] = pilot.now
     pilot.core.book.pin(version)
     pilot.core.look(pilot.now)
-    assert pilot.core.book.target(0)[0][3] <= 0.25 * version.lines[4] + 1.0
+    assert pilot.core.book.target(0)[0][3] <= 0.25 * version.weights[4] + 1.0
 
 
 def test_a_pin_without_a_warm_endpoint_left_gives_way_to_the_module():
     pilot = settled()
     version = stood(pilot)[-1]
-    pilot.core.book.pin(version._replace(lines={3: 10.0}))
+    pilot.core.book.pin(version._replace(weights={3: 10.0}))
     pilot.roster("partial", [3], "terminated")
     pilot.run(3000)
     assert len(pilot.core.book.target(0)[0]) >= 4
@@ -205,7 +212,7 @@
     pilot.run(300, step=50.0)
     some.refuses = False
     pilot.run(4000, step=50.0)
-    assert all(holds(pilot, proxy, before.lines) for proxy in pilot.proxies.values())
+    assert all(holds(pilot, proxy, before.weights) for proxy in pilot.proxies.values())
 
 
 def test_of_two_rollbacks_that_cross_the_later_one_stands():
@@ -219,7 +226,7 @@
     pilot.run(30, read=False)
     pilot.core.book.pin(versions[1])
     pilot.run(3000)
-    assert all(holds(pilot, proxy, versions[1].lines) for proxy in pilot.proxies.values())
+    assert all(holds(pilot, proxy, versions[1].weights) for proxy in pilot.proxies.values())
 
 
 def test_what_the_gate_keeps_comes_later_a_part_at_a_time_and_is_told():
@@ -227,7 +234,7 @@
     module_writes(pilot, {1: 40.0, 2: 40.0, 3: 10.0})
     lines = pilot.core.tables.tables[0].weights
     assert lines[1] < 40.0 or lines[2] < 40.0
-    assert pilot.core.book.held and pilot.core.book.held[0].rule == MOVES
+    assert pilot.core.book.withheld and pilot.core.book.withheld[0].rule == MOVED_SHARE
 
 
 def test_a_proxy_that_missed_many_deltas_gets_one_difference():
@@ -306,7 +313,7 @@
             book = self.pilot.core.book
             lines = dict(book.target(0)[0])
             for extra in (0.5, 0.0):
-                book.pin(Version("", 0, "", "pin", "", 0.0, 0, {e: w + extra for e, w in lines.items()}, {}))
+                book.pin(TableVersion("", 0, "", "pin", "", 0.0, 0, {e: w + extra for e, w in lines.items()}, {}))
                 self.pilot.run(12000.0, step=50.0)
         self.pilot.run(12000.0, step=50.0)
         wanted = self.pilot.core.book.target(0)[0]
@@ -347,7 +354,7 @@
 )
 def test_a_former_line_stands_until_there_is_fresh_bad_news_or_its_trust_is_over(words, now, warm, started, stands):
     former = RecoveredTable({1: 3.0}, 500.0, 1000.0)
-    assert [former.word(1, word, now, warm, started) for word in words][-1] == stands
+    assert [former.effective_weight(1, word, now, warm, started) for word in words][-1] == stands
 
 
 def test_a_pilot_that_starts_over_sends_nothing_that_holds_and_has_the_modules_tables_in_the_end():
@@ -358,13 +365,15 @@
     version = stood(first)[-1]
     again = MemoryPilot(record=pilot_record(store=StoreSettings(folder="x", recovery_trust_ms=6000.0)))
     again.core.durable = float("inf")
-    rows = [list(version[:5]) + [1000.0, list(version.lines.items()), [[p, *lv] for p, lv in version.levels.items()]]]
+    rows = [
+        list(version[:5]) + [1000.0, list(version.weights.items()), [[p, *lv] for p, lv in version.admission.items()]]
+    ]
     again.core.from_store("opened", [1100.0, rows], [])
     proxies = [again.join(name, zone, proxy.versions) for (name, proxy), zone in zip(first.proxies.items(), "ab")]  # noqa: B905
     again.run(3000)
     for proxy in proxies:
         assert not [n for url, names, _ in proxy.log if url == LEDS for n in names if "/table-0/" in n]
-        assert holds(again, proxy, version.lines)
+        assert holds(again, proxy, version.weights)
     again.run(9000)
     module = again.core.planner.fleet.endpoints
     for proxy in proxies:
@@ -530,8 +539,8 @@
     keeper = StoreWriter(record, opened(record), "e", put)
     thread = threading.Thread(target=keeper.run)
     thread.start()
-    version = Version("v1", 0, "", "module", "", 0.0, 1, {1: 10.0}, {0: (5.0, 1)})
-    pin = keeper.pinned(version._replace(cause="rollback", who="op"), 7.0)
+    version = TableVersion("v1", 0, "", "module", "", 0.0, 1, {1: 10.0}, {0: (5.0, 1)})
+    pin = keeper.pinned(version._replace(cause="rollback", operator="op"), 7.0)
     keeper.hand_over(1, [keeper.version(version, 7.0), pin])
     keeper.store.write([Entry("wishes", number_key(9), OperatorCommand("rollback", [(0, "v1")], "op", 7.0))])
     assert woken.wait(20.0)
@@ -540,7 +549,7 @@
     thread.join(20.0)
     assert ("store", "stored", 1, []) in news and ("store", "stored", 2, []) in news
     (wish,) = [each for each in news if each[1] == "wish"]
-    assert version_of(wish[3][1][0][1]).lines == {1: 10.0}
+    assert version_from_row(wish[3][1][0][1]).weights == {1: 10.0}
     fresh = StoreWriter(record, opened(record), "f", put)
     assert fresh.store.rows("wishes") == [] and fresh.store.rows("lives")[0][1].ended_ms > 0
     kind, what, versions, pins = fresh.start_news()
@@ -574,7 +583,7 @@
     module_wrote = core.tables.revision
     core.look(pilot.now)
     core.tables.begin()
-    core.book.line(0, 3, 14.0)
+    core.book.set_weight(0, 3, 14.0)
     core.book.flush()
     core.channel.put(core.tables.commit(), pilot.now)
     number = core.tables.revision
