--- a/quillstep/bench/crash.py
+++ b/quillstep/bench/crash.py
@@ -12,7 +12,17 @@
 from typing import Any
 
 from quillstep.store import Store, StoreError
-from quillstep.store.records import AcknowledgedRow, Entry, PinRow, VersionRow, number_key, numbers_of
+from quillstep.store.records import (
+    ACKNOWLEDGED_UPDATES,
+    PINS,
+    VERSIONS,
+    AcknowledgedUpdate,
+    Entry,
+    PinRow,
+    VersionRow,
+    number_key,
+    numbers_of,
+)
 
 COMMITS, PROXIES = 6, 3
 ROWS = PROXIES + 2
@@ -30,9 +40,12 @@
 
 def commit_of(number: int) -> list[Entry]:
     row = VersionRow(f"v{number}", 0, f"v{number - 1}", "module", "", 1000.0, "e", number, [(1, 10.0)], [(0, 5.0, 1)])
-    held = [Entry("holds", f"p{at}".encode(), AcknowledgedRow(f"p{at}", "e", number, 0.0)) for at in range(PROXIES)]
-    pin = Entry("pins", number_key(0), PinRow(0, row.name, "op", 0.0))
-    return [Entry("versions", number_key(0, number), row), *held, pin]
+    held = [
+        Entry(ACKNOWLEDGED_UPDATES, f"p{at}".encode(), AcknowledgedUpdate(f"p{at}", "e", number, 0.0))
+        for at in range(PROXIES)
+    ]
+    pin = Entry(PINS, number_key(0), PinRow(0, row.name, "op", 0.0))
+    return [Entry(VERSIONS, number_key(0, number), row), *held, pin]
 
 
 def life(folder: Path, kill_at: int, told: int) -> None:
@@ -45,8 +58,8 @@
         if count == kill_at:
             os.kill(os.getpid(), signal.SIGKILL)
 
-    store = Store(folder, step=step)
-    begin = store.last_number("versions", number_key(0))
+    store = Store(folder, on_step=step)
+    begin = store.last_number(VERSIONS, number_key(0))
     for number in range(begin + 1, begin + COMMITS + 1):
         store.write(commit_of(number))
         os.write(told, number.to_bytes(8, "big"))
@@ -71,15 +84,15 @@
 
 def fault(store: Store, before: int, told: int) -> str:
     """What is wrong with a store after a kill; empty: nothing."""
-    last = store.last_number("versions", number_key(0))
+    last = store.last_number(VERSIONS, number_key(0))
     if not before <= last <= before + COMMITS or last < told or last > max(told, before) + 1:
         return f"it stands at commit {last}, {before} stood before and {told} was told durable"
     if not last:
         return ""
-    pins = [pin.name for _, pin in store.rows("pins")]
-    if pins != [f"v{last}"] or {hold.order for _, hold in store.rows("holds")} != {last}:
+    pins = [pin.name for _, pin in store.rows(PINS)]
+    if pins != [f"v{last}"] or {hold.revision for _, hold in store.rows(ACKNOWLEDGED_UPDATES)} != {last}:
         return f"commit {last} is there in part"
-    numbers = [numbers_of(key)[1] for key, _ in store.rows("versions")]
+    numbers = [numbers_of(key)[1] for key, _ in store.rows(VERSIONS)]
     return "" if numbers == list(range(numbers[0], last + 1)) else "versions are missing in between"
 
 
@@ -93,8 +106,8 @@
         try:
             store = Store(folder)
             found["fault"] = fault(store, before, told)
-            before = store.last_number("versions", number_key(0))
-            store.retain(2000.0, KEPT, 1e12, 0)
+            before = store.last_number(VERSIONS, number_key(0))
+            store.apply_retention(2000.0, KEPT, 1e12, 0)
             store.close()
         except StoreError as trouble:
             found["fault"] = str(trouble)
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -21,7 +21,7 @@
 from quillstep.invariants import judge, longest_channel, slowest_drain
 from quillstep.routing.resources import WEIGHT, make_resource
 from quillstep.store import Store
-from quillstep.store.records import Entry, OperatorCommand, VersionRow, number_key
+from quillstep.store.records import OPERATOR_COMMANDS, VERSIONS, Entry, OperatorCommand, VersionRow, number_key
 from quillstep.testbed.scenarios.plan import plan
 from quillstep.testbed.scenarios.runner import Arm, now_ms, play_arm
 from quillstep.testbed.scenarios.service_quality import service
@@ -74,9 +74,9 @@
 
 def made(chosen: VersionRow, number: int, few: bool) -> VersionRow:
     """A version by hand: some lines, or all, at other weights."""
-    lines = [(e, w + 3.0 if not few or at < FEW else w) for at, (e, w) in enumerate(chosen.lines)]
+    lines = [(e, w + 3.0 if not few or at < FEW else w) for at, (e, w) in enumerate(chosen.weights)]
     label = "few" if few else "whole"
-    return VersionRow(label, chosen.table, "", "module", "bench", 0.0, "hand", number, lines, chosen.levels)
+    return VersionRow(label, chosen.table, "", "module", "bench", 0.0, "hand", number, lines, chosen.admission)
 
 
 def rollbacks(proxies: int, folder: Path) -> dict[str, Any]:
@@ -106,16 +106,18 @@
 
 def one_rollback(arm: Arm, store: Store, few: bool, proxies: int) -> dict[str, Any]:
     kind = "few" if few else "whole"
-    number = store.last_number("versions", number_key(0)) + 100000
+    number = store.last_number(VERSIONS, number_key(0)) + 100000
     version = made(store.versions(0)[-1], number, few)
-    store.write([Entry("versions", number_key(0, number), version)])
+    store.write([Entry(VERSIONS, number_key(0, number), version)])
     wanted = {}
-    for endpoint, weight in version.lines:
+    for endpoint, weight in version.weights:
         key = (WEIGHT, 0, endpoint)
         wanted[name(key)] = make_resource(key, ("127.0.0.1", arm.ports[endpoint], weight)).version
     before = sum(row["what"] == "send" for row in arm.evidence().sent)
     begun = now_ms()
-    store.write([Entry("wishes", number_key(time.time_ns()), OperatorCommand("rollback", [(0, kind)], "bench", 0.0))])
+    store.write(
+        [Entry(OPERATOR_COMMANDS, number_key(time.time_ns()), OperatorCommand("rollback", [(0, kind)], "bench", 0.0))]
+    )
     ended = Watched(arm).until(wanted, proxies, SETTLE_S)
     sent = [row for row in arm.evidence().sent if row["what"] == "send"][before:]
     return {
@@ -172,12 +174,12 @@
     slow = {row["endpoint"] for row in arm.evidence().commands if row["do"] == "slow"}
 
     def part(row: VersionRow) -> float:
-        total = sum(weight for _, weight in row.lines)
-        return sum(weight for endpoint, weight in row.lines if endpoint in slow) / total if total else 1.0
+        total = sum(weight for _, weight in row.weights)
+        return sum(weight for endpoint, weight in row.weights if endpoint in slow) / total if total else 1.0
 
-    lives = [row.life for row in rows]
-    before = [row for row in rows if row.life == lives[0] and row.wall_ms - offset < killed_ms]
-    after = [row for row in rows if row.life != lives[0]]
+    lives = [row.incarnation for row in rows]
+    before = [row for row in rows if row.incarnation == lives[0] and row.wall_ms - offset < killed_ms]
+    after = [row for row in rows if row.incarnation != lives[0]]
     if not before or not after:
         return -1.0
     wrong = [row for row in after if part(row) > RIGHT * part(before[-1])]
--- a/quillstep/cli/main.py
+++ b/quillstep/cli/main.py
@@ -45,17 +45,17 @@
     record = checked(ControllerSettings, settings)
     from quillstep.controller.service import Controller
     from quillstep.files.disk import UnusableFileError
-    from quillstep.store import StoreError
+    from quillstep.store import StoreError, StoreSchemaTooNewError
     from quillstep.store.writer import opened
 
     kept = None
     try:
         kept = opened(record.store) if record.store.folder else None
+    except StoreSchemaTooNewError as error:
+        click.echo(f"quillstep: {settings}: store.folder: {error}", err=True)
+        sys.exit(2)
     except StoreError as trouble:
-        if trouble.kind == "newer":
-            click.echo(f"quillstep: {settings}: store.folder: {trouble}", err=True)
-            sys.exit(2)
-        structlog.get_logger("store").error("store left out", kind=trouble.kind, reason=str(trouble))
+        structlog.get_logger("store").error("store left out", kind=trouble.reason, reason=str(trouble))
         record = record.model_copy(update={"store": record.store.model_copy(update={"folder": ""})})
     try:
         running = Controller(record, kept)
--- a/quillstep/cli/store.py
+++ b/quillstep/cli/store.py
@@ -19,7 +19,16 @@
 from quillstep.config.loading import load
 from quillstep.routing.resources import MAX_TABLES, table_number_offset
 from quillstep.store import Store, StoreError
-from quillstep.store.records import Entry, OperatorCommand, VersionRow, number_key
+from quillstep.store.records import (
+    ACKNOWLEDGED_UPDATES,
+    OPERATOR_COMMANDS,
+    PINS,
+    VERSIONS,
+    Entry,
+    OperatorCommand,
+    VersionRow,
+    number_key,
+)
 
 TAKEN_S = 5.0  # that a running pilot is given to take an order
 LOOK_S = 0.05
@@ -50,7 +59,7 @@
 
     def tables(self, table: int | None, zone: str | None) -> list[int]:
         """The tables that are meant: one by its number, a zone's, or all that the store knows."""
-        known = sorted({row.table for _, row in self.rows("versions")})
+        known = sorted({row.table for _, row in self.rows(VERSIONS)})
         if table is not None:
             found = [self.terms + table]
         elif zone:
@@ -104,11 +113,11 @@
         key = number_key(time.time_ns())
         wish = OperatorCommand(kind, targets, getpass.getuser(), time.time() * 1000.0)
         try:
-            self.store.write([Entry("wishes", key, wish)])
+            self.store.write([Entry(OPERATOR_COMMANDS, key, wish)])
             until = time.monotonic() + TAKEN_S
-            while time.monotonic() < until and any(found == key for found, _ in self.store.rows("wishes")):
+            while time.monotonic() < until and any(found == key for found, _ in self.store.rows(OPERATOR_COMMANDS)):
                 time.sleep(LOOK_S)
-            taken = all(found != key for found, _ in self.store.rows("wishes"))
+            taken = all(found != key for found, _ in self.store.rows(OPERATOR_COMMANDS))
         except StoreError as trouble:
             fail(trouble)
         return {
@@ -122,10 +131,13 @@
     click.echo(msgspec.json.encode(found).decode())
 
 
+def fields_of(row: msgspec.Struct) -> dict[str, Any]:
+    """A row's values under the names that its fields have in reports."""
+    return dict(zip(row.__struct_encode_fields__, msgspec.to_builtins(row), strict=True))
+
+
 def plain(row: VersionRow) -> dict[str, Any]:
-    found = msgspec.to_builtins(row)
-    names = row.__struct_fields__
-    return {**dict(zip(names, found, strict=True)), "table": row.table % MAX_TABLES}
+    return {**fields_of(row), "table": row.table % MAX_TABLES}
 
 
 @click.group()
@@ -143,7 +155,7 @@
 def log_of(settings: str, table: int | None, limit: int) -> None:
     """The newest versions, what each was made by and from what, and what is pinned."""
     desk = Desk(settings)
-    pins = {(pin.table, pin.name) for _, pin in desk.rows("pins")}
+    pins = {(pin.table, pin.name) for _, pin in desk.rows(PINS)}
     rows = [row for number in desk.tables(table, None) for row in desk.versions(number)]
     rows = sorted(rows, key=lambda row: row.wall_ms)[-limit:]
     shown = Table(title=f"versions of {desk.record.name}")
@@ -152,8 +164,18 @@
     for row in rows:
         when = datetime.fromtimestamp(row.wall_ms / 1000.0).isoformat(timespec="milliseconds")
         pinned = "pinned" if (row.table, row.name) in pins else ""
-        shown.add_row(when, str(row.table % MAX_TABLES), row.name, row.parent, row.cause, row.who, str(len(row.lines)),
-                      str(row.order), row.life, pinned)  # fmt: skip
+        shown.add_row(
+            when,
+            str(row.table % MAX_TABLES),
+            row.name,
+            row.parent,
+            row.cause,
+            row.operator,
+            str(len(row.weights)),
+            str(row.revision),
+            row.incarnation,
+            pinned,
+        )
     Console(stderr=True).print(shown)
     keep = ("table", "name", "parent", "cause", "who", "wall_ms", "order", "life")
     say({"versions": [{name: plain(row)[name] for name in keep} for row in rows],
@@ -166,7 +188,7 @@
     """Which order of which life each proxy acknowledged last, and how long ago."""
     desk = Desk(settings)
     now_ms = time.time() * 1000.0
-    rows = [msgspec.structs.asdict(hold) for _, hold in desk.rows("holds")]
+    rows = [fields_of(update) for _, update in desk.rows(ACKNOWLEDGED_UPDATES)]
     shown = Table(title=f"acknowledged last, by {desk.record.name}'s store")
     for column in ("proxy", "life", "order", "seconds ago"):
         shown.add_column(column)
@@ -196,8 +218,8 @@
     desk = Desk(settings)
     number = desk.tables(table, None)[0]
     before, after = (desk.version(number, name) for name in (one, other))
-    lines = [dict(row.lines) for row in (before, after)]
-    levels = [{place: (allowed, tries) for place, allowed, tries in row.levels} for row in (before, after)]
+    lines = [dict(row.weights) for row in (before, after)]
+    levels = [{place: (allowed, tries) for place, allowed, tries in row.admission} for row in (before, after)]
     changed = [
         [endpoint, lines[0].get(endpoint, 0.0), lines[1].get(endpoint, 0.0)]
         for endpoint in sorted({*lines[0], *lines[1]})
@@ -320,7 +342,7 @@
     count = 0
     try:
         with open(file, "xb") as raw, zstandard.ZstdCompressor().stream_writer(raw) as out:
-            for line in opened(folder).exported():
+            for line in opened(folder).export_rows():
                 out.write(msgspec.json.encode(line) + b"\n")
                 count += 1
             out.write(msgspec.json.encode({"rows": count}) + b"\n")  # an export without its last line is torn
@@ -343,6 +365,6 @@
         yield from rows[:-1]
 
     try:
-        say({"rows": opened(folder, write=True).take_in(lines())})
+        say({"rows": opened(folder, write=True).import_rows(lines())})
     except (ValueError, StoreError, zstandard.ZstdError) as trouble:  # a line that does not decode is a ValueError
         fail(trouble)
--- a/quillstep/store/__init__.py
+++ b/quillstep/store/__init__.py
@@ -1,5 +1,19 @@
-"""What a pilot knows that outlives its process: versions of tables, pins, what proxies hold.  See docs/store.md."""
+"""What outlives a controller's process: table versions, pins, acknowledged updates.  See docs/store.md."""
 
-from quillstep.store.store import Store, StoreError
+from quillstep.store.errors import (
+    StoreCorruptError,
+    StoreError,
+    StoreFullError,
+    StoreReadOnlyError,
+    StoreSchemaTooNewError,
+)
+from quillstep.store.store import Store
 
-__all__ = ["Store", "StoreError"]
+__all__ = [
+    "Store",
+    "StoreCorruptError",
+    "StoreError",
+    "StoreFullError",
+    "StoreReadOnlyError",
+    "StoreSchemaTooNewError",
+]
--- a/quillstep/store/records.py
+++ b/quillstep/store/records.py
@@ -1,7 +1,8 @@
-"""Records of the store: msgpack behind a checksum, keys that sort.  Without I/O.
+"""Records of the store: MessagePack behind a checksum, and keys that sort.  Without I/O.
 
-A value is eight bytes of xxh3 over key and body, then the body: a page that went bad, and a value that stands under
-another's key, do not read.
+A stored value is eight bytes of xxh3 over its key and body, then the body, so that neither a damaged page nor a value
+under another value's key is read.  Rows are stored as arrays: the order of their fields is the format.  The names that
+exports and reports show of them are given by `rename`.
 """
 
 import struct
@@ -10,68 +11,92 @@
 import msgspec
 import xxhash
 
+from quillstep.store.errors import CorruptValueError
+
 SCHEMA = 2
+CHECKSUM_BYTES = 8
 _encode = msgspec.msgpack.Encoder().encode
 
-
-class CorruptValueError(Exception):
-    """A value that does not read; the text says where and why."""
-
-
-class VersionRow(msgspec.Struct, array_like=True):
-    """A table's version; lines are [endpoint, weight], levels [class place, allowed, tries]."""
+# The store's parts; the values are names on disk.
+META = "meta"
+VERSIONS = "versions"
+PINS = "pins"
+OPERATOR_COMMANDS = "wishes"
+ACKNOWLEDGED_UPDATES = "holds"
+INCARNATIONS = "lives"
+JOURNAL = "journal"
+
+
+class VersionRow(
+    msgspec.Struct,
+    array_like=True,
+    rename={
+        "operator": "who",
+        "incarnation": "life",
+        "revision": "order",
+        "weights": "lines",
+        "admission": "levels",
+    },
+):
+    """One version of a table.
+
+    Weights are (endpoint, weight), admission limits (class index, limit, retry policy).  `cause` is module, pin,
+    rollback, release or gate; `operator` is empty where no person asked for it.
+    """
 
     name: str
     table: int
     parent: str
     cause: str
-    who: str
+    operator: str
     wall_ms: float
-    life: str
-    order: int
-    lines: list[tuple[int, float]]
-    levels: list[tuple[int, float, int]]
+    incarnation: str
+    revision: int
+    weights: list[tuple[int, float]]
+    admission: list[tuple[int, float, int]]
 
 
-class PinRow(msgspec.Struct, array_like=True):
-    """An operator's pin: this table stays at this version."""
+class PinRow(msgspec.Struct, array_like=True, rename={"operator": "who"}):
+    """An operator's pin: the table stays at this version."""
 
     table: int
     name: str
-    who: str
+    operator: str
     wall_ms: float
     cause: str = "pin"
 
 
-class OperatorCommand(msgspec.Struct, array_like=True):
-    """What an operator asks a pilot for: pin, rollback or release; targets are [table, version's name], no name to
-    release."""
+class OperatorCommand(msgspec.Struct, array_like=True, rename={"operator": "who"}):
+    """A pin, rollback or release that an operator asks a controller for.
+
+    Targets are (table, version name); the name is empty in a release.
+    """
 
     kind: str
     targets: list[tuple[int, str]]
-    who: str
+    operator: str
     wall_ms: float
 
 
-class AcknowledgedRow(msgspec.Struct, array_like=True):
-    """What a proxy acknowledged last: of which life, which order, and when."""
+class AcknowledgedUpdate(msgspec.Struct, array_like=True, rename={"incarnation": "life", "revision": "order"}):
+    """The newest revision that a proxy has acknowledged, of which incarnation, and when."""
 
     node: str
-    life: str
-    order: int
+    incarnation: str
+    revision: int
     wall_ms: float
 
 
-class IncarnationRow(msgspec.Struct, array_like=True):
-    """One life of the pilot; `ended`: it closed the store itself."""
+class IncarnationRow(msgspec.Struct, array_like=True, rename={"incarnation": "life", "started_ms": "begun_ms"}):
+    """One incarnation of the controller; `ended_ms` is 0 until it has closed the store itself."""
 
-    life: str
-    begun_ms: float
+    incarnation: str
+    started_ms: float
     ended_ms: float = 0.0
 
 
 class Entry(NamedTuple):
-    """One thing to be written: into which part, under which key; None: to be removed."""
+    """One row to write into a part under a key; `row` None removes it."""
 
     part: str
     key: bytes
@@ -79,45 +104,54 @@
 
 
 PARTS: dict[str, Any] = {
-    "meta": int,
-    "versions": VersionRow,
-    "pins": PinRow,
-    "wishes": OperatorCommand,
-    "holds": AcknowledgedRow,
-    "lives": IncarnationRow,
-    "journal": list[Any],
+    META: int,
+    VERSIONS: VersionRow,
+    PINS: PinRow,
+    OPERATOR_COMMANDS: OperatorCommand,
+    ACKNOWLEDGED_UPDATES: AcknowledgedUpdate,
+    INCARNATIONS: IncarnationRow,
+    JOURNAL: list[Any],
 }
 
 
 def pack(key: bytes, row: Any) -> bytes:
+    """Returns a row as it is stored under a key."""
     body = _encode(row)
     return xxhash.xxh3_64_digest(key + body) + body
 
 
 def unpack(part: str, key: bytes, value: bytes) -> Any:
-    """Raises BadValue."""
-    body = value[8:]
-    if len(value) < 9 or xxhash.xxh3_64_digest(key + body) != value[:8]:
+    """Returns the row of a stored value.
+
+    Raises:
+        CorruptValueError: The checksum does not fit, or the body is no row of this part.
+    """
+    body = value[CHECKSUM_BYTES:]
+    if not body or xxhash.xxh3_64_digest(key + body) != value[:CHECKSUM_BYTES]:
         raise CorruptValueError(f"{part}/{key.hex()}: its checksum does not fit")
     try:
         return msgspec.msgpack.decode(body, type=PARTS[part])
-    except msgspec.DecodeError as trouble:
-        raise CorruptValueError(f"{part}/{key.hex()}: {trouble}") from None
+    except msgspec.DecodeError as error:
+        raise CorruptValueError(f"{part}/{key.hex()}: {error}") from error
 
 
 def number_key(*numbers: int) -> bytes:
-    """Numbers as a key that sorts as they do."""
+    """Returns numbers as a key that sorts as they do."""
     return struct.pack(f">{len(numbers)}Q", *numbers)
 
 
 def numbers_of(key: bytes) -> tuple[int, ...]:
+    """Returns the numbers that a key of `number_key` was made of."""
     return struct.unpack(f">{len(key) // 8}Q", key)
 
 
 def migrated(part: str, row: list[Any], schema: int) -> list[Any]:
-    """A row of an older schema as today's.  Schema 1 had no life in a version, and no cause in a pin."""
-    if schema < 2 and part == "versions":
+    """Returns a row of an older schema as one of the present schema.
+
+    Schema 1 had no incarnation in a version, and no cause in a pin.
+    """
+    if schema < 2 and part == VERSIONS:
         return [*row[:6], "", *row[6:]]
-    if schema < 2 and part == "pins":
+    if schema < 2 and part == PINS:
         return [*row, "pin"]
     return row
--- a/quillstep/store/retention.py
+++ b/quillstep/store/retention.py
@@ -1,29 +1,32 @@
-"""Which versions a store keeps.  Without I/O and clocks; times are wall-clock milliseconds."""
+"""Which versions of a table a store keeps.  Without I/O and clocks; times are wall-clock milliseconds."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 
-class Stood(NamedTuple):
-    """A version's place in its table's row, its name and when it came to stand."""
+class StoredVersion(NamedTuple):
+    """A version's number within its table, its name, and when it took effect."""
 
     number: int
     name: str
     wall_ms: float
 
 
-def to_drop(rows: Iterable[Stood], pinned: set[str], now_ms: float, count_most: int, age_most_ms: float) -> list[int]:
-    """The numbers of one table's versions to be dropped: older than the age, or beyond the count.
+def numbers_to_drop(
+    versions: Iterable[StoredVersion], pinned: set[str], now_ms: float, max_versions: int, max_age_ms: float
+) -> list[int]:
+    """Returns the numbers of the versions that are too old, or too many.
 
-    The newest stays, and so does what is pinned.  A clock that went back makes nothing older: no age is below 0.
+    The newest version and pinned ones stay.  Where the clock went back, nothing counts as older for it: no age is
+    below 0.
     """
-    ordered = sorted(rows)
+    ordered = sorted(versions)
     dropped: list[int] = []
-    spare = len(ordered) - count_most
-    for row in ordered[:-1]:
-        old = max(0.0, now_ms - row.wall_ms) > age_most_ms
-        if row.name in pinned:
+    surplus = len(ordered) - max_versions
+    for version in ordered[:-1]:
+        is_old = max(0.0, now_ms - version.wall_ms) > max_age_ms
+        if version.name in pinned:
             continue
-        if old or len(dropped) < spare:
-            dropped.append(row.number)
+        if is_old or len(dropped) < surplus:
+            dropped.append(version.number)
     return dropped
--- a/quillstep/store/store.py
+++ b/quillstep/store/store.py
@@ -1,12 +1,11 @@
 """The store on disk: one LMDB environment, one writer, readers that never block it.
 
 LMDB writes copies of pages and points to them last, so that a process killed at any moment leaves the last committed
-state; what it does not do is to see that a page went bad, which the checksums of `format.py` are for.
+state.  It does not notice a damaged page: the checksums of `records.py` do.
 """
 
 import contextlib
 import errno
-import os
 import time
 from collections.abc import Callable, Iterator
 from pathlib import Path
@@ -15,10 +14,23 @@
 import lmdb
 import msgspec
 
+from quillstep.store.errors import (
+    CorruptValueError,
+    InvalidExportError,
+    StoreCorruptError,
+    StoreError,
+    StoreFullError,
+    StoreReadOnlyError,
+    StoreSchemaTooNewError,
+)
 from quillstep.store.records import (
+    CHECKSUM_BYTES,
+    JOURNAL,
+    META,
     PARTS,
+    PINS,
     SCHEMA,
-    CorruptValueError,
+    VERSIONS,
     Entry,
     VersionRow,
     migrated,
@@ -27,99 +39,119 @@
     pack,
     unpack,
 )
-from quillstep.store.retention import Stood, to_drop
-
-META = number_key(0)
-STEPS = ("begin", "put", "before commit", "after commit")
-
-
-class StoreError(Exception):
-    """The store can't be used; `kind` is full, read-only, newer, bad, locked or broken."""
+from quillstep.store.retention import StoredVersion, numbers_to_drop
 
-    def __init__(self, kind: str, text: str) -> None:
-        super().__init__(text)
-        self.kind = kind
+SCHEMA_KEY = number_key(0)
+MAX_READERS = 64
+DEFAULT_MAX_SIZE_BYTES = 2**30
 
 
-def nothing(step: str) -> None:
-    """No crash is being tried."""
+def ignore_step(step: str) -> None:
+    """Does nothing at a write point."""
 
 
 class Store:
-    """One folder.  `step` is called at each write point, for harnesses that kill there."""
+    """One folder.  `on_step` is called at each write point, so that a test can kill the process there.
+
+    Raises:
+        StoreError: The store cannot be opened; the type says why.
+    """
 
     def __init__(
-        self, folder: str | Path, size_most: int = 2**30, fsync: bool = True, write: bool = True,
-        step: Callable[[str], None] = nothing,
-    ) -> None:  # fmt: skip
-        """Raises StoreTrouble."""
-        self.folder, self.step = Path(folder), step
-        try:
+        self,
+        folder: str | Path,
+        max_size_bytes: int = DEFAULT_MAX_SIZE_BYTES,
+        fsync: bool = True,
+        write: bool = True,
+        on_step: Callable[[str], None] = ignore_step,
+    ) -> None:
+        self.folder, self.on_step = Path(folder), on_step
+        with self._errors_at_opening(max_size_bytes):
             if write:
                 self.folder.mkdir(parents=True, exist_ok=True)
             self.env = lmdb.open(
-                str(self.folder), map_size=size_most, max_dbs=len(PARTS), sync=fsync, readonly=not write,
-                create=write, max_readers=64,
-            )  # fmt: skip
+                str(self.folder),
+                map_size=max_size_bytes,
+                max_dbs=len(PARTS),
+                sync=fsync,
+                readonly=not write,
+                create=write,
+                max_readers=MAX_READERS,
+            )
             self.parts = {name: self.env.open_db(name.encode(), create=write) for name in PARTS}
-        except lmdb.MapFullError:
-            raise StoreError("full", f"{folder}: its {size_most} bytes are full") from None
-        except (lmdb.ReadonlyError, PermissionError) as trouble:
-            raise StoreError("read-only", f"{folder}: {trouble}") from None
-        except OSError as trouble:
-            kind = "read-only" if trouble.errno in (errno.EROFS, errno.EACCES) else "broken"
-            raise StoreError(kind, f"{folder}: {trouble}") from None
-        except lmdb.NotFoundError:
-            raise StoreError("bad", f"{folder}: a part of it is missing") from None
-        except lmdb.Error as trouble:
-            raise StoreError("bad", f"{folder}: {trouble}") from None
         try:
-            self.check_schema(write)
+            self._check_schema(write)
         except BaseException:
             self.env.close()
             raise
 
     def close(self) -> None:
+        """Closes the environment."""
         self.env.close()
 
-    def check_schema(self, write: bool) -> None:
-        with self.reading("meta") as (txn, part):
-            found = txn.get(META, db=part)
+    @contextlib.contextmanager
+    def _errors_at_opening(self, max_size_bytes: int) -> Iterator[None]:
+        """Raises what goes wrong within it as a StoreError."""
+        try:
+            yield
+        except lmdb.MapFullError as error:
+            raise StoreFullError(f"{self.folder}: its {max_size_bytes} bytes are full") from error
+        except (lmdb.ReadonlyError, PermissionError) as error:
+            raise StoreReadOnlyError(f"{self.folder}: {error}") from error
+        except OSError as error:
+            is_read_only = error.errno in (errno.EROFS, errno.EACCES)
+            raise (StoreReadOnlyError if is_read_only else StoreError)(f"{self.folder}: {error}") from error
+        except lmdb.NotFoundError as error:
+            raise StoreCorruptError(f"{self.folder}: a part of it is missing") from error
+        except lmdb.Error as error:
+            raise StoreCorruptError(f"{self.folder}: {error}") from error
+
+    def _check_schema(self, write: bool) -> None:
+        """Migrates an older store where it may be written."""
+        with self.reading(META) as (txn, part):
+            value = txn.get(SCHEMA_KEY, db=part)
         try:
-            schema = int(unpack("meta", META, found)) if found else 0
-        except CorruptValueError as trouble:
-            raise StoreError("bad", f"{self.folder}: {trouble}") from None
+            schema = int(unpack(META, SCHEMA_KEY, value)) if value else 0
+        except CorruptValueError as error:
+            raise StoreCorruptError(f"{self.folder}: {error}") from error
         if schema > SCHEMA:
-            raise StoreError("newer", f"{self.folder}: schema {schema}, this version knows {SCHEMA} at most")
+            raise StoreSchemaTooNewError(f"{self.folder}: schema {schema}, this version knows {SCHEMA} at most")
         if schema < SCHEMA and write:
-            self.migrate(schema)
-
-    def migrate(self, schema: int) -> None:
-        """Bring all rows forward in one commit; 0: it is new."""
-        entries = [Entry("meta", META, SCHEMA)]
-        if schema:
-            for name in PARTS:
-                if name == "meta":
-                    continue
-                with self.reading(name) as (txn, part):
-                    for key, value in txn.cursor(db=part):
-                        row = msgspec.msgpack.decode(bytes(value)[8:])
-                        entries.append(Entry(name, bytes(key), migrated(name, row, schema)))
+            self._migrate(schema)
+
+    def _migrate(self, schema: int) -> None:
+        """Writes all rows in the present schema, in one commit; a new store has schema 0."""
+        entries = [Entry(META, SCHEMA_KEY, SCHEMA)]
+        for name in PARTS if schema else ():
+            if name == META:
+                continue
+            with self.reading(name) as (txn, part):
+                for key, value in txn.cursor(db=part):
+                    row = msgspec.msgpack.decode(bytes(value)[CHECKSUM_BYTES:])
+                    entries.append(Entry(name, bytes(key), migrated(name, row, schema)))
         self.write(entries)
 
     # reading
 
     @contextlib.contextmanager
     def reading(self, part: str) -> Iterator[tuple[Any, Any]]:
-        """A reader's view of one moment; raises StoreTrouble where pages don't read."""
+        """A transaction over one moment's state, and the part's database in it.
+
+        Raises:
+            StoreCorruptError: Pages do not read.
+        """
         try:
             with self.env.begin() as txn:
                 yield txn, self.parts[part]
-        except lmdb.Error as trouble:
-            raise StoreError("bad", f"{self.folder}: {trouble}") from None
+        except lmdb.Error as error:
+            raise StoreCorruptError(f"{self.folder}: {error}") from error
 
     def rows(self, part: str, prefix: bytes = b"") -> list[tuple[bytes, Any]]:
-        """All rows of a part, in the sequence of their keys; raises StoreTrouble."""
+        """Returns the keys and rows of a part, in the order of their keys.
+
+        Raises:
+            StoreCorruptError: A page or a value does not read.
+        """
         found = []
         with self.reading(part) as (txn, db):
             cursor = txn.cursor(db=db)
@@ -129,16 +161,16 @@
                         break
                     try:
                         found.append((bytes(key), unpack(part, bytes(key), bytes(value))))
-                    except CorruptValueError as trouble:
-                        raise StoreError("bad", f"{self.folder}: {trouble}") from None
+                    except CorruptValueError as error:
+                        raise StoreCorruptError(f"{self.folder}: {error}") from error
         return found
 
     def versions(self, table: int) -> list[VersionRow]:
-        """A table's versions, oldest first."""
-        return [row for _, row in self.rows("versions", number_key(table))]
+        """Returns a table's versions, oldest first."""
+        return [row for _, row in self.rows(VERSIONS, number_key(table))]
 
     def last_number(self, part: str, prefix: bytes) -> int:
-        """The last of the numbers that keys of this prefix end with; 0: there is none."""
+        """Returns the last of the numbers that keys of this prefix end with; 0 where there is none."""
         with self.reading(part) as (txn, db):
             cursor = txn.cursor(db=db)
             above = number_key(*numbers_of(prefix)[:-1], numbers_of(prefix)[-1] + 1) if prefix else b"\xff" * 8
@@ -149,50 +181,58 @@
     # writing
 
     def write(self, entries: list[Entry]) -> None:
-        """All of them or none, durable when this returns (where `fsync` holds); raises StoreTrouble."""
+        """Writes all entries or none; they are durable when this returns, unless `fsync` is off.
+
+        Raises:
+            StoreError: They could not be written; the type says why.
+        """
         try:
-            self.step("begin")
+            self.on_step("begin")
             with self.env.begin(write=True) as txn:
                 for part, key, row in entries:
                     if row is None:
                         txn.delete(key, db=self.parts[part])
                     else:
                         txn.put(key, pack(key, row), db=self.parts[part])
-                    self.step("put")
-                self.step("before commit")
-            self.step("after commit")
-        except lmdb.MapFullError:
-            raise StoreError("full", f"{self.folder}: no room for {len(entries)} more rows") from None
-        except lmdb.ReadonlyError as trouble:
-            raise StoreError("read-only", f"{self.folder}: {trouble}") from None
-        except lmdb.DiskError as trouble:
-            raise StoreError("full", f"{self.folder}: {trouble}") from None
-        except lmdb.Error as trouble:
-            raise StoreError("broken", f"{self.folder}: {trouble}") from None
-
-    def retain(self, now_ms: float, count_most: int, age_most_ms: float, journal_most: int) -> int:
-        """Drop what is kept no longer; how many rows that were."""
-        pinned: dict[int, set[str]] = {}
-        for _, pin in self.rows("pins"):
-            pinned.setdefault(pin.table, set()).add(pin.name)
-        by_table: dict[int, list[Stood]] = {}
-        for key, row in self.rows("versions"):
-            by_table.setdefault(row.table, []).append(Stood(numbers_of(key)[1], row.name, row.wall_ms))
-        entries = [
-            Entry("versions", number_key(table, number), None)
-            for table, rows in by_table.items()
-            for number in to_drop(rows, pinned.get(table, set()), now_ms, count_most, age_most_ms)
-        ]
-        journal = [key for key, _ in self.rows("journal")]
-        entries += [Entry("journal", key, None) for key in journal[: max(0, len(journal) - journal_most)]]
+                    self.on_step("put")
+                self.on_step("before commit")
+            self.on_step("after commit")
+        except lmdb.MapFullError as error:
+            raise StoreFullError(f"{self.folder}: no room for {len(entries)} more rows") from error
+        except lmdb.ReadonlyError as error:
+            raise StoreReadOnlyError(f"{self.folder}: {error}") from error
+        except lmdb.DiskError as error:
+            raise StoreFullError(f"{self.folder}: {error}") from error
+        except lmdb.Error as error:
+            raise StoreError(f"{self.folder}: {error}") from error
+
+    def apply_retention(self, now_ms: float, max_versions: int, max_age_ms: float, max_journal_rows: int) -> int:
+        """Removes the rows that are kept no longer; returns how many they were."""
+        entries = self._versions_to_drop(now_ms, max_versions, max_age_ms)
+        journal = [key for key, _ in self.rows(JOURNAL)]
+        entries += [Entry(JOURNAL, key, None) for key in journal[: max(0, len(journal) - max_journal_rows)]]
         if entries:
             self.write(entries)
         return len(entries)
 
-    # an operator's tools
+    def _versions_to_drop(self, now_ms: float, max_versions: int, max_age_ms: float) -> list[Entry]:
+        """Returns the removal of each table's versions that are too old or too many."""
+        pinned: dict[int, set[str]] = {}
+        for _, pin in self.rows(PINS):
+            pinned.setdefault(pin.table, set()).add(pin.name)
+        by_table: dict[int, list[StoredVersion]] = {}
+        for key, row in self.rows(VERSIONS):
+            by_table.setdefault(row.table, []).append(StoredVersion(numbers_of(key)[1], row.name, row.wall_ms))
+        return [
+            Entry(VERSIONS, number_key(table, number), None)
+            for table, versions in by_table.items()
+            for number in numbers_to_drop(versions, pinned.get(table, set()), now_ms, max_versions, max_age_ms)
+        ]
+
+    # for operators
 
     def check(self) -> dict[str, Any]:
-        """Read all of it: rows a part, and what does not read."""
+        """Reads all of it; returns how many rows each part has, what does not read, and the bytes used."""
         found: dict[str, Any] = {"rows": {}, "bad": []}
         for part in PARTS:
             count = 0
@@ -201,8 +241,8 @@
                     count += 1
                     try:
                         unpack(part, bytes(key), bytes(value))
-                    except CorruptValueError as trouble:
-                        found["bad"].append(str(trouble))
+                    except CorruptValueError as error:
+                        found["bad"].append(str(error))
             found["rows"][part] = count
         info = self.env.info()
         found["bytes_used"] = info["last_pgno"] * self.env.stat()["psize"]
@@ -210,31 +250,35 @@
         return found
 
     def compact(self, to: Path) -> None:
-        """A copy without free pages, which then takes this one's place; nobody may have it open."""
+        """Writes a copy without free pages to a new folder."""
         to.mkdir(parents=True)
         self.env.copy(str(to), compact=True)
 
-    def exported(self) -> Iterator[dict[str, Any]]:
-        """All rows as plain values, a line each."""
+    def export_rows(self) -> Iterator[dict[str, Any]]:
+        """Yields all rows as plain values, a dict each."""
         for part in PARTS:
             for key, row in self.rows(part):
                 yield {"part": part, "key": key.hex(), "row": msgspec.to_builtins(row)}
 
-    def take_in(self, lines: Iterator[dict[str, Any]]) -> int:
-        """Rows as `exported` gave them; in one commit.  Raises ValueError where one does not read."""
+    def import_rows(self, exported: Iterator[dict[str, Any]]) -> int:
+        """Writes rows as `export_rows` yielded them, in one commit; returns how many they were.
+
+        Raises:
+            InvalidExportError: A row does not read; nothing was written.
+        """
         entries = []
-        for line in lines:
+        for line in exported:
             try:
-                kind = PARTS[line["part"]]
-                entries.append(Entry(line["part"], bytes.fromhex(line["key"]), msgspec.convert(line["row"], kind)))
-            except (KeyError, TypeError, ValueError, msgspec.ValidationError) as trouble:
-                raise ValueError(f"row {len(entries) + 1}: {trouble}") from None
+                row_type = PARTS[line["part"]]
+                entries.append(Entry(line["part"], bytes.fromhex(line["key"]), msgspec.convert(line["row"], row_type)))
+            except (KeyError, TypeError, ValueError, msgspec.ValidationError) as error:
+                raise InvalidExportError(f"row {len(entries) + 1}: {error}") from error
         self.write(entries)
         return len(entries)
 
 
 def set_aside(folder: Path) -> Path:
-    """Move a store that can't be used out of the way; where it is now."""
+    """Moves a store that cannot be used out of the way; returns where it is now."""
     aside = folder.with_name(f"{folder.name}.aside-{time.time_ns()}")
-    os.replace(folder, aside)
+    folder.replace(aside)
     return aside
--- a/quillstep/store/writer.py
+++ b/quillstep/store/writer.py
@@ -16,8 +16,22 @@
 
 from quillstep.config.controller import StoreSettings
 from quillstep.routing.versions import TableVersion
-from quillstep.store.records import AcknowledgedRow, Entry, IncarnationRow, PinRow, VersionRow, number_key
-from quillstep.store.store import Store, StoreError, nothing, set_aside
+from quillstep.store.errors import StoreCorruptError, StoreError
+from quillstep.store.records import (
+    ACKNOWLEDGED_UPDATES,
+    INCARNATIONS,
+    JOURNAL,
+    OPERATOR_COMMANDS,
+    PINS,
+    VERSIONS,
+    AcknowledgedUpdate,
+    Entry,
+    IncarnationRow,
+    PinRow,
+    VersionRow,
+    number_key,
+)
+from quillstep.store.store import Store, ignore_step, set_aside
 
 GROUP_MOST = 256  # hand-overs in one commit
 WAITING_MOST = 4096  # hand-overs that may wait; beyond it the journal is left out
@@ -25,20 +39,18 @@
 LIFE = number_key(0)
 
 
-def opened(record: StoreSettings, step: Callable[[str], None] = nothing) -> Store:
+def opened(record: StoreSettings, step: Callable[[str], None] = ignore_step) -> Store:
     """The store of these settings; one that is bad is set aside and begun anew.  Raises StoreTrouble for all else."""
     log = structlog.get_logger("store")
     try:
-        store = Store(record.folder, record.max_size_bytes, record.fsync, step=step)
-        for part in ("pins", "wishes", "lives"):
+        store = Store(record.folder, record.max_size_bytes, record.fsync, on_step=step)
+        for part in (PINS, OPERATOR_COMMANDS, INCARNATIONS):
             store.rows(part)
         return store
-    except StoreError as trouble:
-        if trouble.kind != "bad":
-            raise
+    except StoreCorruptError as trouble:
         aside = set_aside(Path(record.folder))
         log.error("store set aside", reason=str(trouble), now=str(aside))
-        return Store(record.folder, record.max_size_bytes, record.fsync, step=step)
+        return Store(record.folder, record.max_size_bytes, record.fsync, on_step=step)
 
 
 class StoreWriter:
@@ -48,7 +60,7 @@
         self.record, self.store, self.life, self.put = record, store, life, put
         self.jobs: queue.Queue[tuple[int, list[Entry]]] = queue.Queue()
         self.numbers: dict[int, int] = {}
-        self.journal = store.last_number("journal", b"")
+        self.journal = store.last_number(JOURNAL, b"")
         self.stopping = threading.Event()
         self.failed = ""
         self.asked: set[bytes] = set()  # wishes that have been handed over
@@ -60,13 +72,15 @@
     def start_news(self) -> tuple:
         """What the last life left: the newest versions of each table, and its pins."""
         tables: dict[int, list[VersionRow]] = {}
-        for _, row in self.store.rows("versions"):
+        for _, row in self.store.rows(VERSIONS):
             tables.setdefault(row.table, []).append(row)
-        pins = [pin for _, pin in self.store.rows("pins")]
+        pins = [pin for _, pin in self.store.rows(PINS)]
         versions = [row for rows in tables.values() for row in rows[-self.record.recovered_versions :]]
         names = {(row.table, row.name): row for rows in tables.values() for row in rows}
         pinned = [
-            [told(names[pin.table, pin.name]), pin.cause, pin.who] for pin in pins if (pin.table, pin.name) in names
+            [told(names[pin.table, pin.name]), pin.cause, pin.operator]
+            for pin in pins
+            if (pin.table, pin.name) in names
         ]
         for pin in pins:
             if (pin.table, pin.name) not in names:
@@ -77,16 +91,16 @@
         """A version as a row of its table."""
         table = version.table
         if table not in self.numbers:
-            self.numbers[table] = self.store.last_number("versions", number_key(table))
+            self.numbers[table] = self.store.last_number(VERSIONS, number_key(table))
         self.numbers[table] += 1
         row = VersionRow(
             version.name, table, version.parent, version.cause, version.operator, wall_ms, self.life, version.revision,
             sorted(version.weights.items()), sorted((place, *level) for place, level in version.admission.items()),
         )  # fmt: skip
-        return Entry("versions", number_key(table, self.numbers[table]), row)
+        return Entry(VERSIONS, number_key(table, self.numbers[table]), row)
 
     def hold(self, node: str, order: int, wall_ms: float) -> Entry:
-        return Entry("holds", node.encode()[:400], AcknowledgedRow(node, self.life, order, wall_ms))
+        return Entry(ACKNOWLEDGED_UPDATES, node.encode()[:400], AcknowledgedUpdate(node, self.life, order, wall_ms))
 
     def orders(self, order: int, wall_ms: float, orders: list[Any]) -> list[Entry]:
         """An order's journal row, unless the disk is behind."""
@@ -94,21 +108,21 @@
             self.left_out += 1
             return []
         self.journal += 1
-        return [Entry("journal", number_key(self.journal), [self.life, order, wall_ms, orders])]
+        return [Entry(JOURNAL, number_key(self.journal), [self.life, order, wall_ms, orders])]
 
     @staticmethod
     def pinned(version: TableVersion, wall_ms: float) -> Entry:
         row = PinRow(version.table, version.name, version.operator, wall_ms, version.cause)
-        return Entry("pins", number_key(version.table), row)
+        return Entry(PINS, number_key(version.table), row)
 
     @staticmethod
     def released(table: int) -> Entry:
-        return Entry("pins", number_key(table), None)
+        return Entry(PINS, number_key(table), None)
 
     @staticmethod
     def done(key: str) -> Entry:
         """A wish that has been granted."""
-        return Entry("wishes", bytes.fromhex(key), None)
+        return Entry(OPERATOR_COMMANDS, bytes.fromhex(key), None)
 
     def hand_over(self, order: int, entries: list[Entry]) -> None:
         """To be durable; `order` is told as stored once it is."""
@@ -122,7 +136,7 @@
         looked = retained = 0.0
         try:
             life = IncarnationRow(self.life, time.time() * 1000.0)
-            self.store.write([Entry("lives", LIFE, life)])
+            self.store.write([Entry(INCARNATIONS, LIFE, life)])
             while True:
                 group = self.group()
                 if group:
@@ -137,7 +151,7 @@
                 if self.stopping.is_set() and self.jobs.empty():
                     break
             life.ended_ms = time.time() * 1000.0
-            self.store.write([Entry("lives", LIFE, life)])
+            self.store.write([Entry(INCARNATIONS, LIFE, life)])
         except StoreError as trouble:
             self.fail(trouble)
         finally:
@@ -164,7 +178,7 @@
 
     def look(self) -> None:
         """Hand over the operators' wishes, with the versions that they name."""
-        wishes = self.store.rows("wishes")
+        wishes = self.store.rows(OPERATOR_COMMANDS)
         self.asked &= {key for key, _ in wishes}
         for key, wish in wishes:
             if key in self.asked:
@@ -174,17 +188,17 @@
             for table, name in wish.targets:
                 rows = [row for row in self.store.versions(table) if row.name == name]
                 found.append([table, told(rows[-1]) if rows else []])
-            self.put(("store", "wish", key.hex(), [wish.kind, found, wish.who]))
+            self.put(("store", "wish", key.hex(), [wish.kind, found, wish.operator]))
 
     def retain(self) -> None:
         record = self.record
         age_ms = record.keep_hours * 3_600_000.0
-        self.store.retain(time.time() * 1000.0, record.keep_versions, age_ms, record.keep_orders)
+        self.store.apply_retention(time.time() * 1000.0, record.keep_versions, age_ms, record.keep_orders)
 
     def fail(self, trouble: StoreError) -> None:
         """Go on without a store: no push waits for it any more."""
         self.failed = str(trouble)
-        self.log.error("store lost", kind=trouble.kind, reason=str(trouble))
+        self.log.error("store lost", kind=trouble.reason, reason=str(trouble))
         self.put(("store", "lost", str(trouble), []))
 
     def stop(self) -> None:
@@ -198,5 +212,5 @@
 
 def told(row: VersionRow) -> list[Any]:
     """A version as plain values, for the deciding thread and its capture."""
-    return [row.name, row.table, row.parent, row.cause, row.who, row.wall_ms, [list(line) for line in row.lines],
-            [list(level) for level in row.levels]]  # fmt: skip
+    return [row.name, row.table, row.parent, row.cause, row.operator, row.wall_ms, [list(line) for line in row.weights],
+            [list(level) for level in row.admission]]  # fmt: skip
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -340,7 +340,7 @@
     """All rows of a store as JSON lines."""
     found = Store(folder, write=False)
     try:
-        return "".join(f"{msgspec.json.encode(line).decode()}\n" for line in found.exported()), found.check()["bad"]
+        return "".join(f"{msgspec.json.encode(line).decode()}\n" for line in found.export_rows()), found.check()["bad"]
     finally:
         found.close()
 
@@ -349,7 +349,7 @@
     """Takes an export in, into a new store."""
     found = Store(folder)
     try:
-        return found.take_in(msgspec.json.decode(line) for line in lines.splitlines())
+        return found.import_rows(msgspec.json.decode(line) for line in lines.splitlines())
     finally:
         found.close()
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -27,11 +27,25 @@
     RolloutGate,
 )
 from quillstep.routing.versions import TableVersion, version_from_row
-from quillstep.store import Store, StoreError
+from quillstep.store import (
+    Store,
+    StoreCorruptError,
+    StoreError,
+    StoreFullError,
+    StoreReadOnlyError,
+    StoreSchemaTooNewError,
+)
 from quillstep.store.records import (
+    ACKNOWLEDGED_UPDATES,
+    INCARNATIONS,
+    JOURNAL,
+    META,
+    OPERATOR_COMMANDS,
     PARTS,
+    PINS,
     SCHEMA,
-    AcknowledgedRow,
+    VERSIONS,
+    AcknowledgedUpdate,
     Entry,
     OperatorCommand,
     PinRow,
@@ -39,8 +53,8 @@
     number_key,
     pack,
 )
-from quillstep.store.retention import Stood, to_drop
-from quillstep.store.store import META, set_aside
+from quillstep.store.retention import StoredVersion, numbers_to_drop
+from quillstep.store.store import SCHEMA_KEY, set_aside
 from quillstep.store.writer import StoreWriter, opened
 from quillstep.testbed.scenarios.plan import plan
 from quillstep.testbed.scenarios.runner import Arm
@@ -390,13 +404,13 @@
 
 def test_rows_come_back_as_they_were_and_numbers_go_on(tmp_path):
     store = Store(tmp_path / "s")
-    entries = [Entry("versions", number_key(table, n), row(n, table)) for table in (0, 7) for n in range(1, 4)]
-    store.write([*entries, Entry("pins", number_key(7), PinRow(7, "v2", "op", 5.0, "rollback"))])
+    entries = [Entry(VERSIONS, number_key(table, n), row(n, table)) for table in (0, 7) for n in range(1, 4)]
+    store.write([*entries, Entry(PINS, number_key(7), PinRow(7, "v2", "op", 5.0, "rollback"))])
     store.close()
     again = Store(tmp_path / "s", write=False)
     assert again.versions(7) == [row(n, 7) for n in range(1, 4)]
-    assert [again.last_number("versions", number_key(table)) for table in (0, 7, 9)] == [3, 3, 0]
-    assert again.rows("pins")[0][1].cause == "rollback" and again.check()["bad"] == []
+    assert [again.last_number(VERSIONS, number_key(table)) for table in (0, 7, 9)] == [3, 3, 0]
+    assert again.rows(PINS)[0][1].cause == "rollback" and again.check()["bad"] == []
 
 
 @pytest.mark.parametrize(
@@ -410,8 +424,8 @@
     ],
 )
 def test_what_is_kept_goes_by_count_and_age_and_pins(wall, pinned, count, age, dropped):
-    rows = [Stood(at + 1, f"v{at + 1}", float(ms)) for at, ms in enumerate(wall)]
-    assert to_drop(rows, pinned, 100.0, count, age) == dropped
+    rows = [StoredVersion(at + 1, f"v{at + 1}", float(ms)) for at, ms in enumerate(wall)]
+    assert numbers_to_drop(rows, pinned, 100.0, count, age) == dropped
 
 
 def test_a_store_of_an_older_schema_is_brought_forward_in_one_commit(tmp_path):
@@ -419,13 +433,13 @@
     key = number_key(0, 1)
     old = ["v1", 0, "", "module", "", 5.0, 3, [[1, 10.0]], [[0, 5.0, 1]]]
     with store.env.begin(write=True) as txn:
-        txn.put(META, pack(META, 1), db=store.parts["meta"])
+        txn.put(SCHEMA_KEY, pack(SCHEMA_KEY, 1), db=store.parts["meta"])
         txn.put(key, pack(key, old), db=store.parts["versions"])
         txn.put(number_key(0), pack(number_key(0), [0, "v1", "op", 5.0]), db=store.parts["pins"])
     store.close()
     again = Store(tmp_path / "s")
-    assert again.versions(0)[0].life == "" and again.versions(0)[0].order == 3
-    assert again.rows("pins")[0][1].cause == "pin" and again.rows("meta")[0][1] == SCHEMA
+    assert again.versions(0)[0].incarnation == "" and again.versions(0)[0].revision == 3
+    assert again.rows(PINS)[0][1].cause == "pin" and again.rows(META)[0][1] == SCHEMA
 
 
 def spoilt(folder):
@@ -440,20 +454,30 @@
 def test_a_page_that_went_bad_is_found_and_the_store_set_aside_with_a_line(tmp_path):
     folder = tmp_path / "s"
     store = Store(folder)
-    store.write([Entry("pins", number_key(0), PinRow(0, "v1", "rollback-here", 5.0))])
+    store.write([Entry(PINS, number_key(0), PinRow(0, "v1", "rollback-here", 5.0))])
     store.close()
     spoilt(folder)
     assert "checksum" in Store(folder, write=False).check()["bad"][0]
     record = StoreSettings(folder=str(folder))
     fresh = opened(record)
-    assert fresh.rows("pins") == [] and len(list(tmp_path.glob("s.aside-*"))) == 1
+    assert fresh.rows(PINS) == [] and len(list(tmp_path.glob("s.aside-*"))) == 1
 
 
-@pytest.mark.parametrize("kind", ["newer", "read-only", "full", "bad", "broken"])
-def test_a_store_that_can_not_be_used_says_why(tmp_path, kind):
+@pytest.mark.parametrize(
+    ("kind", "error"),
+    [
+        ("newer", StoreSchemaTooNewError),
+        ("read-only", StoreReadOnlyError),
+        ("full", StoreFullError),
+        ("bad", StoreCorruptError),
+        ("broken", StoreError),
+    ],
+    ids=["newer", "read-only", "full", "bad", "broken"],
+)
+def test_a_store_that_can_not_be_used_says_why(tmp_path, kind, error):
     folder = tmp_path / "s"
     if kind == "newer":
-        Store(folder).write([Entry("meta", META, SCHEMA + 1)])
+        Store(folder).write([Entry(META, SCHEMA_KEY, SCHEMA + 1)])
     elif kind == "full":
         Store(folder, 2**20).close()
     elif kind == "read-only":
@@ -465,12 +489,12 @@
         folder.write_text("a file where a folder should be")
     with pytest.raises(StoreError) as found:
         store = Store(folder, 2**20, write=kind != "read-only")
-        store.write([Entry("journal", number_key(n), ["e", n, 0.0, ["x" * 2000]]) for n in range(2000)])
-    assert found.value.kind == kind
+        store.write([Entry(JOURNAL, number_key(n), ["e", n, 0.0, ["x" * 2000]]) for n in range(2000)])
+    assert found.value.reason == kind and type(found.value) is error
 
 
 def test_a_newer_store_is_refused_and_a_bad_one_is_not_mended_over(tmp_path):
-    Store(tmp_path / "s").write([Entry("meta", META, SCHEMA + 1)])
+    Store(tmp_path / "s").write([Entry(META, SCHEMA_KEY, SCHEMA + 1)])
     with pytest.raises(StoreError, match=f"schema {SCHEMA + 1}"):
         opened(StoreSettings(folder=str(tmp_path / "s")))
     assert not list(tmp_path.glob("s.aside-*"))
@@ -480,8 +504,8 @@
 def test_an_export_reads_back_as_the_same_store_and_a_torn_one_not_at_all(tmp_path):
     run = CliRunner().invoke
     store = Store(tmp_path / "a")
-    store.write([Entry("versions", number_key(0, n), row(n)) for n in range(1, 50)])
-    store.write([Entry("holds", b"p", AcknowledgedRow("p", "e", 3, 1.0))])
+    store.write([Entry(VERSIONS, number_key(0, n), row(n)) for n in range(1, 50)])
+    store.write([Entry(ACKNOWLEDGED_UPDATES, b"p", AcknowledgedUpdate("p", "e", 3, 1.0))])
     store.close()
     assert run(cli, ["store", "export", str(tmp_path / "a"), str(tmp_path / "x")]).exit_code == 0
     assert run(cli, ["store", "import", str(tmp_path / "b"), str(tmp_path / "x")]).exit_code == 0
@@ -542,7 +566,7 @@
     version = TableVersion("v1", 0, "", "module", "", 0.0, 1, {1: 10.0}, {0: (5.0, 1)})
     pin = keeper.pinned(version._replace(cause="rollback", operator="op"), 7.0)
     keeper.hand_over(1, [keeper.version(version, 7.0), pin])
-    keeper.store.write([Entry("wishes", number_key(9), OperatorCommand("rollback", [(0, "v1")], "op", 7.0))])
+    keeper.store.write([Entry(OPERATOR_COMMANDS, number_key(9), OperatorCommand("rollback", [(0, "v1")], "op", 7.0))])
     assert woken.wait(20.0)
     keeper.hand_over(2, [keeper.done(number_key(9).hex())])
     keeper.stop()
@@ -551,7 +575,7 @@
     (wish,) = [each for each in news if each[1] == "wish"]
     assert version_from_row(wish[3][1][0][1]).weights == {1: 10.0}
     fresh = StoreWriter(record, opened(record), "f", put)
-    assert fresh.store.rows("wishes") == [] and fresh.store.rows("lives")[0][1].ended_ms > 0
+    assert fresh.store.rows(OPERATOR_COMMANDS) == [] and fresh.store.rows(INCARNATIONS)[0][1].ended_ms > 0
     kind, what, versions, pins = fresh.start_news()
     assert (kind, what, len(versions[1])) == ("store", "opened", 1) and pins[0][1:] == ["rollback", "op"]
 
@@ -559,7 +583,7 @@
 def test_a_pin_whose_version_is_gone_is_passed_over_with_a_line(tmp_path, capsys):
     record = StoreSettings(folder=str(tmp_path / "s"))
     store = opened(record)
-    store.write([Entry("pins", number_key(0), PinRow(0, "gone", "op", 5.0))])
+    store.write([Entry(PINS, number_key(0), PinRow(0, "gone", "op", 5.0))])
     assert StoreWriter(record, store, "e", print).start_news()[3] == []
     assert "pin passed over" in "".join(capsys.readouterr())
 
@@ -569,7 +593,7 @@
     news = []
     keeper = StoreWriter(record, opened(record), "e", news.append)
     for at in range(200):
-        keeper.hand_over(at, [Entry("journal", number_key(at + 1), ["e", at, 0.0, ["x" * 20000]])])
+        keeper.hand_over(at, [Entry(JOURNAL, number_key(at + 1), ["e", at, 0.0, ["x" * 20000]])])
     keeper.run()
     assert news[-1][1] == "lost" and "full" in keeper.failed or "no room" in keeper.failed
 
@@ -649,9 +673,9 @@
     chosen = said(played, "show", "0", "~0")
     weights = {endpoint: weight + 3.0 * (at % 2) for at, (endpoint, weight) in enumerate(chosen["lines"])}
     store = Store(played.folder / "store-0")
-    number = store.last_number("versions", number_key(0)) + 1000
+    number = store.last_number(VERSIONS, number_key(0)) + 1000
     other = VersionRow("feed0001", 0, "", "module", "", 0.0, "hand", 0, sorted(weights.items()), chosen["levels"])
-    store.write([Entry("versions", number_key(0, number), other)])
+    store.write([Entry(VERSIONS, number_key(0, number), other)])
     store.close()
     assert said(played, "rollback", "--table", "0", "--version", "feed0001")["taken"]
     wanted = {}
@@ -692,7 +716,7 @@
     path = tmp_path / "p.cue"
     record = pilot_record(store=StoreSettings(folder=str(tmp_path / "s")))
     path.write_bytes(msgspec.json.encode(record.model_dump()))
-    Store(tmp_path / "s").write([Entry("meta", META, SCHEMA + 1)])
+    Store(tmp_path / "s").write([Entry(META, SCHEMA_KEY, SCHEMA + 1)])
     done = CliRunner().invoke(cli, ["pilot", "--settings", str(path)])
     assert done.exit_code == 2 and "knows" in done.stderr
     path.write_bytes(msgspec.json.encode(pilot_record().model_dump()))
