--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -18,13 +18,34 @@
 from quillstep.invariants import judge
 from quillstep.routing.recovery import RecoveredTable, recovery_trust_ms
 from quillstep.routing.resources import EJECTED, WEIGHT, make_resource
-from quillstep.routing.rollout_gate import BARE, COLD, GONE, MOVES, EndpointView, RolloutGate
-from quillstep.routing.versions import Version, version_of
-from quillstep.store import Store, StoreError
+from quillstep.routing.rollout_gate import (
+    MOVED_SHARE,
+    NO_WARM_ENDPOINT,
+    NOT_IN_SERVICE,
+    WARMING_UP,
+    EndpointStates,
+    RolloutGate,
+)
+from quillstep.routing.versions import TableVersion, version_from_row
+from quillstep.store import (
+    Store,
+    StoreCorruptError,
+    StoreError,
+    StoreFullError,
+    StoreReadOnlyError,
+    StoreSchemaTooNewError,
+)
 from quillstep.store.records import (
+    ACKNOWLEDGED_UPDATES,
+    INCARNATIONS,
+    JOURNAL,
+    META,
+    OPERATOR_COMMANDS,
     PARTS,
+    PINS,
     SCHEMA,
-    AcknowledgedRow,
+    VERSIONS,
+    AcknowledgedUpdate,
     Entry,
     OperatorCommand,
     PinRow,
@@ -32,8 +53,8 @@
     number_key,
     pack,
 )
-from quillstep.store.retention import Stood, to_drop
-from quillstep.store.store import META, set_aside
+from quillstep.store.retention import StoredVersion, numbers_to_drop
+from quillstep.store.store import SCHEMA_KEY, set_aside
 from quillstep.store.writer import StoreWriter, opened
 from quillstep.testbed.scenarios.plan import plan
 from quillstep.testbed.scenarios.runner import Arm
@@ -43,7 +64,7 @@
 
 
 def seen(ready=range(1, 11), **part):
-    return EndpointView(set(ready), {int(each[1:]): value for each, value in part.items()})
+    return EndpointStates(set(ready), {int(each[1:]): value for each, value in part.items()})
 
 
 TEN = dict.fromkeys(range(1, 11), 10.0)
@@ -53,32 +74,32 @@
     ("wanted", "known", "passed", "rules"),
     [
         ({1: 15.0}, seen(), {1: 15.0}, []),
-        ({1: 15.0}, seen(range(2, 11)), {}, [GONE]),  # it drains
-        ({11: 10.0}, seen(range(1, 12), e11=0.2), {}, [COLD]),
+        ({1: 15.0}, seen(range(2, 11)), {}, [NOT_IN_SERVICE]),  # it drains
+        ({11: 10.0}, seen(range(1, 12), e11=0.2), {}, [WARMING_UP]),
         ({11: 3.0}, seen(range(1, 12), e11=0.2), {11: 3.0}, []),
         ({11: 1.0}, seen(range(1, 12), e11=0.001), {11: 1.0}, []),  # one slot is the least there is
         ({1: 0.0}, seen(), {1: 0.0}, []),  # what takes out is never held
-        ({1: 60.0, 2: 30.0}, seen(), {1: 60.0}, [MOVES]),  # 0.5 of the traffic, then 0.2 more of 0.6
-        ({1: 90.0}, seen(), {}, [MOVES]),
-        ({1: NAN}, seen(), {}, [MOVES]),
-        (dict.fromkeys(range(1, 11), 0.0), seen(), {}, [BARE]),
+        ({1: 60.0, 2: 30.0}, seen(), {1: 60.0}, [MOVED_SHARE]),  # 0.5 of the traffic, then 0.2 more of 0.6
+        ({1: 90.0}, seen(), {}, [MOVED_SHARE]),
+        ({1: NAN}, seen(), {}, [MOVED_SHARE]),
+        (dict.fromkeys(range(1, 11), 0.0), seen(), {}, [NO_WARM_ENDPOINT]),
         (dict.fromkeys(range(1, 10), 0.0), seen(), dict.fromkeys(range(1, 10), 0.0), []),
         (dict.fromkeys(range(1, 11), 0.0), seen(()), dict.fromkeys(range(1, 11), 0.0), []),  # all have died
         ({1: 5.0}, seen(e1=0.5), {1: 5.0}, []),  # a cold one's fall
     ],
 )
 def test_the_gate_passes_what_may_leave_and_says_what_may_not(wanted, known, passed, rules):
-    found, held = RolloutGate(0.6, 2000.0, [1]).lines(0, TEN, wanted, known, 0.0)
+    found, held = RolloutGate(0.6, 2000.0, [1]).filter_weights(0, TEN, wanted, known, 0.0)
     assert found == passed and [each.rule for each in held] == rules
 
 
 def test_the_traffic_moved_is_counted_over_time_and_falls_of_cold_ones_are_not():
     gate, known = RolloutGate(0.5, 1000.0, [1]), seen()
-    assert gate.lines(0, TEN, {1: 45.0}, known, 0.0)[0] == {1: 45.0}
-    assert gate.lines(0, TEN, {2: 45.0}, known, 500.0)[0] == {}
-    assert gate.lines(1, TEN, {2: 45.0}, known, 500.0)[0] == {2: 45.0}  # another table
-    assert gate.lines(0, TEN, {3: 0.0}, known, 600.0)[0] == {3: 0.0}
-    assert gate.lines(0, TEN, {2: 45.0}, known, 1001.0)[0] == {2: 45.0}
+    assert gate.filter_weights(0, TEN, {1: 45.0}, known, 0.0)[0] == {1: 45.0}
+    assert gate.filter_weights(0, TEN, {2: 45.0}, known, 500.0)[0] == {}
+    assert gate.filter_weights(1, TEN, {2: 45.0}, known, 500.0)[0] == {2: 45.0}  # another table
+    assert gate.filter_weights(0, TEN, {3: 0.0}, known, 600.0)[0] == {3: 0.0}
+    assert gate.filter_weights(0, TEN, {2: 45.0}, known, 1001.0)[0] == {2: 45.0}
 
 
 @pytest.mark.parametrize(
@@ -94,7 +115,7 @@
     ],  # fmt: skip
 )
 def test_levels_and_ways_stay_within_bounds(allowed, tries, good):
-    assert (RolloutGate(0.6, 2000.0, [1]).level(0, 0, allowed, tries) is None) is good
+    assert (RolloutGate(0.6, 2000.0, [1]).check_admission(0, 0, allowed, tries) is None) is good
 
 
 NUMBERS = st.integers(1, 12)
@@ -102,11 +123,11 @@
 
 @given(st.dictionaries(NUMBERS, st.floats(0.0, 100.0)), st.sets(NUMBERS), st.sets(NUMBERS))
 def test_whatever_is_wanted_no_table_loses_its_last_warm_line_nor_gains_a_gone_one(wanted, ready, cold):
-    known = EndpointView(ready, dict.fromkeys(cold, 0.3))
-    passed, _ = RolloutGate(0.6, 2000.0, [1]).lines(0, TEN, wanted, known, 0.0)
+    known = EndpointStates(ready, dict.fromkeys(cold, 0.3))
+    passed, _ = RolloutGate(0.6, 2000.0, [1]).filter_weights(0, TEN, wanted, known, 0.0)
     after = {**TEN, **passed}
-    warm = [e for e in TEN if known.warm(e)]
-    assert not warm or any(after[e] > 0 for e in after if known.warm(e))
+    warm = [e for e in TEN if known.is_warm(e)]
+    assert not warm or any(after[e] > 0 for e in after if known.is_warm(e))
     assert not [e for e, w in passed.items() if w > TEN.get(e, 0.0) and e not in ready]
 
 
@@ -126,7 +147,7 @@
     core.look(pilot.now)
     core.tables.begin()
     for endpoint, weight in lines.items():
-        core.book.line(0, endpoint, weight)
+        core.book.set_weight(0, endpoint, weight)
     core.book.flush()
     for push in core.tables.commit():
         core.tables.release(push.proxy, push.revision)
@@ -143,7 +164,7 @@
 
 
 def stood(pilot):
-    return pilot.core.book.leaves[0].versions
+    return pilot.core.book.rollouts[0].versions
 
 
 def test_a_pinned_table_goes_back_and_stays_while_the_module_writes_on():
@@ -152,15 +173,15 @@
     for weight in (14.0, 18.0):
         module_writes(pilot, {3: weight})
         pilot.run(50)
-    pilot.core.book.pin(before._replace(cause="rollback", who="op"))
+    pilot.core.book.pin(before._replace(cause="rollback", operator="op"))
     module_writes(pilot, {3: 22.0, 4: 13.0})
     pilot.run(1500)
-    assert all(holds(pilot, proxy, before.lines) for proxy in pilot.proxies.values())
-    assert ("rollback", "op") in {(version.cause, version.who) for version in stood(pilot)}
+    assert all(holds(pilot, proxy, before.weights) for proxy in pilot.proxies.values())
+    assert ("rollback", "op") in {(version.cause, version.operator) for version in stood(pilot)}
     pilot.core.book.release(0)
     pilot.run(5000)
-    wanted = pilot.core.book.leaves[0].lines
-    assert all(holds(pilot, proxy, wanted) for proxy in pilot.proxies.values()) and not pilot.core.book.waits()
+    wanted = pilot.core.book.rollouts[0].wanted_weights
+    assert all(holds(pilot, proxy, wanted) for proxy in pilot.proxies.values()) and not pilot.core.book.is_behind()
 
 
 def test_what_the_module_takes_out_of_a_pinned_table_is_out_at_once_and_stays_out_of_the_pin():
@@ -179,13 +200,13 @@
     pilot.core.started[3] = pilot.now
     pilot.core.book.pin(version)
     pilot.core.look(pilot.now)
-    assert pilot.core.book.target(0)[0][3] <= 0.25 * version.lines[4] + 1.0
+    assert pilot.core.book.target(0)[0][3] <= 0.25 * version.weights[4] + 1.0
 
 
 def test_a_pin_without_a_warm_endpoint_left_gives_way_to_the_module():
     pilot = settled()
     version = stood(pilot)[-1]
-    pilot.core.book.pin(version._replace(lines={3: 10.0}))
+    pilot.core.book.pin(version._replace(weights={3: 10.0}))
     pilot.roster("partial", [3], "terminated")
     pilot.run(3000)
     assert len(pilot.core.book.target(0)[0]) >= 4
@@ -205,7 +226,7 @@
     pilot.run(300, step=50.0)
     some.refuses = False
     pilot.run(4000, step=50.0)
-    assert all(holds(pilot, proxy, before.lines) for proxy in pilot.proxies.values())
+    assert all(holds(pilot, proxy, before.weights) for proxy in pilot.proxies.values())
 
 
 def test_of_two_rollbacks_that_cross_the_later_one_stands():
@@ -219,7 +240,7 @@
     pilot.run(30, read=False)
     pilot.core.book.pin(versions[1])
     pilot.run(3000)
-    assert all(holds(pilot, proxy, versions[1].lines) for proxy in pilot.proxies.values())
+    assert all(holds(pilot, proxy, versions[1].weights) for proxy in pilot.proxies.values())
 
 
 def test_what_the_gate_keeps_comes_later_a_part_at_a_time_and_is_told():
@@ -227,7 +248,7 @@
     module_writes(pilot, {1: 40.0, 2: 40.0, 3: 10.0})
     lines = pilot.core.tables.tables[0].weights
     assert lines[1] < 40.0 or lines[2] < 40.0
-    assert pilot.core.book.held and pilot.core.book.held[0].rule == MOVES
+    assert pilot.core.book.withheld and pilot.core.book.withheld[0].rule == MOVED_SHARE
 
 
 def test_a_proxy_that_missed_many_deltas_gets_one_difference():
@@ -306,7 +327,7 @@
             book = self.pilot.core.book
             lines = dict(book.target(0)[0])
             for extra in (0.5, 0.0):
-                book.pin(Version("", 0, "", "pin", "", 0.0, 0, {e: w + extra for e, w in lines.items()}, {}))
+                book.pin(TableVersion("", 0, "", "pin", "", 0.0, 0, {e: w + extra for e, w in lines.items()}, {}))
                 self.pilot.run(12000.0, step=50.0)
         self.pilot.run(12000.0, step=50.0)
         wanted = self.pilot.core.book.target(0)[0]
@@ -347,7 +368,7 @@
 )
 def test_a_former_line_stands_until_there_is_fresh_bad_news_or_its_trust_is_over(words, now, warm, started, stands):
     former = RecoveredTable({1: 3.0}, 500.0, 1000.0)
-    assert [former.word(1, word, now, warm, started) for word in words][-1] == stands
+    assert [former.effective_weight(1, word, now, warm, started) for word in words][-1] == stands
 
 
 def test_a_pilot_that_starts_over_sends_nothing_that_holds_and_has_the_modules_tables_in_the_end():
@@ -358,13 +379,15 @@
     version = stood(first)[-1]
     again = MemoryPilot(record=pilot_record(store=StoreSettings(folder="x", recovery_trust_ms=6000.0)))
     again.core.durable = float("inf")
-    rows = [list(version[:5]) + [1000.0, list(version.lines.items()), [[p, *lv] for p, lv in version.levels.items()]]]
+    rows = [
+        list(version[:5]) + [1000.0, list(version.weights.items()), [[p, *lv] for p, lv in version.admission.items()]]
+    ]
     again.core.from_store("opened", [1100.0, rows], [])
     proxies = [again.join(name, zone, proxy.versions) for (name, proxy), zone in zip(first.proxies.items(), "ab")]  # noqa: B905
     again.run(3000)
     for proxy in proxies:
         assert not [n for url, names, _ in proxy.log if url == LEDS for n in names if "/table-0/" in n]
-        assert holds(again, proxy, version.lines)
+        assert holds(again, proxy, version.weights)
     again.run(9000)
     module = again.core.planner.fleet.endpoints
     for proxy in proxies:
@@ -381,13 +404,13 @@
 
 def test_rows_come_back_as_they_were_and_numbers_go_on(tmp_path):
     store = Store(tmp_path / "s")
-    entries = [Entry("versions", number_key(table, n), row(n, table)) for table in (0, 7) for n in range(1, 4)]
-    store.write([*entries, Entry("pins", number_key(7), PinRow(7, "v2", "op", 5.0, "rollback"))])
+    entries = [Entry(VERSIONS, number_key(table, n), row(n, table)) for table in (0, 7) for n in range(1, 4)]
+    store.write([*entries, Entry(PINS, number_key(7), PinRow(7, "v2", "op", 5.0, "rollback"))])
     store.close()
     again = Store(tmp_path / "s", write=False)
     assert again.versions(7) == [row(n, 7) for n in range(1, 4)]
-    assert [again.last_number("versions", number_key(table)) for table in (0, 7, 9)] == [3, 3, 0]
-    assert again.rows("pins")[0][1].cause == "rollback" and again.check()["bad"] == []
+    assert [again.last_number(VERSIONS, number_key(table)) for table in (0, 7, 9)] == [3, 3, 0]
+    assert again.rows(PINS)[0][1].cause == "rollback" and again.check()["bad"] == []
 
 
 @pytest.mark.parametrize(
@@ -401,8 +424,8 @@
     ],
 )
 def test_what_is_kept_goes_by_count_and_age_and_pins(wall, pinned, count, age, dropped):
-    rows = [Stood(at + 1, f"v{at + 1}", float(ms)) for at, ms in enumerate(wall)]
-    assert to_drop(rows, pinned, 100.0, count, age) == dropped
+    rows = [StoredVersion(at + 1, f"v{at + 1}", float(ms)) for at, ms in enumerate(wall)]
+    assert numbers_to_drop(rows, pinned, 100.0, count, age) == dropped
 
 
 def test_a_store_of_an_older_schema_is_brought_forward_in_one_commit(tmp_path):
@@ -410,13 +433,13 @@
     key = number_key(0, 1)
     old = ["v1", 0, "", "module", "", 5.0, 3, [[1, 10.0]], [[0, 5.0, 1]]]
     with store.env.begin(write=True) as txn:
-        txn.put(META, pack(META, 1), db=store.parts["meta"])
+        txn.put(SCHEMA_KEY, pack(SCHEMA_KEY, 1), db=store.parts["meta"])
         txn.put(key, pack(key, old), db=store.parts["versions"])
         txn.put(number_key(0), pack(number_key(0), [0, "v1", "op", 5.0]), db=store.parts["pins"])
     store.close()
     again = Store(tmp_path / "s")
-    assert again.versions(0)[0].life == "" and again.versions(0)[0].order == 3
-    assert again.rows("pins")[0][1].cause == "pin" and again.rows("meta")[0][1] == SCHEMA
+    assert again.versions(0)[0].incarnation == "" and again.versions(0)[0].revision == 3
+    assert again.rows(PINS)[0][1].cause == "pin" and again.rows(META)[0][1] == SCHEMA
 
 
 def spoilt(folder):
@@ -431,20 +454,30 @@
 def test_a_page_that_went_bad_is_found_and_the_store_set_aside_with_a_line(tmp_path):
     folder = tmp_path / "s"
     store = Store(folder)
-    store.write([Entry("pins", number_key(0), PinRow(0, "v1", "rollback-here", 5.0))])
+    store.write([Entry(PINS, number_key(0), PinRow(0, "v1", "rollback-here", 5.0))])
     store.close()
     spoilt(folder)
     assert "checksum" in Store(folder, write=False).check()["bad"][0]
     record = StoreSettings(folder=str(folder))
     fresh = opened(record)
-    assert fresh.rows("pins") == [] and len(list(tmp_path.glob("s.aside-*"))) == 1
+    assert fresh.rows(PINS) == [] and len(list(tmp_path.glob("s.aside-*"))) == 1
 
 
-@pytest.mark.parametrize("kind", ["newer", "read-only", "full", "bad", "broken"])
-def test_a_store_that_can_not_be_used_says_why(tmp_path, kind):
+@pytest.mark.parametrize(
+    ("kind", "error"),
+    [
+        ("newer", StoreSchemaTooNewError),
+        ("read-only", StoreReadOnlyError),
+        ("full", StoreFullError),
+        ("bad", StoreCorruptError),
+        ("broken", StoreError),
+    ],
+    ids=["newer", "read-only", "full", "bad", "broken"],
+)
+def test_a_store_that_can_not_be_used_says_why(tmp_path, kind, error):
     folder = tmp_path / "s"
     if kind == "newer":
-        Store(folder).write([Entry("meta", META, SCHEMA + 1)])
+        Store(folder).write([Entry(META, SCHEMA_KEY, SCHEMA + 1)])
     elif kind == "full":
         Store(folder, 2**20).close()
     elif kind == "read-only":
@@ -456,12 +489,12 @@
         folder.write_text("a file where a folder should be")
     with pytest.raises(StoreError) as found:
         store = Store(folder, 2**20, write=kind != "read-only")
-        store.write([Entry("journal", number_key(n), ["e", n, 0.0, ["x" * 2000]]) for n in range(2000)])
-    assert found.value.kind == kind
+        store.write([Entry(JOURNAL, number_key(n), ["e", n, 0.0, ["x" * 2000]]) for n in range(2000)])
+    assert found.value.reason == kind and type(found.value) is error
 
 
 def test_a_newer_store_is_refused_and_a_bad_one_is_not_mended_over(tmp_path):
-    Store(tmp_path / "s").write([Entry("meta", META, SCHEMA + 1)])
+    Store(tmp_path / "s").write([Entry(META, SCHEMA_KEY, SCHEMA + 1)])
     with pytest.raises(StoreError, match=f"schema {SCHEMA + 1}"):
         opened(StoreSettings(folder=str(tmp_path / "s")))
     assert not list(tmp_path.glob("s.aside-*"))
@@ -471,8 +504,8 @@
 def test_an_export_reads_back_as_the_same_store_and_a_torn_one_not_at_all(tmp_path):
     run = CliRunner().invoke
     store = Store(tmp_path / "a")
-    store.write([Entry("versions", number_key(0, n), row(n)) for n in range(1, 50)])
-    store.write([Entry("holds", b"p", AcknowledgedRow("p", "e", 3, 1.0))])
+    store.write([Entry(VERSIONS, number_key(0, n), row(n)) for n in range(1, 50)])
+    store.write([Entry(ACKNOWLEDGED_UPDATES, b"p", AcknowledgedUpdate("p", "e", 3, 1.0))])
     store.close()
     assert run(cli, ["store", "export", str(tmp_path / "a"), str(tmp_path / "x")]).exit_code == 0
     assert run(cli, ["store", "import", str(tmp_path / "b"), str(tmp_path / "x")]).exit_code == 0
@@ -530,19 +563,19 @@
     keeper = StoreWriter(record, opened(record), "e", put)
     thread = threading.Thread(target=keeper.run)
     thread.start()
-    version = Version("v1", 0, "", "module", "", 0.0, 1, {1: 10.0}, {0: (5.0, 1)})
-    pin = keeper.pinned(version._replace(cause="rollback", who="op"), 7.0)
+    version = TableVersion("v1", 0, "", "module", "", 0.0, 1, {1: 10.0}, {0: (5.0, 1)})
+    pin = keeper.pinned(version._replace(cause="rollback", operator="op"), 7.0)
     keeper.hand_over(1, [keeper.version(version, 7.0), pin])
-    keeper.store.write([Entry("wishes", number_key(9), OperatorCommand("rollback", [(0, "v1")], "op", 7.0))])
+    keeper.store.write([Entry(OPERATOR_COMMANDS, number_key(9), OperatorCommand("rollback", [(0, "v1")], "op", 7.0))])
     assert woken.wait(20.0)
     keeper.hand_over(2, [keeper.done(number_key(9).hex())])
     keeper.stop()
     thread.join(20.0)
     assert ("store", "stored", 1, []) in news and ("store", "stored", 2, []) in news
     (wish,) = [each for each in news if each[1] == "wish"]
-    assert version_of(wish[3][1][0][1]).lines == {1: 10.0}
+    assert version_from_row(wish[3][1][0][1]).weights == {1: 10.0}
     fresh = StoreWriter(record, opened(record), "f", put)
-    assert fresh.store.rows("wishes") == [] and fresh.store.rows("lives")[0][1].ended_ms > 0
+    assert fresh.store.rows(OPERATOR_COMMANDS) == [] and fresh.store.rows(INCARNATIONS)[0][1].ended_ms > 0
     kind, what, versions, pins = fresh.start_news()
     assert (kind, what, len(versions[1])) == ("store", "opened", 1) and pins[0][1:] == ["rollback", "op"]
 
@@ -550,7 +583,7 @@
 def test_a_pin_whose_version_is_gone_is_passed_over_with_a_line(tmp_path, capsys):
     record = StoreSettings(folder=str(tmp_path / "s"))
     store = opened(record)
-    store.write([Entry("pins", number_key(0), PinRow(0, "gone", "op", 5.0))])
+    store.write([Entry(PINS, number_key(0), PinRow(0, "gone", "op", 5.0))])
     assert StoreWriter(record, store, "e", print).start_news()[3] == []
     assert "pin passed over" in "".join(capsys.readouterr())
 
@@ -560,7 +593,7 @@
     news = []
     keeper = StoreWriter(record, opened(record), "e", news.append)
     for at in range(200):
-        keeper.hand_over(at, [Entry("journal", number_key(at + 1), ["e", at, 0.0, ["x" * 20000]])])
+        keeper.hand_over(at, [Entry(JOURNAL, number_key(at + 1), ["e", at, 0.0, ["x" * 20000]])])
     keeper.run()
     assert news[-1][1] == "lost" and "full" in keeper.failed or "no room" in keeper.failed
 
@@ -574,7 +607,7 @@
     module_wrote = core.tables.revision
     core.look(pilot.now)
     core.tables.begin()
-    core.book.line(0, 3, 14.0)
+    core.book.set_weight(0, 3, 14.0)
     core.book.flush()
     core.channel.put(core.tables.commit(), pilot.now)
     number = core.tables.revision
@@ -640,9 +673,9 @@
     chosen = said(played, "show", "0", "~0")
     weights = {endpoint: weight + 3.0 * (at % 2) for at, (endpoint, weight) in enumerate(chosen["lines"])}
     store = Store(played.folder / "store-0")
-    number = store.last_number("versions", number_key(0)) + 1000
+    number = store.last_number(VERSIONS, number_key(0)) + 1000
     other = VersionRow("feed0001", 0, "", "module", "", 0.0, "hand", 0, sorted(weights.items()), chosen["levels"])
-    store.write([Entry("versions", number_key(0, number), other)])
+    store.write([Entry(VERSIONS, number_key(0, number), other)])
     store.close()
     assert said(played, "rollback", "--table", "0", "--version", "feed0001")["taken"]
     wanted = {}
@@ -683,7 +716,7 @@
     path = tmp_path / "p.cue"
     record = pilot_record(store=StoreSettings(folder=str(tmp_path / "s")))
     path.write_bytes(msgspec.json.encode(record.model_dump()))
-    Store(tmp_path / "s").write([Entry("meta", META, SCHEMA + 1)])
+    Store(tmp_path / "s").write([Entry(META, SCHEMA_KEY, SCHEMA + 1)])
     done = CliRunner().invoke(cli, ["pilot", "--settings", str(path)])
     assert done.exit_code == 2 and "knows" in done.stderr
     path.write_bytes(msgspec.json.encode(pilot_record().model_dump()))
