--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -15,9 +15,12 @@
 from quillstep.controller.control_intervals import ControlIntervals
 from quillstep.controller.plain_stats import PlainStats
 from quillstep.controller.update_channel import UpdateChannel
-from quillstep.load_reports.aggregator import Asked, ReportAggregator
-from quillstep.load_reports.collector import INTAKE_PART, ReportCollector
-from quillstep.load_reports.validation import ReportAccount, Told
+from quillstep.load_reports.aggregator import ReportAggregator
+from quillstep.load_reports.collector import DRAIN_INTERVAL_PERIODS, ReportCollector
+from quillstep.load_reports.connections import log_warnings
+from quillstep.load_reports.messages import AddEndpoints, MembershipChange, ProxyJoined, ProxyLeft, ReportRequest
+from quillstep.load_reports.summary import ReportSummary
+from quillstep.load_reports.validation import LoadReport, ReportAccount
 from quillstep.planner.messages import (
     EndpointEntry,
     EndpointListUpdate,
@@ -83,14 +86,14 @@
         self.terms = table_number_offset(record.fleet.zones, any(row.home_zone_only for row in classes))
         self.started: dict[int, float] = {}  # when each listed endpoint started, 0: long ago
         self.channel = UpdateChannel(channel.lines_per_s)
-        self.plain = PlainStats(INTAKE_PART * proxies.report_interval_ms)
+        self.plain = PlainStats(DRAIN_INTERVAL_PERIODS * proxies.report_interval_ms)
         self.intake = ReportCollector(record)
         self.by_inbox = record.reports.by == "inbox"
         self.gatherer = ReportAggregator(
             record.reports, record.fleet
         )  # of reports that come with the news, as files do
-        self.asked: list[Asked] = []  # what proxies are to be asked for
-        self.moves: list[tuple] = []  # what other gatherers are to be told: joins, leaves, addresses
+        self.asked: list[ReportRequest] = []  # what proxies are to be asked for
+        self.moves: list[MembershipChange] = []  # what other gatherers are to be told: joins, leaves, addresses
         self.places = {row.name: place for place, row in enumerate(record.fleet.classes)}
         self.numbers: dict[str, int] = {}  # proxies by node name
         self.zones: dict[int, str] = {}  # of joined proxies
@@ -124,8 +127,8 @@
             self.endpoints[host, port] = endpoint
             self.placed.append((endpoint, host, port))
         if addresses:
-            self.gatherer.listed(self.endpoints)
-            self.moves.append(("listed", [[host, port, number] for number, (host, port) in addresses.items()]))
+            self.gatherer.add_endpoints(self.endpoints)
+            self.moves.append(AddEndpoints([(host, port, number) for number, (host, port) in addresses.items()]))
         for entry in entries:
             self.states[entry.endpoint], self.started[entry.endpoint] = entry.state, entry.started_ms
         self.listed = self.listed or kind != "error"
@@ -145,9 +148,9 @@
         self.tables.add_proxy(proxy, zone, held)
         self.ways.add_proxy(proxy, fresh, self.record.fleet.proxies.default_retry_policy)
         usual_ms = self.record.fleet.proxies.report_interval_ms
-        self.gatherer.joined(ReportAccount(proxy, zone, life, usual_ms, usual_ms), node)
-        self.intake.joined(proxy, self.now_ms)
-        self.moves.append(("joined", node, proxy, zone, life))
+        self.gatherer.add_proxy(ReportAccount(proxy, zone, life, usual_ms, usual_ms), node)
+        self.intake.add_proxy(proxy, self.now_ms)
+        self.moves.append(ProxyJoined(node, proxy, zone, life))
         self.incoming.proxy_streams.append(ProxyStreamEvent(proxy, True, zone, usual, fresh))
         self.heard(self.now_ms)
         return proxy
@@ -158,9 +161,9 @@
         self.tables.remove_proxy(proxy)
         self.channel.drop(proxy)
         node = self.gatherer.names[proxy]
-        self.gatherer.left(node)
-        self.intake.left(proxy)
-        self.moves.append(("left", node))
+        self.gatherer.remove_proxy(node)
+        self.intake.remove_proxy(proxy)
+        self.moves.append(ProxyLeft(node))
         self.incoming.proxy_streams.append(ProxyStreamEvent(proxy, False))
         self.heard(self.now_ms)
 
@@ -168,24 +171,25 @@
         proxy = self.numbers.get(node)
         return proxy if proxy in self.zones else None
 
-    def told(self, proxy: int, told: Told) -> None:
+    def told(self, proxy: int, report: LoadReport) -> None:
         """A load report that came with the news."""
         if self.by_inbox:
-            self.take_plain(proxy, told)
+            self.take_plain(proxy, report)
         else:
-            self.gatherer.take(self.gatherer.names[proxy], told, self.now_ms, self.now_ms)
+            self.gatherer.add_report(self.gatherer.names[proxy], report, self.now_ms, self.now_ms)
 
-    def take_plain(self, proxy: int, told: Told) -> None:
+    def take_plain(self, proxy: int, report: LoadReport) -> None:
         """As the first pilot did: all of it, whatever it says."""
-        for endpoint, good, failed, good_ms, load in told.rows:
-            figures = {} if load is None else {"util": load}
-            self.plain.tried(self.zones[proxy], endpoint, good + failed, failed, good_ms, figures)
-        for place, arrived, unanswered in told.arrivals:
-            self.plain.arrived(place, proxy, arrived, unanswered, told.covers_ms)
-
-    def gathered(self, found: dict[str, Any]) -> None:
+        for row in report.rows:
+            load = {} if row.load is None else {"util": row.load}
+            attempts = row.succeeded + row.failed
+            self.plain.tried(self.zones[proxy], row.endpoint, attempts, row.failed, row.succeeded_ms, load)
+        for arrivals in report.arrivals:
+            self.plain.arrived(arrivals.class_index, proxy, arrivals.arrived, arrivals.unanswered, report.window_ms)
+
+    def gathered(self, summary: ReportSummary) -> None:
         """What another gatherer hands over."""
-        self.intake.take(found, self.now_ms)
+        self.intake.add_summary(summary, self.now_ms)
 
     def probed(self, endpoint: int, answered: bool, took_ms: float, load: dict[str, float]) -> None:
         self.incoming.health_checks.append(HealthCheckResult(endpoint, answered, took_ms, load))
@@ -198,10 +202,9 @@
         self.now_ms = now_ms
         self.let_go(now_ms)
         if self.gatherer.due_ms() <= now_ms:
-            self.complain(self.gatherer.complaints)
-            self.gatherer.complaints = []
-            self.intake.take(self.gatherer.hand_over(now_ms), now_ms)
-        self.ask(self.intake.plan(now_ms) if not self.by_inbox else [])
+            self.log_invalid_reports()
+            self.intake.add_summary(self.gatherer.drain(now_ms), now_ms)
+        self.ask(self.intake.plan_requests(now_ms) if not self.by_inbox else [])
         if receipts := self.tables.completed_acks():
             self.incoming.acks += receipts
             self.heard(now_ms)
@@ -302,18 +305,17 @@
         self.granted.append((key, kind, done))
         self.catch_up_ms = 0.0  # at once
 
-    def ask(self, asked: list[Asked]) -> None:
-        for each in asked:
-            self.gatherer.ask(each)
-        self.asked += asked
+    def ask(self, requests: list[ReportRequest]) -> None:
+        for request in requests:
+            self.gatherer.set_request(request)
+        self.asked += requests
 
-    def complain(self, complaints: list) -> None:
-        """Say what was wrong with whose reports."""
-        for name, text in complaints:
-            self.log.warning("load report doubted", proxy=name, reason=text)
+    def log_invalid_reports(self) -> None:
+        """Logs what is wrong with whose reports."""
+        log_warnings(self.log, self.gatherer.drain_warnings())
         for proxy in sorted(self.intake.bounded):
             name = self.gatherer.names.get(proxy, "")
-            self.log.warning("load report doubted", proxy=name, reason="tells of more than its part of all traffic")
+            self.log.warning("invalid load report", proxy=name, reason="over its share of all traffic")
         self.intake.bounded.clear()
 
     def due_ms(self) -> float:
@@ -330,13 +332,13 @@
             due = min(due, self.catch_up_ms)
         if self.unstored:
             due = min(due, self.unstored[0][1] + self.record.store.max_durability_wait_ms)
-        return due if self.by_inbox else min(due, self.intake.plan_ms())
+        return due if self.by_inbox else min(due, self.intake.plan_due_ms())
 
     def round(self, now_ms: float) -> None:
         incoming = self.control_intervals.start(now_ms)
         intake = self.plain if self.by_inbox else self.intake
         if intake.due_ms() <= now_ms:
-            incoming.upstream_stats, incoming.downstream_stats = intake.hand_over(now_ms)
+            incoming.upstream_stats, incoming.downstream_stats = intake.drain(now_ms)
             incoming.downstream_stats = [row for row in incoming.downstream_stats if row.proxy in self.zones]
         self.tables.begin()
         self.look(now_ms)
--- a/quillstep/controller/plain_stats.py
+++ b/quillstep/controller/plain_stats.py
@@ -45,7 +45,7 @@
             return float("inf")
         return (self.since_ms or 0.0) + self.period_ms
 
-    def hand_over(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]]:
+    def drain(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]]:
         """Sums and arrivals in the interface's shape; starts anew."""
         covers = self.period_ms if self.since_ms is None else now_ms - self.since_ms
         sums = [
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -16,8 +16,8 @@
 from quillstep.controller.event_codec import EventCodec
 from quillstep.controller.event_queue import EventQueue
 from quillstep.controller.health_checker import HealthChecker
-from quillstep.load_reports.reader_pool import Processes
-from quillstep.load_reports.reader_thread import ThreadReader
+from quillstep.load_reports.reader_pool import ReaderPool
+from quillstep.load_reports.reader_thread import ReaderThread
 from quillstep.planner.messages import HealthCheckResult
 from quillstep.recording.writer import RecordingWriter
 from quillstep.store import Store
@@ -88,12 +88,12 @@
             from quillstep.tracing.spans import Spans  # only who wants spans needs the library for them
 
             self.spans = Spans(record.spans.file, record.spans.sampled_share, record.spans.max_spans_per_s, record.name)
-        self.reader: ThreadReader | None = None
-        self.processes: Processes | None = None
+        self.reader: ReaderThread | None = None
+        self.processes: ReaderPool | None = None
         if record.reports.by == "thread":
-            self.reader = ThreadReader(record.reports, record.fleet, self.put_sums)
+            self.reader = ReaderThread(record.reports, record.fleet, self.put_sums)
         elif record.reports.by == "processes":
-            self.processes = Processes(record, self.put_sums)
+            self.processes = ReaderPool(record, self.put_sums)
             self.processes.start()
         self.server = Server(record.listen, record.limits, self.put, self.reader)
         self.decider.streams.server = self.server
@@ -166,7 +166,7 @@
             self.put(self.keeper.start_news())
             threading.Thread(target=self.keeper.run, daemon=True).start()
         if self.reader:
-            threading.Thread(target=self.reader.run, daemon=True).start()
+            self.reader.start()
         if self.decider.files:
             self.decider.files.start()
         self.roster = DiscoveryClient(
@@ -229,9 +229,9 @@
         moves, asked = self.core.moves, self.core.asked
         self.core.moves, self.core.asked = [], []
         if self.reader:
-            self.reader.tell(moves, asked)
+            self.reader.notify(moves, asked)
         elif self.processes and (moves or asked):
-            self.processes.tell(moves, asked, self.core.gatherer.names)
+            self.processes.notify(moves, asked, self.core.gatherer.names)
 
     def say(self) -> None:
         """How reports and rounds went so far; what is counted runs from the start."""
@@ -240,7 +240,7 @@
         names = [row.name for row in self.record.fleet.classes]
         usual_ms = self.core.tables.line_cost.line_ms()
         self.log.info(
-            "reports read", rounds=self.core.rounds, rounds_late_ms=late, **self.core.intake.summary(names),
+            "reports read", rounds=self.core.rounds, rounds_late_ms=late, **self.core.intake.statistics(names),
             line_ms=usual_ms and round(usual_ms, 3),
             cpu_s={**self.cpu_s, "deciding": round(time.thread_time(), 3), "process": round(time.process_time(), 3)},
         )  # fmt: skip
@@ -253,7 +253,7 @@
             self.stopping = True
             return
         if news[0] == "reports":
-            self.cpu_s[f"reader {news[1]}"] = news[2].pop("cpu_s", {})
+            self.cpu_s[f"reader {news[1]}"] = news[2].take_cpu_s()
         now = self.now_ms()
         if self.capture:
             self.capture.put(self.teller.record(news, arrived_ms, now))
--- a/quillstep/load_reports/aggregator.py
+++ b/quillstep/load_reports/aggregator.py
@@ -1,210 +1,219 @@
-"""What one reader of load reports decides: whose to read, what counts, what a window comes to.  No I/O, no clocks.
+"""What one reader of load reports decides: which to read, which count, what a window comes to.  Without I/O and clocks.
 
-The same gatherer stands in a thread of the pilot, in a process of its own, and on the virtual time of a replay.
-Work is counted in rows: a message costs as much as so many rows of it, so that the figure is the same on any machine.
+The same aggregator runs in a thread of the controller, in a process of its own, and on the virtual time of a replay.
+Cost is counted in rows: a message costs as much as so many rows of it, so that the figure is the same on any machine.
 """
 
-from dataclasses import dataclass
-from typing import Any
+from typing import NamedTuple
 
 from quillstep.config.controller import LoadReportSettings
 from quillstep.config.fleet import FleetSettings
-from quillstep.load_reports.aging import HALVES, horizon_ms, weight
-from quillstep.load_reports.upstream_stats import Folded, Report, Window, fold
-from quillstep.load_reports.validation import ReportAccount, Told, counted, sound
+from quillstep.load_reports.aging import MAX_HALVINGS, age_weight, max_age_ms
+from quillstep.load_reports.messages import ReportRequest
+from quillstep.load_reports.summary import ReportSummary
+from quillstep.load_reports.upstream_stats import CountedReport, EndpointMemory, ReportWindow, summarize
+from quillstep.load_reports.validation import LoadReport, Rejected, ReportAccount, count_report, validate
 
-MESSAGE_WORK = 40.0  # rows that reading one message costs as much as; measured, see docs/reports.md
-ROW_BYTES = 60.0  # about the least that a row takes
-SAID_MS = 10000.0  # a complaint of a kind about a proxy is said once in so long
-COMPLAINTS_MOST = 64  # in one window
-GONE_MOST = 4096  # proxies that left and are remembered
+MESSAGE_COST = 40.0  # of reading one message, in rows; measured, see docs/reports.md
+MIN_ROW_BYTES = 60.0  # about the least that a row takes
+WARNING_INTERVAL_MS = 10000.0  # between two warnings of a kind about a proxy
+MAX_WARNINGS = 64  # in one window
+MAX_WARNING_TIMES = 4096  # kinds of warnings whose time is remembered
+MAX_LEFT_PROXIES = 4096  # proxies that left and are remembered
+NEWEST_PER_ENDPOINT = 64  # zones whose latest times are remembered for each endpoint, before old ones are dropped
+NEWEST_KEPT_PERIODS = 60 * MAX_HALVINGS
+SPARE_COST = 1e-6
 
 
-@dataclass(slots=True)
-class Asked:
-    """What a proxy is asked for from now on."""
+def message_cost(size_bytes: int) -> float:
+    """What a message may cost at most, in rows, before it is read."""
+    return MESSAGE_COST + size_bytes / MIN_ROW_BYTES
 
-    proxy: int
-    period_ms: float
-    full: bool
-    factor: float
-    counts_from_ms: float
-    counts_to_ms: float
 
+class ReportWarning(NamedTuple):
+    """What was wrong with a proxy's reports."""
 
-def work_of(size: int) -> float:
-    """What a message of so many bytes may cost at most, before it is read."""
-    return MESSAGE_WORK + size / ROW_BYTES
+    proxy: str
+    reason: str
 
 
 class ReportAggregator:
-    """Accounts of all joined proxies by name, the window that gathers, and the work it may do."""
+    """Accounts of all joined proxies by name, the window that is being filled, and its budget."""
 
-    def __init__(self, facts: LoadReportSettings, fleet: FleetSettings) -> None:
-        self.facts = facts
+    def __init__(self, settings: LoadReportSettings, fleet: FleetSettings) -> None:
+        self.settings = settings
         self.usual_ms = fleet.proxies.report_interval_ms
         self.deadline_ms = max(row.deadline_ms for row in fleet.classes)
-        self.places = {row.name: place for place, row in enumerate(fleet.classes)}
-        self.endpoints: dict[tuple[str, int], int] = {}
+        self.class_indexes = {row.name: index for index, row in enumerate(fleet.classes)}
+        self.endpoints: dict[tuple[str, int], int] = {}  # by address
         self.accounts: dict[str, ReportAccount] = {}
-        self.gone: dict[str, ReportAccount] = {}  # of proxies that left
+        self.left_accounts: dict[str, ReportAccount] = {}
         self.names: dict[int, str] = {}
-        self.newest: dict[tuple[str, int], float] = {}
-        self.carried: dict[tuple[str, int], float] = {}  # tries that wait for fresh news of their endpoint
-        self.window = Window()
-        self.window_work = facts.rows_per_s * facts.window_ms / 1000.0
-        self.work = self.window_work  # that may be done now
-        self.work_ms: float | None = None
-        self.done = 0.0  # work since the last hand-over
-        self.void: dict[str, int] = {}  # reports that did not count, by reason, since the last hand-over
-        self.complaints: list[tuple[str, str]] = []
-        self.said: dict[tuple[str, str], float] = {}
-        self.since_ms: float | None = None
-
-    # what the pilot tells
-
-    def listed(self, addresses: dict[tuple[str, int], int]) -> None:
+        self.memory = EndpointMemory()
+        self.window = ReportWindow()
+        self.window_began_ms: float | None = None
+        self.window_budget = settings.rows_per_s * settings.window_ms / 1000.0
+        self.budget = self.window_budget  # what may be spent now
+        self.budget_at_ms: float | None = None
+        self.spent = 0.0  # since the last drain
+        self.rejected: dict[str, int] = {}  # reports by reason, since the last drain
+        self.warnings: list[ReportWarning] = []
+        self.warned_ms: dict[tuple[str, str], float] = {}
+
+    # membership
+
+    def add_endpoints(self, addresses: dict[tuple[str, int], int]) -> None:
+        """Endpoints, by address, whose rows count from now on."""
         self.endpoints.update(addresses)
 
-    def joined(self, account: ReportAccount, name: str) -> None:
-        """A proxy's reports count here from now on; what was met in this very life of it before is remembered."""
-        before = self.gone.pop(name, None)
-        if before is not None and before.life == account.life:
-            account.numbers, account.digests, account.delay = before.numbers, before.digests, before.delay
-            account.cover_ms, account.until_ms = before.cover_ms, before.until_ms
+    def add_proxy(self, account: ReportAccount, name: str) -> None:
+        """A proxy's reports count here from now on; an earlier account of the same incarnation is restored."""
+        before = self.left_accounts.pop(name, None)
+        if before is not None and before.incarnation == account.incarnation:
+            account.restore(before)
         self.accounts[name] = account
         self.names[account.number] = name
 
-    def left(self, name: str) -> None:
-        """Its reports are void until it joins again."""
-        held = self.accounts.pop(name, None)
-        if held is None:
+    def remove_proxy(self, name: str) -> None:
+        """A proxy's reports are rejected until it joins again."""
+        account = self.accounts.pop(name, None)
+        if account is None:
             return
-        self.names.pop(held.number, None)
-        self.gone[name] = held
-        if len(self.gone) > GONE_MOST:
-            del self.gone[next(iter(self.gone))]
+        self.names.pop(account.number, None)
+        self.left_accounts[name] = account
+        if len(self.left_accounts) > MAX_LEFT_PROXIES:
+            del self.left_accounts[next(iter(self.left_accounts))]
 
     def release(self, name: str) -> ReportAccount | None:
-        """Forget a proxy here; what is remembered of it goes to whoever reads its reports next."""
-        self.left(name)
-        return self.gone.pop(name, None)
+        """Forgets a proxy; its account goes to whoever reads its reports next."""
+        self.remove_proxy(name)
+        return self.left_accounts.pop(name, None)
 
-    def ask(self, asked: Asked) -> str | None:
-        """Take down what a proxy is asked for; returns its name where it must be told."""
-        name = self.names.get(asked.proxy)
+    def set_request(self, request: ReportRequest) -> str | None:
+        """Notes how a proxy is to report; returns its name where it must be notified."""
+        name = self.names.get(request.proxy)
         if name is None:
             return None
-        held = self.accounts[name]
-        told = (held.period_ms, held.full) != (asked.period_ms, asked.full)
-        held.period_ms, held.full, held.factor = asked.period_ms, asked.full, asked.factor
-        held.counts_from_ms, held.counts_to_ms = asked.counts_from_ms, asked.counts_to_ms
-        return name if told else None
+        account = self.accounts[name]
+        is_changed = (account.period_ms, account.is_full) != (request.period_ms, request.is_full)
+        account.period_ms, account.is_full = request.period_ms, request.is_full
+        account.sampling_factor = request.sampling_factor
+        account.counts_from_ms, account.counts_to_ms = request.counts_from_ms, request.counts_to_ms
+        return name if is_changed else None
 
     # reading
 
-    def room(self, now_ms: float) -> float:
-        """Work that may be done now; a window's worth at most gathers."""
-        if self.work_ms is None:
-            self.work_ms = now_ms
-        self.work = min(
-            max(self.window_work, self.work),
-            self.work + (now_ms - self.work_ms) * self.facts.rows_per_s / 1000.0,
-        )
-        self.work_ms = now_ms
-        return self.work
-
-    def may_read(self, name: str, size: int, now_ms: float) -> float:
-        """0 where a message of this size may be read now, else when to ask again; it costs nothing until it is taken.
-
-        A message larger than a window's whole work waits until a window is whole, and then uses it up."""
-        held = self.accounts.get(name)
-        if held is not None and (later := held.may_read(now_ms)):
-            self.complain(name, "reports more often than asked", now_ms)
-            return later
-        cost = min(work_of(size), self.window_work)
-        if self.room(now_ms) + 1e-6 < cost:
-            return now_ms + (cost - self.work) * 1000.0 / self.facts.rows_per_s
-        return 0.0
+    def wait_until_ms(self, name: str, size_bytes: int, now_ms: float) -> float:
+        """0 where a message of this size may be read now, else when to ask again.
 
-    def spend(self, size: int) -> float:
-        """Charge for a message that is about to be read; returns what it costs."""
-        cost = min(work_of(size), self.window_work)
-        self.work -= cost
-        self.done += cost
-        return work_of(size)
+        It costs nothing until it is charged.  A message larger than a whole window's budget waits until a window is
+        whole, and then uses it up.
+        """
+        account = self.accounts.get(name)
+        if account is not None and (until_ms := account.wait_until_ms(now_ms)):
+            self.warn(name, "reports more often than requested", now_ms)
+            return until_ms
+        cost = min(message_cost(size_bytes), self.window_budget)
+        self._refill(now_ms)
+        if self.budget + SPARE_COST < cost:
+            return now_ms + (cost - self.budget) * 1000.0 / self.settings.rows_per_s
+        return 0.0
 
-    def take(self, name: str, told: Told, arrived_ms: float, now_ms: float, work: float = MESSAGE_WORK) -> None:
-        """One report that was read, at the cost of so much work."""
+    def _refill(self, now_ms: float) -> None:
+        """Brings the budget up to date; a window's worth at most accumulates."""
+        if self.budget_at_ms is None:
+            self.budget_at_ms = now_ms
+        self.budget = min(
+            max(self.window_budget, self.budget),
+            self.budget + (now_ms - self.budget_at_ms) * self.settings.rows_per_s / 1000.0,
+        )
+        self.budget_at_ms = now_ms
+
+    def charge(self, size_bytes: int) -> float:
+        """Charges for a message that is about to be read; returns what it costs."""
+        cost = min(message_cost(size_bytes), self.window_budget)
+        self.budget -= cost
+        self.spent += cost
+        return message_cost(size_bytes)
+
+    def add_report(
+        self, name: str, report: LoadReport, arrived_ms: float, now_ms: float, cost: float = MESSAGE_COST
+    ) -> None:
+        """Checks and counts one report, which cost so much to read."""
         account = self.accounts.get(name)
         if account is None:
-            self.count("no stream stands")  # its reports are void until its stream stands
+            self._count_rejected("proxy has not joined")
             return
-        account.allowed -= 1.0
-        reason, struck = sound(told, account, self.deadline_ms, self.facts.max_rows)
-        if struck:
-            self.complain(name, f"{struck} rows struck out: absurd, or more than can be", now_ms)
-        if told.unlisted:
-            self.complain(name, f"{told.unlisted} rows of endpoints that are not listed", now_ms)
-        if reason:
-            self.complain(name, reason, now_ms)
-            self.count(reason)
+        account.readable_reports -= 1.0
+        rejection, dropped_rows = validate(report, account, self.deadline_ms, self.settings.max_rows)
+        if dropped_rows:
+            self.warn(name, f"{dropped_rows} rows with impossible figures, or too many rows", now_ms)
+        if report.unlisted_rows:
+            self.warn(name, f"{report.unlisted_rows} rows of endpoints that are not listed", now_ms)
+        if rejection:
+            self.warn(name, rejection, now_ms)
+            self._count_rejected(rejection)
             return
-        report = counted(told, account, arrived_ms)
-        if isinstance(report, str):
-            self.count(report)
+        counted = count_report(report, account, arrived_ms)
+        if isinstance(counted, Rejected):
+            self._count_rejected(counted.reason)
             return
-        if now_ms - report.until_ms > horizon_ms(report.grace_ms, self.usual_ms) and self.facts.ageing:
-            self.count("too old")
+        self._add_counted(counted, account, now_ms, cost)
+
+    def _add_counted(self, report: CountedReport, account: ReportAccount, now_ms: float, cost: float) -> None:
+        if now_ms - report.end_ms > max_age_ms(report.grace_ms, self.usual_ms) and self.settings.ageing:
+            self._count_rejected("too old")
             return
-        if self.facts.ageing:
-            report.volume = account.flows(report.part * report.covers_ms, now_ms)
-        report.rows_work = max(0.0, work - MESSAGE_WORK) if account.full else -1.0
+        if self.settings.ageing:
+            report.current_share = account.current_share(report.uncounted_share * report.window_ms, now_ms)
+        report.rows_cost = max(0.0, cost - MESSAGE_COST) if account.is_full else -1.0
         self.window.add(report)
-        if self.since_ms is None:
-            self.since_ms = now_ms
+        if self.window_began_ms is None:
+            self.window_began_ms = now_ms
 
-    def count(self, reason: str) -> None:
-        self.void[reason] = self.void.get(reason, 0) + 1
+    def _count_rejected(self, reason: str) -> None:
+        self.rejected[reason] = self.rejected.get(reason, 0) + 1
 
-    def complain(self, name: str, text: str, now_ms: float) -> None:
-        kind = (name, text.lstrip("0123456789 "))
-        if now_ms - self.said.get(kind, float("-inf")) >= SAID_MS and len(self.complaints) < COMPLAINTS_MOST:
-            if len(self.said) > 4096:
-                self.said.clear()
-            self.said[kind] = now_ms
-            self.complaints.append((name, text))
+    def warn(self, name: str, reason: str, now_ms: float) -> None:
+        """Notes what is wrong with a proxy's reports, not too often."""
+        kind = (name, reason.lstrip("0123456789 "))
+        is_due = now_ms - self.warned_ms.get(kind, float("-inf")) >= WARNING_INTERVAL_MS
+        if is_due and len(self.warnings) < MAX_WARNINGS:
+            if len(self.warned_ms) > MAX_WARNING_TIMES:
+                self.warned_ms.clear()
+            self.warned_ms[kind] = now_ms
+            self.warnings.append(ReportWarning(name, reason))
 
-    # hand-over
+    def drain_warnings(self) -> list[ReportWarning]:
+        """The warnings since the last call."""
+        warnings, self.warnings = self.warnings, []
+        return warnings
 
-    def weigh(self, report: Report, now_ms: float) -> float:
-        if not self.facts.ageing:
+    # summaries
+
+    def due_ms(self) -> float:
+        """When the window is to be drained; never while it is empty."""
+        if self.window_began_ms is None:
+            return float("inf")
+        return self.window_began_ms + self.settings.window_ms
+
+    def drain(self, now_ms: float) -> ReportSummary:
+        """The summary of the window; a new one begins."""
+        slack_ms = self.usual_ms if self.settings.ageing else float("inf")
+        summary = summarize(self.window, lambda report: self._weight(report, now_ms), self.memory, slack_ms)
+        summary.rejected, summary.cost = self.rejected, round(self.spent, 1)
+        self.window, self.window_began_ms, self.spent, self.rejected = ReportWindow(), None, 0.0, {}
+        if len(self.memory.newest_ms) > NEWEST_PER_ENDPOINT * (len(self.endpoints) + 1):
+            self.memory.forget_older(now_ms, NEWEST_KEPT_PERIODS * self.usual_ms)
+        return summary
+
+    def _weight(self, report: CountedReport, now_ms: float) -> float:
+        """A report's weight by its age; the time that it may spend in the window is no age."""
+        if not self.settings.ageing:
             return 1.0
-        return weight(
-            max(0.0, now_ms - report.until_ms - self.facts.window_ms),
-            report.covers_ms,
+        return age_weight(
+            max(0.0, now_ms - report.end_ms - self.settings.window_ms),
+            report.window_ms,
             report.grace_ms,
             self.usual_ms,
         )
-
-    def due_ms(self) -> float:
-        """When the window is to be handed over; never while there is nothing in it."""
-        if self.since_ms is None:
-            return float("inf")
-        return self.since_ms + self.facts.window_ms
-
-    def hand_over(self, now_ms: float) -> dict[str, Any]:
-        """The window as plain values, and what became of the rest; starts anew."""
-        slack_ms = self.usual_ms if self.facts.ageing else float("inf")
-        made: Folded = fold(self.window, now_ms, self.weigh, self.newest, slack_ms, self.carried)
-        found = {
-            "sums": made.sums, "arrivals": made.arrivals, "took": made.took, "heard": made.heard,
-            "overtaken": made.overtaken, "void": self.void, "work": round(self.done, 1),
-        }  # fmt: skip
-        self.window, self.since_ms, self.done, self.void = Window(), None, 0.0, {}
-        if len(self.newest) > 4 * (len(self.endpoints) + 1) * 16:
-            self.newest = {key: at for key, at in self.newest.items() if now_ms - at < HALVES * 60 * self.usual_ms}
-        return found
-
-
-__all__ = ["Asked", "ReportAggregator", "work_of"]
--- a/quillstep/load_reports/collector.py
+++ b/quillstep/load_reports/collector.py
@@ -1,198 +1,221 @@
-"""What gatherers hand over, as the module gets it; and what is asked of proxies because of it.  No I/O, no clocks.
+"""Merges the summaries of all readers into the planner's statistics, and decides what proxies have to report.
 
-The figures of several gatherers add up, whatever the sequence in which they come.  What was not heard is left out: no
-sum is not a sum of zero.
+Without I/O and clocks.  The figures of several readers add up, whatever the order in which they come.  What was not
+reported is left out: no figure is not a figure of zero.
 """
 
 import math
 from collections import Counter, defaultdict
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
 from quillstep.config.controller import ControllerSettings
-from quillstep.load_reports.aggregator import Asked
+from quillstep.load_reports.messages import ReportRequest
 from quillstep.load_reports.sampling import Sampler
-from quillstep.load_reports.upstream_stats import ENOUGH, ONE_MOST
+from quillstep.load_reports.summary import DownstreamRow, LatencyRow, ProxyRow, ReportSummary, UpstreamRow
+from quillstep.load_reports.upstream_stats import MAX_PROXY_SHARE, MIN_BOUNDED_PROXIES, EndpointKey
 from quillstep.planner.messages import DownstreamStats, UpstreamStats
 
-INTAKE_PART = 0.5  # of the report period between two hand-overs to the module
+DRAIN_INTERVAL_PERIODS = 0.5  # of the report period, between two drains for the planner
 LATENCY_DIGITS = 2
-PRESSED = 0.9  # of a window's work, from which a gatherer has none to spare
-KEEPS = 0.7  # of what is known of a proxy's arrivals, for the bound on its word
+MAX_LATENCY_DEADLINES = 10.0  # of the longest deadline; longer latencies count as this
+BUSY_SHARE = 0.9  # of a window's budget, from which on a reader has none to spare
+RATE_DECAY = 0.7  # of what is known of a proxy's arrivals, a report later
+SHOWN_PERCENTILES = (50.0, 99.0)
+
+
+class ProxyClass(NamedTuple):
+    """One class at one proxy."""
+
+    class_index: int
+    proxy: int
 
 
 class ReportCollector:
-    """Between the gatherers and the module: `take` what one handed over, `hand_over` once a period."""
+    """Between the readers and the planner: `add_summary` for each window of a reader, `drain` once an interval."""
 
-    def __init__(self, record: ControllerSettings) -> None:
-        fleet, facts = record.fleet, record.reports
+    def __init__(self, settings: ControllerSettings) -> None:
+        fleet, reports = settings.fleet, settings.reports
         self.usual_ms = fleet.proxies.report_interval_ms
-        self.period_ms = INTAKE_PART * self.usual_ms
-        self.ageing = facts.ageing
-        self.classes = len(fleet.classes)
-        self.since_ms = float("-inf")
-        self.first_ms = 0.0  # when the first came of what has gathered
-        self.sums: dict[tuple[str, int], list[list[Any]]] = {}
-        self.arrivals: dict[tuple[int, int], list[list[float]]] = {}  # by class place and proxy
-        self.newest: dict[tuple[str, int], float] = {}
-        self.told: dict[tuple[int, int], float] = {}  # until when arrivals were told, by class place and proxy
-        self.carried: dict[tuple[str, int], float] = {}  # tries that wait for fresh news of their endpoint
-        self.rates: dict[int, float] = {}  # exchanges a second by proxy, for the bound on one's word
-        work = facts.rows_per_s * max(1, len(facts.listen))
-        self.sampler = Sampler(work, self.usual_ms, record.seed) if facts.sampling else None
-        self.window_work = facts.rows_per_s * facts.window_ms / 1000.0
-        self.longest_ms = max(row.deadline_ms for row in fleet.classes) * 10.0
-        self.latency: dict[tuple[str, int], HdrHistogram] = {}
-        self.stats: defaultdict[str, float] = defaultdict(float)
-        self.void: Counter[str] = Counter()
-        self.bounded: set[int] = set()  # proxies whose word has been bounded
-
-    def joined(self, proxy: int, now_ms: float) -> None:
+        self.interval_ms = DRAIN_INTERVAL_PERIODS * self.usual_ms
+        self.ageing = reports.ageing
+        self.class_count = len(fleet.classes)
+        self.drained_ms = float("-inf")
+        self.first_ms = 0.0  # when the first came of what waits for the next drain
+        self.upstream: dict[EndpointKey, list[UpstreamRow]] = {}
+        self.downstream: dict[ProxyClass, list[DownstreamRow]] = {}
+        self.newest_ms: dict[EndpointKey, float] = {}
+        self.arrivals_end_ms: dict[ProxyClass, float] = {}  # when the latest window of arrivals ended
+        self.carried: dict[EndpointKey, float] = {}  # attempts that wait for fresh figures of their endpoint
+        self.arrival_rates: dict[int, float] = {}  # requests a second by proxy
+        budget_per_s = reports.rows_per_s * max(1, len(reports.listen))
+        self.sampler = Sampler(budget_per_s, self.usual_ms, settings.seed) if reports.sampling else None
+        self.window_budget = reports.rows_per_s * reports.window_ms / 1000.0
+        self.max_latency_ms = max(row.deadline_ms for row in fleet.classes) * MAX_LATENCY_DEADLINES
+        self.latency: dict[tuple[str, int], HdrHistogram] = {}  # by zone and class
+        self.totals: defaultdict[str, float] = defaultdict(float)
+        self.rejected: Counter[str] = Counter()
+        self.bounded: set[int] = set()  # proxies whose arrivals were scaled down
+
+    # membership
+
+    def add_proxy(self, proxy: int, now_ms: float) -> None:
+        """A proxy has joined."""
         if self.sampler:
-            self.sampler.joined(proxy, now_ms)
+            self.sampler.add_proxy(proxy, now_ms)
 
-    def left(self, proxy: int) -> None:
+    def remove_proxy(self, proxy: int) -> None:
+        """A proxy has left."""
         if self.sampler:
-            self.sampler.left(proxy)
-        self.rates.pop(proxy, None)
+            self.sampler.remove_proxy(proxy)
+        self.arrival_rates.pop(proxy, None)
         self.bounded.discard(proxy)
-        for place in range(self.classes):
-            self.told.pop((place, proxy), None)
+        for class_index in range(self.class_count):
+            self.arrivals_end_ms.pop(ProxyClass(class_index, proxy), None)
 
-    def take(self, found: dict[str, Any], now_ms: float) -> None:
-        """One gatherer's window."""
-        if not (self.sums or self.arrivals):
+    # from the readers
+
+    def add_summary(self, summary: ReportSummary, now_ms: float) -> None:
+        """Takes in one window of one reader."""
+        if not (self.upstream or self.downstream):
             self.first_ms = now_ms
-        for row in found["sums"]:
-            self.take_sum(row)
-        for place, proxy, arrived, unanswered, covers_ms, until_ms in found["arrivals"]:
-            key = (place, proxy)
-            if self.ageing and until_ms < self.told.get(key, float("-inf")) - self.usual_ms:
-                self.count("overtaken arrivals")
-                continue  # what is known of it is newer
-            self.told[key] = max(until_ms, self.told.get(key, float("-inf")))
-            self.arrivals.setdefault(key, []).append([arrived, unanswered, covers_ms])
-        for proxy, _, _, covers_ms, rows, arrived, failing in found["heard"]:
-            self.heard(proxy, covers_ms, rows, arrived, failing, now_ms)
-        for zone, place, mean_ms, count in found["took"]:
-            self.histogram(zone, place).record_value(max(1, min(round(self.longest_ms), round(mean_ms))), count)
-        for reason, count in found["void"].items():
-            self.count(reason, count)
-        if found["overtaken"]:
-            self.count("overtaken rows", found["overtaken"])
-        self.stats["work"] += found["work"]
-        if self.sampler and found["work"] > PRESSED * self.window_work:
-            self.sampler.pressed(now_ms)
-
-    def take_sum(self, row: list[Any]) -> None:
-        zone, endpoint, *_, until_ms = row
-        key = (zone, endpoint)
-        newest = self.newest.get(key, float("-inf"))
-        if self.ageing and until_ms < newest - self.usual_ms - self.period_ms:
-            self.count("overtaken sums")  # another gatherer had fresher news of it; the tries were made all the same
-            self.carried[key] = self.carried.get(key, 0.0) + row[2] + row[3]
+        for upstream in summary.upstream:
+            self._add_upstream(upstream)
+        for downstream in summary.downstream:
+            self._add_downstream(downstream)
+        for proxy in summary.proxies:
+            self._add_proxy_row(proxy, now_ms)
+        for latency in summary.latencies:
+            self._add_latency(latency)
+        for reason, count in summary.rejected.items():
+            self.rejected[reason] += count
+        if summary.superseded:
+            self.rejected["superseded rows"] += summary.superseded
+        self.totals["work"] += summary.cost
+        if self.sampler and summary.cost > BUSY_SHARE * self.window_budget:
+            self.sampler.plan_soon(now_ms)
+
+    def _add_upstream(self, row: UpstreamRow) -> None:
+        key = (row.zone, row.endpoint)
+        newest_ms = self.newest_ms.get(key, float("-inf"))
+        if self.ageing and row.end_ms < newest_ms - self.usual_ms - self.interval_ms:
+            # Another reader had fresher figures of this endpoint; the attempts were made all the same.
+            self.rejected["superseded endpoint sums"] += 1
+            self.carried[key] = self.carried.get(key, 0.0) + row.succeeded + row.failed
+            return
+        self.newest_ms[key] = max(newest_ms, row.end_ms)
+        self.upstream.setdefault(key, []).append(row)
+        self.totals["tries"] += row.succeeded + row.failed
+
+    def _add_downstream(self, row: DownstreamRow) -> None:
+        key = ProxyClass(row.class_index, row.proxy)
+        latest_ms = self.arrivals_end_ms.get(key, float("-inf"))
+        if self.ageing and row.end_ms < latest_ms - self.usual_ms:
+            self.rejected["superseded arrivals"] += 1
             return
-        self.newest[key] = max(newest, until_ms)
-        self.sums.setdefault(key, []).append(row)
-        self.stats["tries"] += row[2] + row[3]
-
-    def heard(
-        self,
-        proxy: int,
-        covers_ms: float,
-        rows: int,
-        arrived: int,
-        failing: float,
-        now_ms: float,
-    ) -> None:
-        self.stats["reports"] += 1
-        self.stats["rows"] += max(0.0, rows)
-        if covers_ms > 0.0:
-            rate = self.rates.get(proxy, 0.0)
-            self.rates[proxy] = rate + (1.0 - KEEPS) * (arrived * 1000.0 / covers_ms - rate)
+        self.arrivals_end_ms[key] = max(row.end_ms, latest_ms)
+        self.downstream.setdefault(key, []).append(row)
+
+    def _add_proxy_row(self, row: ProxyRow, now_ms: float) -> None:
+        self.totals["reports"] += 1
+        self.totals["rows"] += max(0.0, row.rows_cost)
+        if row.window_ms > 0.0:
+            rate = self.arrival_rates.get(row.proxy, 0.0)
+            self.arrival_rates[row.proxy] = rate + (1.0 - RATE_DECAY) * (row.arrived * 1000.0 / row.window_ms - rate)
         if self.sampler:
-            self.sampler.heard(proxy, covers_ms, rows, arrived, failing, now_ms)
+            self.sampler.observe(row, now_ms)
 
-    def count(self, reason: str, times: int = 1) -> None:
-        self.void[reason] += times
+    def _add_latency(self, row: LatencyRow) -> None:
+        key = (row.zone, row.class_index)
+        histogram = self.latency.get(key)
+        if histogram is None:
+            histogram = self.latency[key] = self._new_histogram()
+        latency_ms = max(1, min(round(self.max_latency_ms), round(row.mean_ms)))
+        histogram.record_value(latency_ms, row.count)
 
-    def histogram(self, zone: str, place: int) -> HdrHistogram:
-        held = self.latency.get((zone, place))
-        if held is None:
-            held = self.latency[zone, place] = HdrHistogram(1, max(2, round(self.longest_ms)), LATENCY_DIGITS)
-        return held
+    def _new_histogram(self) -> HdrHistogram:
+        return HdrHistogram(1, max(2, round(self.max_latency_ms)), LATENCY_DIGITS)
 
-    # to the module
+    # to the planner
 
     def due_ms(self) -> float:
-        """When what has gathered is to be handed over; never while there is nothing."""
-        if not (self.sums or self.arrivals):
+        """When `drain` is due; never while nothing waits for it."""
+        if not (self.upstream or self.downstream):
             return float("inf")
-        return max(self.first_ms, self.since_ms + self.period_ms)
+        return max(self.first_ms, self.drained_ms + self.interval_ms)
 
-    def hand_over(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]]:
+    def drain(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]]:
         """The statistics since the last call, for the planner."""
-        sums = [merged(key[1], rows, self.carried.pop(key, 0.0)) for key, rows in sorted(self.sums.items())]
-        most = self.bound()
-        arrivals = []
-        for (place, proxy), rows in sorted(self.arrivals.items()):
-            arrived, unanswered, covers_ms = (math.fsum(column) for column in zip(*rows, strict=True))
+        upstream_stats = [
+            _merge_rows(endpoint, rows, self.carried.pop((zone, endpoint), 0.0))
+            for (zone, endpoint), rows in sorted(self.upstream.items())
+        ]
+        max_rate = self._max_arrival_rate()
+        downstream_stats = []
+        for key, rows in sorted(self.downstream.items()):
+            arrived = math.fsum(row.arrived for row in rows)
+            unanswered = math.fsum(row.unanswered for row in rows)
+            window_ms = math.fsum(row.window_ms for row in rows)
             scale = 1.0
-            if self.rates.get(proxy, 0.0) > most:
-                scale = most / self.rates[proxy]
-                self.bounded.add(proxy)
-            if covers_ms > 0.0:
-                arrivals.append(DownstreamStats(place, proxy, arrived * scale, unanswered * scale, covers_ms))
-        self.sums, self.arrivals, self.since_ms = {}, {}, now_ms
-        return sums, arrivals
-
-    def bound(self) -> float:
-        """The most exchanges a second that one proxy's word may make the module believe in."""
-        if len(self.rates) < ENOUGH:
+            rate = self.arrival_rates.get(key.proxy, 0.0)
+            if rate > max_rate:
+                scale = max_rate / rate
+                self.bounded.add(key.proxy)
+            if window_ms > 0.0:
+                downstream_stats.append(
+                    DownstreamStats(key.class_index, key.proxy, arrived * scale, unanswered * scale, window_ms)
+                )
+        self.upstream, self.downstream, self.drained_ms = {}, {}, now_ms
+        return upstream_stats, downstream_stats
+
+    def _max_arrival_rate(self) -> float:
+        """The most requests a second that count of one proxy: a bounded share of what all report."""
+        if len(self.arrival_rates) < MIN_BOUNDED_PROXIES:
             return float("inf")
-        ordered = sorted(self.rates.values(), reverse=True)
+        ordered = sorted(self.arrival_rates.values(), reverse=True)
         rest = math.fsum(ordered[1:])
-        return max(ONE_MOST / (1.0 - ONE_MOST) * rest, ordered[1])
+        return max(MAX_PROXY_SHARE / (1.0 - MAX_PROXY_SHARE) * rest, ordered[1])
 
     # to the proxies
 
-    def plan(self, now_ms: float) -> list[Asked]:
+    def plan_requests(self, now_ms: float) -> list[ReportRequest]:
+        """What has changed of what proxies have to report."""
         return self.sampler.plan(now_ms) if self.sampler and now_ms >= self.sampler.due_ms else []
 
-    def plan_ms(self) -> float:
+    def plan_due_ms(self) -> float:
+        """When `plan_requests` has something to do."""
         return self.sampler.due_ms if self.sampler else float("inf")
 
-    def summary(self, names: Iterable[str]) -> dict[str, Any]:
-        """What an operator wants to know of the reports so far."""
-        found: dict[str, Any] = {
-            **{name: round(value) for name, value in self.stats.items()},
-            "void": self.void,
-        }
+    def statistics(self, class_names: Iterable[str]) -> dict[str, Any]:
+        """Figures on all reports so far, as fields of a log event."""
+        fields: dict[str, Any] = {name: round(total) for name, total in self.totals.items()}
+        fields["void"] = self.rejected
         if self.sampler:
-            found["groups"], found["times"] = self.sampler.stage.groups, self.sampler.stage.times
-        for place, name in enumerate(names):
-            held = [h for (_, p), h in self.latency.items() if p == place]
-            if held:
-                total = HdrHistogram(1, max(2, round(self.longest_ms)), LATENCY_DIGITS)
-                for each in held:
+            fields["groups"], fields["times"] = self.sampler.turn.stage.groups, self.sampler.turn.stage.period_factor
+        for class_index, name in enumerate(class_names):
+            histograms = [each for (_, index), each in self.latency.items() if index == class_index]
+            if histograms:
+                total = self._new_histogram()
+                for each in histograms:
                     total.add(each)
-                found[name] = [total.get_value_at_percentile(p) for p in (50.0, 99.0)]
-        return found
-
-
-def merged(endpoint: int, rows: list[list[Any]], carried: float) -> UpstreamStats:
-    """The rows of one endpoint and zone as one sum of the interface, with tries that older rows told of."""
-    good, failed, good_ms, weight, load = (math.fsum(row[at] for row in rows) for at in range(2, 7))
-    if carried and good + failed:
-        more = 1.0 + carried / (good + failed)
-        good, failed, good_ms = good * more, failed * more, good_ms * more
-    begin = min(row[8] - row[7] for row in rows)
-    end = max(row[8] for row in rows)
-    told = {"util": load / weight} if weight else {}
-    mean_ms = good_ms / max(good, 1e-9) if good else 0.0
-    return UpstreamStats(endpoint, good + failed, failed, mean_ms, end - begin, told)
-
-
-__all__ = ["ReportCollector"]
+                fields[name] = [total.get_value_at_percentile(percentile) for percentile in SHOWN_PERCENTILES]
+        return fields
+
+
+def _merge_rows(endpoint: int, rows: list[UpstreamRow], carried: float) -> UpstreamStats:
+    """The rows of one endpoint and zone as the planner gets them, with the attempts of superseded rows."""
+    succeeded = math.fsum(row.succeeded for row in rows)
+    failed = math.fsum(row.failed for row in rows)
+    succeeded_ms = math.fsum(row.succeeded_ms for row in rows)
+    load_weight = math.fsum(row.load_weight for row in rows)
+    weighted_load = math.fsum(row.weighted_load for row in rows)
+    if carried and succeeded + failed:
+        scale = 1.0 + carried / (succeeded + failed)
+        succeeded, failed, succeeded_ms = succeeded * scale, failed * scale, succeeded_ms * scale
+    begin_ms = min(row.end_ms - row.window_ms for row in rows)
+    end_ms = max(row.end_ms for row in rows)
+    load = {"util": weighted_load / load_weight} if load_weight else {}
+    mean_ms = succeeded_ms / max(succeeded, 1e-9) if succeeded else 0.0
+    return UpstreamStats(endpoint, succeeded + failed, failed, mean_ms, end_ms - begin_ms, load)
--- a/quillstep/load_reports/framing.py
+++ b/quillstep/load_reports/framing.py
@@ -1,31 +1,46 @@
-"""Messages between a pilot and its reading processes: a length, then a MessagePack array.  Sans-I/O."""
+"""Messages between a controller and its reader processes: a length, then a MessagePack array.  Without I/O."""
 
 from typing import Any
 
 import msgspec
 
+from quillstep.errors import QuillstepError
+from quillstep.load_reports.messages import Configuration, MessageFromReader, MessageToReader
 from quillstep.net import framing
 
-FRAME_MOST = 64 * 2**20
+MAX_FRAME_BYTES = 64 * 2**20
+
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder().decode
+decode_configuration = msgspec.msgpack.Decoder(Configuration).decode
+decode_to_reader = msgspec.msgpack.Decoder(MessageToReader).decode
+decode_from_reader = msgspec.msgpack.Decoder(MessageFromReader).decode
+
 
+class FrameTooLargeError(QuillstepError):
+    """A frame's length is over the limit."""
 
-def framed(message: list[Any]) -> bytes:
+
+def encode_frame(message: Any) -> bytes:
+    """A message, which may be anything that MessagePack can hold, behind its length."""
     return framing.add_length(_encode(message))
 
 
-def check(size: int, first: bytes) -> None:
-    if size > FRAME_MOST:
-        raise ValueError(f"a message of {size} bytes")
+def _check_size(size: int, first: bytes) -> None:
+    if size > MAX_FRAME_BYTES:
+        raise FrameTooLargeError(f"a message of {size} bytes, over the limit of {MAX_FRAME_BYTES}")
 
 
-class Frames:
-    """Cuts bytes into messages; raises ValueError where they are none."""
+class FrameBuffer:
+    """Cuts a byte stream into the encoded messages of its frames."""
 
     def __init__(self) -> None:
-        self.held = bytearray()
+        self.buffered = bytearray()
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """The encoded messages that are complete now.
 
-    def feed(self, data: bytes) -> list[list[Any]]:
-        self.held += data
-        return [_decode(body) for body in framing.remove_bodies(self.held, check)]
+        Raises:
+            FrameTooLargeError: A frame's length is over the limit.
+        """
+        self.buffered += data
+        return list(framing.remove_bodies(self.buffered, _check_size))
--- a/quillstep/load_reports/reader_pool.py
+++ b/quillstep/load_reports/reader_pool.py
@@ -1,10 +1,9 @@
-"""The pilot's side of its reading processes: starts them, tells them what they need, takes their windows in.
+"""The controller's side of its reader processes: starts them, sends them what they need, receives their summaries.
 
-A process that dies is started again at its address; what it had read and not handed over is lost, and so not heard.
+A process that ends is started again at its address; what it had read and not sent is lost, and so is not counted.
 """
 
 import contextlib
-import dataclasses
 import os
 import queue
 import subprocess
@@ -16,114 +15,159 @@
 import structlog
 
 from quillstep.config.controller import ControllerSettings
-from quillstep.load_reports.aggregator import Asked
-from quillstep.load_reports.framing import Frames, framed
-from quillstep.load_reports.ownership import ReportOwnership, Telling
-
-CHUNK = 256 * 1024
-READY_S = 30.0
-AGAIN_S = 0.2  # before a process that died is started again
-
-
-class Processes:
-    """All reading processes of one pilot.  `put` takes a window of sums and may block."""
-
-    def __init__(self, record: ControllerSettings, put: Callable[[tuple], None]) -> None:
-        self.record, self.put = record, put
-        self.places = ReportOwnership(record.fleet.proxies.report_interval_ms)
+from quillstep.errors import QuillstepError
+from quillstep.load_reports.framing import FrameBuffer, decode_from_reader, encode_frame
+from quillstep.load_reports.messages import (
+    AddEndpoints,
+    Configuration,
+    MembershipChange,
+    MessageFromReader,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyReleased,
+    ReaderReady,
+    ReportRequest,
+    StreamOpened,
+    WindowDrained,
+)
+from quillstep.load_reports.ownership import ReaderCommand, ReportOwnership
+
+READ_BYTES = 256 * 1024  # of one read
+START_TIMEOUT_S = 30.0
+RESTART_DELAY_S = 0.2
+
+WriteQueue = queue.SimpleQueue[bytes | None]  # None: nothing more will come
+
+
+class ReaderStartError(QuillstepError):
+    """A reader process did not start."""
+
+
+class ReaderPool:
+    """All reader processes of one controller.
+
+    Each has a thread that starts it and reads its output, and one that writes its input.  `lock` guards `ownership` and
+    `write_queues`.  `put` gets each summary as an event and may block.
+    """
+
+    def __init__(self, settings: ControllerSettings, put: Callable[[tuple[Any, ...]], None]) -> None:
+        self.settings, self.put = settings, put
+        self.ownership = ReportOwnership()
         self.lock = threading.Lock()
-        self.addresses = list(record.reports.listen)
-        self.says: list[queue.SimpleQueue[bytes | None]] = [queue.SimpleQueue() for _ in self.addresses]
+        self.addresses = list(settings.reports.listen)
+        self.write_queues: list[WriteQueue] = [queue.SimpleQueue() for _ in self.addresses]
         self.stopping = threading.Event()
         self.log = structlog.get_logger("reports")
 
     def start(self) -> None:
-        """Returns once all of them listen; raises RuntimeError where one does not."""
+        """Returns once all processes listen.
+
+        Raises:
+            ReaderStartError: One of them does not.
+        """
         ready = [threading.Event() for _ in self.addresses]
-        for at in range(len(self.addresses)):
-            threading.Thread(target=self.keep, args=(at, ready[at]), daemon=True).start()
-        if not all(each.wait(READY_S) for each in ready):
-            raise RuntimeError("a process that reads load reports did not start")
+        for reader, event in enumerate(ready):
+            name = f"report-reader-{reader}"
+            threading.Thread(target=self._supervise, name=name, args=(reader, event), daemon=True).start()
+        if not all(event.wait(START_TIMEOUT_S) for event in ready):
+            raise ReaderStartError("a process that reads load reports did not start")
+
+    def notify(self, changes: list[MembershipChange], requests: list[ReportRequest], names: dict[int, str]) -> None:
+        """Passes on, from the deciding thread, who joined and left, what is listed, and what proxies have to report."""
+        with self.lock:
+            for change in changes:
+                self._send(self._commands(change))
+            for request in requests:
+                if request.proxy in names:
+                    self._send(self.ownership.request_reports(names[request.proxy], request))
 
-    def keep(self, at: int, ready: threading.Event) -> None:
-        """One process after another at one address."""
+    def stop(self) -> None:
+        """Ends the processes, without waiting: a process ends at the end of its input, or with the controller."""
+        self.stopping.set()
+        for messages in self.write_queues:
+            messages.put(None)
+
+    def _commands(self, change: MembershipChange) -> list[ReaderCommand]:
+        match change:
+            case AddEndpoints():
+                return self.ownership.add_endpoints(change, len(self.write_queues))
+            case ProxyJoined():
+                return self.ownership.add_proxy(change)
+            case ProxyLeft(name):
+                return self.ownership.remove_proxy(name)
+
+    def _send(self, commands: list[ReaderCommand]) -> None:
+        for reader, message in commands:
+            self.write_queues[reader].put(encode_frame(message))
+
+    def _supervise(self, reader: int, ready: threading.Event) -> None:
+        """Runs one process after another at one address."""
         while not self.stopping.is_set():
-            self.one(at, ready)
+            self._run_process(reader, ready)
             if not self.stopping.is_set():
-                self.log.error("reading process ended", reader=at, next="it is started again")
-                self.stopping.wait(AGAIN_S)
+                self.log.error("report reader ended", reader=reader, next="it is started again")
+                self.stopping.wait(RESTART_DELAY_S)
 
-    def one(self, at: int, ready: threading.Event) -> None:
+    def _run_process(self, reader: int, ready: threading.Event) -> None:
+        """Starts a process and reads its output until it ends."""
         child = subprocess.Popen(
             [sys.executable, "-m", "quillstep.load_reports.reader_process"],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
         assert child.stdin and child.stdout
-        record = self.record
-        opening = [self.addresses[at], record.reports.model_dump(), record.fleet.model_dump(),
-                   record.limits.model_dump()]  # fmt: skip
-        with self.lock:
-            says: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
-            self.says[at] = says
-            says.put(framed(opening))
-            if self.places.addresses:
-                says.put(framed(["listed", self.places.addresses]))
-        threading.Thread(target=self.write, args=(child, says), daemon=True).start()
-        frames = Frames()
+        messages = self._new_write_queue(reader)
+        name = f"report-reader-{reader}-input"
+        threading.Thread(target=_write_input, name=name, args=(child, messages), daemon=True).start()
+        frames = FrameBuffer()
         with contextlib.suppress(OSError):
-            while data := os.read(child.stdout.fileno(), CHUNK):
-                for message in frames.feed(data):
-                    self.heard(at, ready, message)
-        says.put(None)
+            while data := os.read(child.stdout.fileno(), READ_BYTES):
+                for encoded in frames.feed(data):
+                    self._handle(reader, ready, decode_from_reader(encoded))
+        messages.put(None)
         with self.lock:
-            self.places.ended(at)
+            self.ownership.reader_ended(reader)
         child.stdout.close()
         child.wait()
 
-    @staticmethod
-    def write(child: subprocess.Popen, says: "queue.SimpleQueue[bytes | None]") -> None:
-        assert child.stdin
-        with contextlib.suppress(OSError):
-            while (data := says.get()) is not None:
-                child.stdin.write(data)
-                child.stdin.flush()
-        with contextlib.suppress(OSError):
-            child.stdin.close()
-
-    def heard(self, at: int, ready: threading.Event, message: list[Any]) -> None:
-        kind, *rest = message
-        if kind == "window":
-            self.put(("reports", at, rest[0]))
-        elif kind == "ready":
-            self.addresses[at] = rest[0]
-            ready.set()
-        else:
-            with self.lock:
-                if kind == "hello":
-                    self.say(self.places.hello(at, rest[0]))
-                elif kind == "released":
-                    self.say(self.places.released(at, *rest))
-
-    def say(self, tellings: list[Telling]) -> None:
-        for reader, message in tellings:
-            self.says[reader].put(framed(message))
-
-    def tell(self, moves: list[tuple], asked: list[Asked], names: dict[int, str]) -> None:
-        """From the deciding thread: who joined and left, what is listed, what proxies are asked for."""
+    def _new_write_queue(self, reader: int) -> WriteQueue:
+        """The input of a new process, with what it has to know first."""
+        settings = self.settings
+        configuration = Configuration(
+            self.addresses[reader],
+            settings.reports.model_dump(),
+            settings.fleet.model_dump(),
+            settings.limits.model_dump(),
+        )
+        messages: WriteQueue = queue.SimpleQueue()
         with self.lock:
-            for kind, *rest in moves:
-                if kind == "listed":
-                    self.say(self.places.listed(rest[0], len(self.says)))
-                elif kind == "joined":
-                    self.say(self.places.joined(*rest))
-                else:
-                    self.say(self.places.left(*rest))
-            for each in asked:
-                if each.proxy in names:
-                    self.say(self.places.ask(each.proxy, names[each.proxy], list(dataclasses.astuple(each))))
-
-    def stop(self) -> None:
-        self.stopping.set()
-        for says in self.says:
-            says.put(None)
+            self.write_queues[reader] = messages
+            messages.put(encode_frame(configuration))
+            if self.ownership.endpoints:
+                messages.put(encode_frame(AddEndpoints(self.ownership.endpoints)))
+        return messages
+
+    def _handle(self, reader: int, ready: threading.Event, message: MessageFromReader) -> None:
+        match message:
+            case WindowDrained(summary):
+                self.put(("reports", reader, summary))
+            case ReaderReady(address):
+                self.addresses[reader] = address
+                ready.set()
+            case StreamOpened(name):
+                with self.lock:
+                    self._send(self.ownership.stream_opened(reader, name))
+            case ProxyReleased(name, account):
+                with self.lock:
+                    self._send(self.ownership.proxy_released(reader, name, account))
+
+
+def _write_input(child: "subprocess.Popen[bytes]", messages: WriteQueue) -> None:
+    """Writes a process's input until there is no more, then closes it."""
+    assert child.stdin
+    with contextlib.suppress(OSError):
+        while (data := messages.get()) is not None:
+            child.stdin.write(data)
+            child.stdin.flush()
+    with contextlib.suppress(OSError):
+        child.stdin.close()
--- a/quillstep/load_reports/reader_process.py
+++ b/quillstep/load_reports/reader_process.py
@@ -1,7 +1,7 @@
-"""A process that only reads load reports.  `python -m quillstep.load_reports.reader_process`.
+"""A process that only reads load reports: `python -m quillstep.load_reports.reader_process`.
 
-One thread polls all its streams, and none is read while what it brought before waits to be read: that is how
-back-pressure reaches a proxy.  The pilot's word comes on standard input, windows of sums leave on standard output; it
+One thread polls all its streams, and none is read while its earlier messages wait: that is how back-pressure reaches a
+proxy.  The controller's messages come on standard input, summaries of windows leave on standard output; the process
 ends when its input does.
 """
 
@@ -10,162 +10,204 @@
 import time
 from typing import Any
 
-import msgspec
 import structlog
 
 from quillstep.config.controller import LimitSettings, LoadReportSettings
 from quillstep.config.fleet import FleetSettings
-from quillstep.load_reports.aggregator import Asked, ReportAggregator
-from quillstep.load_reports.framing import Frames, framed
-from quillstep.load_reports.reader_session import Desk
-from quillstep.load_reports.reader_thread import say
+from quillstep.load_reports.aggregator import ReportAggregator
+from quillstep.load_reports.connections import StreamKey, finish_stream, log_warnings, send_messages
+from quillstep.load_reports.framing import FrameBuffer, decode_configuration, decode_to_reader, encode_frame
+from quillstep.load_reports.messages import (
+    AddEndpoints,
+    AddProxy,
+    Configuration,
+    MessageFromReader,
+    MessageToReader,
+    ProxyReleased,
+    ReaderReady,
+    ReleaseProxy,
+    RequestReports,
+    StreamOpened,
+    WindowDrained,
+)
+from quillstep.load_reports.reader_session import PendingActions, ReaderSession
 from quillstep.load_reports.validation import ReportAccount
 from quillstep.logging import configure_logging
 from quillstep.net.clock import now_ms
-from quillstep.net.connection import Connection
 from quillstep.net.poller import Poller
 from quillstep.xds.grpc import UNIMPLEMENTED
-from quillstep.xds.http2 import GrpcConnection
+from quillstep.xds.http2 import GrpcConnection, GrpcPeer
 from quillstep.xds.server import LOAD
 
-INPUT_CHUNK = 256 * 1024
-LONGEST = 8.0  # usual periods that a proxy may be asked for
+INPUT_BYTES = 256 * 1024  # of one read
+MAX_REQUESTED_PERIODS = 8.0  # usual periods between two reports
+STDIN, STDOUT = 0, 1
 
 
-class ReadingProcess:
-    """All streams of one reading process."""
+class ReaderProcess:
+    """All streams of one reader process."""
 
-    def __init__(self, listen: str, facts: LoadReportSettings, fleet: FleetSettings, limits: LimitSettings) -> None:
+    def __init__(self, listen: str, settings: LoadReportSettings, fleet: FleetSettings, limits: LimitSettings) -> None:
         self.usual_ms = fleet.proxies.report_interval_ms
-        self.desk = Desk(ReportAggregator(facts, fleet))
+        self.session: ReaderSession[StreamKey] = ReaderSession(ReportAggregator(settings, fleet))
+        self.aggregator = self.session.aggregator
         self.poller = Poller(
-            listen, limits, lambda: GrpcConnection(False, facts.max_message_bytes, limits.max_headers_bytes),
-            self.event, self.closed,
-            idle_timeout_ms=limits.idle_timeout_ms + LONGEST * self.usual_ms, after_pass=self.work,
-        )  # fmt: skip
-        self.poller.add_input(0, self.told)
-        self.streams: dict[Connection, set[int]] = {}
-        self.input = Frames()
+            listen,
+            limits,
+            lambda: GrpcConnection(False, settings.max_message_bytes, limits.max_headers_bytes),
+            self.handle_event,
+            self.handle_closed,
+            idle_timeout_ms=limits.idle_timeout_ms + MAX_REQUESTED_PERIODS * self.usual_ms,
+            after_pass=self.read_messages,
+        )
+        self.poller.add_input(STDIN, self.read_input)
+        self.streams: dict[GrpcPeer, set[int]] = {}
+        self.input = FrameBuffer()
         self.cpu_s = {"parse": 0.0, "fold": 0.0}
         self.log = structlog.get_logger("reports")
 
     def run(self) -> None:
         """Until the input ends."""
-        self.say(["ready", self.poller.address])
+        self.send(ReaderReady(self.poller.address))
         self.poller.run()
 
     @staticmethod
-    def say(message: list[Any]) -> None:
-        data = memoryview(framed(message))
+    def send(message: MessageFromReader) -> None:
+        """Writes a message to the controller."""
+        data = memoryview(encode_frame(message))
         while data:
-            data = data[os.write(1, data) :]
+            data = data[os.write(STDOUT, data) :]
 
-    # the pilot's word
+    # from the controller
 
-    def told(self) -> bool:
-        """False where the pilot has ended."""
-        data = os.read(0, INPUT_CHUNK)
-        self.hear(self.input.feed(data))
+    def read_input(self) -> bool:
+        """False where the controller has ended."""
+        data = os.read(STDIN, INPUT_BYTES)
+        for encoded in self.input.feed(data):
+            self.handle(decode_to_reader(encoded))
         return bool(data)
 
-    def hear(self, messages: list[list[Any]]) -> None:
-        for what, *rest in messages:
-            if what == "joined":
-                self.joined(*rest)
-            elif what == "release":
-                account = self.desk.gatherer.release(rest[0])
-                self.say(["released", rest[0], msgspec.to_builtins(account) if account else None])
-            elif what == "listed":
-                self.desk.gatherer.listed({(host, port): number for host, port, number in rest[0]})
-            elif what == "ask":
-                self.desk.ask(Asked(*rest[0]))
-
-    def joined(self, name: str, proxy: int, zone: str, life: str, kept: dict[str, Any] | None) -> None:
-        if kept is not None:
-            self.desk.gatherer.gone[name] = msgspec.convert(kept, ReportAccount)
-        self.desk.joined(ReportAccount(proxy, zone, life, self.usual_ms, self.usual_ms), name)
+    def handle(self, message: MessageToReader) -> None:
+        """Does what the controller says."""
+        match message:
+            case AddProxy():
+                self.add_proxy(message)
+            case ReleaseProxy(name):
+                self.send(ProxyReleased(name, self.aggregator.release(name)))
+            case AddEndpoints():
+                self.aggregator.add_endpoints(message.by_address())
+            case RequestReports(request):
+                self.session.request_reports(request)
+
+    def add_proxy(self, added: AddProxy) -> None:
+        """A proxy's reports count here from now on."""
+        if added.account is not None:
+            self.aggregator.left_accounts[added.name] = added.account
+        account = ReportAccount(added.proxy, added.zone, added.incarnation, self.usual_ms, self.usual_ms)
+        self.session.add_proxy(account, added.name)
 
     # streams
 
-    def event(self, peer: Connection, event: tuple) -> None:
+    def handle_event(self, connection: GrpcPeer, event: tuple[Any, ...]) -> None:
+        """One event of a connection."""
         kind, stream = event[0], event[1]
-        held = self.streams.setdefault(peer, set())
+        streams = self.streams.setdefault(connection, set())
+        key = StreamKey(connection, stream)
         if kind == "open":
             if event[2] != LOAD:
                 text = f"no method {event[2]} here: load reports alone"
-                peer.with_codec(lambda c: c.finish(stream, UNIMPLEMENTED, text))
+                connection.with_codec(lambda codec: codec.finish(stream, UNIMPLEMENTED, text))
                 return
-            peer.with_codec(lambda c: c.accept(stream))
-            held.add(stream)
-            self.desk.opened((peer, stream))
-        elif kind == "message" and stream in held:
-            self.desk.message((peer, stream), event[2], now_ms())
-            peer.set_paused(True)
-        elif kind == "end" and stream in held:
+            connection.with_codec(lambda codec: codec.accept(stream))
+            streams.add(stream)
+            self.session.open_stream(key)
+        elif kind == "message" and stream in streams:
+            self.session.add_message(key, event[2], now_ms())
+            connection.set_paused(True)
+        elif kind == "end" and stream in streams:
             if event[2]:
-                name = self.desk.lines[peer, stream].name
+                name = self.session.streams[key].name
                 self.log.warning("stream ended", reason=event[3], code=event[2], proxy=name)
-            held.discard(stream)
-            self.desk.ended((peer, stream))
+            streams.discard(stream)
+            self.session.end_stream(key)
 
-    def closed(self, peer: Connection, reason: str) -> None:
-        streams = self.streams.pop(peer, set())
+    def handle_closed(self, connection: GrpcPeer, reason: str) -> None:
+        """A connection has ended."""
+        streams = self.streams.pop(connection, set())
         if not streams:
             self.log.warning("connection ended", reason=reason)
         for stream in streams:
-            self.desk.ended((peer, stream))
+            self.session.end_stream(StreamKey(connection, stream))
 
     # reading
 
-    def work(self) -> float:
-        """Read as far as the gatherer lets; returns when to come again."""
-        begun = time.thread_time()
-        due_ms = self.desk.work(now_ms())
-        outcome = self.desk.take_outcome()
-        for (peer, stream), data in outcome.sends:
-            peer.send(stream, data)
-        for (peer, stream), status, text in outcome.ends:
-            self.streams.get(peer, set()).discard(stream)
-            peer.with_codec(lambda c, s=stream, n=status, t=text: c.finish(s, n, t))  # type: ignore[misc]
-        for peer in {peer for (peer, _), _ in outcome.taken}:
-            lines = (self.desk.lines.get((peer, stream)) for stream in self.streams.get(peer, ()))
-            peer.set_paused(any(line is not None and line.waits for line in lines))
-        for name, life in outcome.hellos:
-            self.say(["hello", name, life])
-        say(self.log, self.desk.gatherer)
-        self.cpu_s["parse"] += time.thread_time() - begun
-        if self.desk.gatherer.due_ms() <= now_ms():
-            self.hand_over()
+    def read_messages(self) -> float:
+        """Reads as far as the budget allows; returns when to do it again."""
+        begun_s = time.thread_time()
+        due_ms = self.session.read_messages(now_ms())
+        self.act(self.session.drain_pending())
+        log_warnings(self.log, self.aggregator.drain_warnings())
+        self.cpu_s["parse"] += time.thread_time() - begun_s
+        if self.aggregator.due_ms() <= now_ms():
+            self.drain_window()
         return due_ms
 
-    def hand_over(self) -> None:
-        begun = time.thread_time()
-        found = self.desk.gatherer.hand_over(now_ms())
-        self.cpu_s["fold"] += time.thread_time() - begun
-        spent = {"streams": self.poller.io_cpu_s, **self.cpu_s}
-        found["cpu_s"] = {name: round(each, 4) for name, each in spent.items()}
-        found["held_bytes"] = self.desk.held_bytes
-        self.say(["window", found])
+    def act(self, pending: PendingActions[StreamKey]) -> None:
+        """Does on the connections what follows from the messages that were read."""
+        send_messages(pending.sends)
+        for end in pending.ends:
+            self.streams.get(end.key.connection, set()).discard(end.key.stream)
+            finish_stream(end)
+        for connection in {consumed.key.connection for consumed in pending.consumed}:
+            connection.set_paused(self.has_buffered(connection))
+        for opened in pending.opened:
+            self.send(StreamOpened(opened.name, opened.incarnation))
+
+    def has_buffered(self, connection: GrpcPeer) -> bool:
+        """Whether messages of a connection wait to be read."""
+        keys = (StreamKey(connection, stream) for stream in self.streams.get(connection, ()))
+        streams = (self.session.streams.get(key) for key in keys)
+        return any(stream is not None and stream.buffered for stream in streams)
+
+    def drain_window(self) -> None:
+        """Sends the summary of the window."""
+        begun_s = time.thread_time()
+        summary = self.aggregator.drain(now_ms())
+        self.cpu_s["fold"] += time.thread_time() - begun_s
+        cpu_s = {"streams": self.poller.io_cpu_s, **self.cpu_s}
+        summary.cpu_s = {name: round(seconds, 4) for name, seconds in cpu_s.items()}
+        summary.buffered_bytes = self.session.buffered_bytes
+        self.send(WindowDrained(summary))
+
+
+def read_configuration(frames: FrameBuffer) -> tuple[Configuration, list[bytes]] | None:
+    """The first message and what came right behind it; None where the input ends before it."""
+    while True:
+        data = os.read(STDIN, INPUT_BYTES)
+        if not data:
+            return None
+        messages = frames.feed(data)
+        if messages:
+            return decode_configuration(messages[0]), messages[1:]
 
 
 def main() -> None:
-    frames = Frames()
-    opening: list[list[Any]] = []
-    while not opening:
-        data = os.read(0, INPUT_CHUNK)
-        if not data:
-            return
-        opening = frames.feed(data)
-    listen, facts, fleet, limits = opening[0]
+    """Reads load reports until standard input ends."""
+    frames = FrameBuffer()
+    first = read_configuration(frames)
+    if first is None:
+        return
+    configuration, messages = first
     configure_logging("auto", "info")
-    process = ReadingProcess(
-        listen,
-        LoadReportSettings.model_validate(facts),
-        FleetSettings.model_validate(fleet),
-        LimitSettings.model_validate(limits),
+    process = ReaderProcess(
+        configuration.listen,
+        LoadReportSettings.model_validate(configuration.reports),
+        FleetSettings.model_validate(configuration.fleet),
+        LimitSettings.model_validate(configuration.limits),
     )
     process.input = frames
-    process.hear(opening[1:])  # what came right behind it
+    for message in messages:
+        process.handle(decode_to_reader(message))
     with contextlib.suppress(KeyboardInterrupt, BrokenPipeError):
         process.run()
 
--- a/quillstep/load_reports/reader_session.py
+++ b/quillstep/load_reports/reader_session.py
@@ -1,185 +1,237 @@
-"""One reader's desk: streams of load reports, each with what waits on it, read as far as the gatherer lets.  No I/O.
+"""Report streams of one reader: what waits on each, read as far as the aggregator's budget allows.  Without I/O.
 
-Whoever carries the bytes says what opened, came and ended, calls `work`, and does what `outcome` says: bytes to send,
-streams to end, messages taken (only then may the peer send more: that is how back-pressure reaches a proxy).
+Whoever carries the bytes says what opened, arrived and ended, calls `read_messages`, and then does the pending actions:
+messages to send, streams to end, messages that were consumed (only then may the peer send more: that is how
+back-pressure reaches a proxy).
 """
 
 from collections import deque
+from collections.abc import Hashable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Generic, NamedTuple, TypeVar
 
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.load_reports.aggregator import Asked, ReportAggregator
+from quillstep.load_reports.aggregator import ReportAggregator
+from quillstep.load_reports.messages import ReportRequest
 from quillstep.load_reports.validation import ReportAccount
 from quillstep.xds.grpc import INVALID_ARGUMENT, PERMISSION_DENIED, UNAVAILABLE
 from quillstep.xds.load_stats import life_of, load_request, read_report
 
-WAITS = 0.1  # periods between two looks whether a proxy has joined, whose reports came first
-SILENT_PERIODS = 3.0  # after which a stream without a life may lose its name to another
+JOIN_POLL_PERIODS = 0.1  # between two checks whether a proxy has joined whose reports came first
+SILENT_PERIODS = 3.0  # after which a stream without an incarnation may lose its name to another
+
+Key = TypeVar("Key", bound=Hashable)  # a stream, as the carrier of the bytes knows it
+
+
+class BufferedMessage(NamedTuple):
+    """A message that waits to be read."""
+
+    arrived_ms: float
+    data: bytes
 
 
 @dataclass(slots=True)
-class Line:
-    """One stream: who it says it is, and what waits on it."""
+class ReportStream:
+    """One stream: which proxy it says it is, and what waits on it."""
 
     name: str = ""
-    life: str = ""
-    waits: deque[tuple[float, bytes]] = field(default_factory=deque)
+    incarnation: str = ""
+    buffered: deque[BufferedMessage] = field(default_factory=deque)
     due_ms: float = 0.0  # when its next message may be read
-    heard_ms: float = 0.0
+    read_ms: float = 0.0  # when its last message was read
+
+
+class MessageToSend(NamedTuple, Generic[Key]):
+    """A response on a stream."""
+
+    key: Key
+    data: bytes
+
+
+class StreamToEnd(NamedTuple, Generic[Key]):
+    """A stream to be ended with a gRPC status."""
+
+    key: Key
+    status: int
+    text: str
+
+
+class ConsumedMessage(NamedTuple, Generic[Key]):
+    """A message that was read."""
+
+    key: Key
+    size_bytes: int
+
+
+class NamedStream(NamedTuple):
+    """A proxy that has a stream here now."""
+
+    name: str
+    incarnation: str
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What is to be done now; keys are the carrier's own."""
+class PendingActions(Generic[Key]):
+    """What the carrier of the bytes has to do."""
 
-    sends: list[tuple[Any, bytes]] = field(default_factory=list)
-    ends: list[tuple[Any, int, str]] = field(default_factory=list)
-    taken: list[tuple[Any, int]] = field(default_factory=list)  # key and size of a message that was read
-    hellos: list[tuple[str, str]] = field(default_factory=list)  # names that have a stream here, and their lives
+    sends: list[MessageToSend[Key]] = field(default_factory=list)
+    ends: list[StreamToEnd[Key]] = field(default_factory=list)
+    consumed: list[ConsumedMessage[Key]] = field(default_factory=list)
+    opened: list[NamedStream] = field(default_factory=list)
 
 
-class Desk:
-    """Reads for one gatherer."""
+class ReaderSession(Generic[Key]):
+    """Reads the streams of one reader for one aggregator."""
 
-    def __init__(self, gatherer: ReportAggregator) -> None:
-        self.gatherer = gatherer
-        self.lines: dict[Any, Line] = {}
-        self.at: dict[str, Any] = {}  # the stream that has each name
-        self.busy: deque[Any] = deque()  # streams on which something waits, in turn
-        self.held_bytes = 0
-        self.outcome = Outcome()
+    def __init__(self, aggregator: ReportAggregator) -> None:
+        self.aggregator = aggregator
+        self.streams: dict[Key, ReportStream] = {}
+        self.by_name: dict[str, Key] = {}  # the stream that speaks for each proxy
+        self.readable: deque[Key] = deque()  # streams on which something waits, in turn
+        self.buffered_bytes = 0
+        self.pending: PendingActions[Key] = PendingActions()
 
-    # what came
+    # streams
 
-    def opened(self, key: Any) -> None:
-        self.lines[key] = Line()
+    def open_stream(self, key: Key) -> None:
+        """A stream has opened."""
+        self.streams[key] = ReportStream()
 
-    def message(self, key: Any, data: bytes, now_ms: float) -> None:
-        line = self.lines.get(key)
-        if line is None:
+    def add_message(self, key: Key, data: bytes, now_ms: float) -> None:
+        """A message has arrived."""
+        stream = self.streams.get(key)
+        if stream is None:
             return
-        if not line.waits:
-            self.busy.append(key)
-        line.waits.append((now_ms, data))
-        self.held_bytes += len(data)
-
-    def ended(self, key: Any) -> None:
-        """A stream is gone; what waited on it can still be read by nobody."""
-        line = self.lines.pop(key, None)
-        if line is None:
+        if not stream.buffered:
+            self.readable.append(key)
+        stream.buffered.append(BufferedMessage(now_ms, data))
+        self.buffered_bytes += len(data)
+
+    def end_stream(self, key: Key) -> None:
+        """A stream is gone, and with it what waits on it."""
+        stream = self.streams.pop(key, None)
+        if stream is None:
             return
-        self.held_bytes -= sum(len(data) for _, data in line.waits)
-        line.waits.clear()
-        if self.at.get(line.name) == key:
-            del self.at[line.name]
+        self.buffered_bytes -= sum(len(message.data) for message in stream.buffered)
+        stream.buffered.clear()
+        if self.by_name.get(stream.name) == key:
+            del self.by_name[stream.name]
 
-    # what the pilot tells
+    # from the controller
 
-    def joined(self, account: ReportAccount, name: str) -> None:
-        self.gatherer.joined(account, name)
-        key = self.at.get(name)
+    def add_proxy(self, account: ReportAccount, name: str) -> None:
+        """A proxy has joined: its stream is told how to report, or ended if it is of another incarnation."""
+        self.aggregator.add_proxy(account, name)
+        key = self.by_name.get(name)
         if key is None:
             return
-        if account.life and self.lines[key].life != account.life:
-            self.refuse(key)
+        if account.incarnation and self.streams[key].incarnation != account.incarnation:
+            self._reject_claim(key)
         else:
-            self.lines[key].due_ms = 0.0
-            self.ask_anew(key, account)
-
-    def ask(self, asked: Asked) -> None:
-        name = self.gatherer.ask(asked)
-        if name in self.at:
-            self.ask_anew(self.at[name], self.gatherer.accounts[name])
+            self.streams[key].due_ms = 0.0
+            self._send_request(key, account.period_ms, account.is_full)
 
-    def ask_anew(self, key: Any, account: ReportAccount) -> None:
-        self.outcome.sends.append((key, load_request(account.period_ms, account.full)))
-
-    def refuse(self, key: Any) -> None:
-        name = self.lines[key].name
-        self.gatherer.complain(name, "another claims its name", self.lines[key].heard_ms)
-        self.end(key, PERMISSION_DENIED, "this name is another's")
-
-    def end(self, key: Any, status: int, text: str) -> None:
-        self.outcome.ends.append((key, status, text))
-        self.ended(key)
+    def request_reports(self, request: ReportRequest) -> None:
+        """A proxy is to report in another way."""
+        name = self.aggregator.set_request(request)
+        if name in self.by_name:
+            account = self.aggregator.accounts[name]
+            self._send_request(self.by_name[name], account.period_ms, account.is_full)
 
     # reading
 
-    def work(self, now_ms: float) -> float:
-        """Read what may be read; returns when there is something to do without anything new."""
-        due = float("inf")
-        for _ in range(len(self.busy)):
-            key = self.busy.popleft()
-            line = self.lines.get(key)
-            if line is None or not line.waits:
+    def read_messages(self, now_ms: float) -> float:
+        """Reads what may be read; returns when there is something to do without anything new."""
+        due_ms = float("inf")
+        for _ in range(len(self.readable)):
+            key = self.readable.popleft()
+            stream = self.streams.get(key)
+            if stream is None or not stream.buffered:
                 continue
-            if line.due_ms <= now_ms:
-                arrived_ms, data = line.waits[0]
-                line.due_ms = self.not_before(line, arrived_ms, len(data), now_ms)
-                if not line.due_ms:
-                    line.waits.popleft()
-                    self.held_bytes -= len(data)
-                    self.outcome.taken.append((key, len(data)))
-                    self.read(key, line, data, arrived_ms, now_ms)
-            if line.waits:
-                self.busy.append(key)
-                due = min(due, line.due_ms or now_ms)
-        return min(due, self.gatherer.due_ms())
-
-    def not_before(self, line: Line, arrived_ms: float, size: int, now_ms: float) -> float:
-        """0 where a message may be read now, else when to look again."""
-        if line.name and line.name not in self.gatherer.accounts and now_ms - arrived_ms < self.gatherer.usual_ms:
-            return now_ms + WAITS * self.gatherer.usual_ms  # its other stream may be about to stand
-        return self.gatherer.may_read(line.name, size, now_ms)
-
-    def read(self, key: Any, line: Line, data: bytes, arrived_ms: float, now_ms: float) -> None:
-        """Parse one message: its cost has been allowed for by its size."""
-        gatherer = self.gatherer
-        work = gatherer.spend(len(data))
-        line.heard_ms = now_ms
+            if stream.due_ms <= now_ms:
+                self._read_next(key, stream, now_ms)
+            if stream.buffered:
+                self.readable.append(key)
+                due_ms = min(due_ms, stream.due_ms or now_ms)
+        return min(due_ms, self.aggregator.due_ms())
+
+    def drain_pending(self) -> PendingActions[Key]:
+        """What has to be done since the last call."""
+        pending, self.pending = self.pending, PendingActions()
+        return pending
+
+    def _read_next(self, key: Key, stream: ReportStream, now_ms: float) -> None:
+        """Reads the next message of a stream, or sets when it may be read."""
+        arrived_ms, data = stream.buffered[0]
+        stream.due_ms = self._wait_until_ms(stream, arrived_ms, len(data), now_ms)
+        if not stream.due_ms:
+            stream.buffered.popleft()
+            self.buffered_bytes -= len(data)
+            self.pending.consumed.append(ConsumedMessage(key, len(data)))
+            self._read(key, stream, data, arrived_ms, now_ms)
+
+    def _wait_until_ms(self, stream: ReportStream, arrived_ms: float, size_bytes: int, now_ms: float) -> float:
+        """0 where a message may be read now, else when to try again."""
+        usual_ms = self.aggregator.usual_ms
+        has_joined = stream.name in self.aggregator.accounts
+        if stream.name and not has_joined and now_ms - arrived_ms < usual_ms:
+            return now_ms + JOIN_POLL_PERIODS * usual_ms  # its discovery stream may be about to open
+        return self.aggregator.wait_until_ms(stream.name, size_bytes, now_ms)
+
+    def _read(self, key: Key, stream: ReportStream, data: bytes, arrived_ms: float, now_ms: float) -> None:
+        """Decodes and counts one message."""
+        aggregator = self.aggregator
+        cost = aggregator.charge(len(data))
+        stream.read_ms = now_ms
         try:
             request = lrs_pb2.LoadStatsRequest.FromString(data)
         except DecodeError:
-            gatherer.complain(line.name, "a message that is no report", now_ms)
-            self.end(key, INVALID_ARGUMENT, "a message that is no report")
+            aggregator.warn(stream.name, "malformed message", now_ms)
+            self._end(key, INVALID_ARGUMENT, "a message that is no report")
             return
-        if not line.name and not self.greet(key, line, request, now_ms):
+        if not stream.name and not self._identify(key, stream, request, now_ms):
             return
         if request.cluster_stats:
-            told = read_report(request, data, gatherer.places, gatherer.endpoints)
-            gatherer.take(line.name, told, arrived_ms, now_ms, work)
+            report = read_report(request, data, aggregator.class_indexes, aggregator.endpoints)
+            aggregator.add_report(stream.name, report, arrived_ms, now_ms, cost)
+
+    def _identify(self, key: Key, stream: ReportStream, request: lrs_pb2.LoadStatsRequest, now_ms: float) -> bool:
+        """Handles a stream's first message, which names its proxy; False where the stream is ended.
 
-    def greet(self, key: Any, line: Line, request: lrs_pb2.LoadStatsRequest, now_ms: float) -> bool:
-        """A stream says who it is.  A name that stands under another life, or that another stream speaks for, is not
-        its to take."""
-        name, life = request.node.id, life_of(request.node)
+        A name that has joined in another incarnation, or that another stream speaks for, can't be claimed.
+        """
+        name, incarnation = request.node.id, life_of(request.node)
         if not name:
-            self.end(key, INVALID_ARGUMENT, "the first request names no node")
+            self._end(key, INVALID_ARGUMENT, "the first request names no node")
             return False
-        line.name, line.life = name, life
-        account = self.gatherer.accounts.get(name)
-        if account is not None and account.life and account.life != life:
-            self.refuse(key)
+        stream.name, stream.incarnation = name, incarnation
+        account = self.aggregator.accounts.get(name)
+        if account is not None and account.incarnation and account.incarnation != incarnation:
+            self._reject_claim(key)
             return False
-        before = self.at.get(name)
+        period_ms = account.period_ms if account else self.aggregator.usual_ms
+        before = self.by_name.get(name)
         if before is not None:
-            held = self.lines[before]
-            most_ms = SILENT_PERIODS * (account.period_ms if account else self.gatherer.usual_ms)
-            if not life and now_ms - held.heard_ms < most_ms:
-                self.refuse(key)
+            is_speaking = now_ms - self.streams[before].read_ms < SILENT_PERIODS * period_ms
+            if not incarnation and is_speaking:
+                self._reject_claim(key)
                 return False
-            self.end(before, UNAVAILABLE, "the proxy dialled anew")
-        self.at[name] = key
-        self.outcome.hellos.append((name, life))
-        usual = self.gatherer.usual_ms
-        self.outcome.sends.append((
-            key, load_request(account.period_ms if account else usual, account.full if account else True)
-        ))  # fmt: skip
+            self._end(before, UNAVAILABLE, "the proxy dialled anew")
+        self.by_name[name] = key
+        self.pending.opened.append(NamedStream(name, incarnation))
+        self._send_request(key, period_ms, account.is_full if account else True)
         return True
 
-    def take_outcome(self) -> Outcome:
-        found, self.outcome = self.outcome, Outcome()
-        return found
+    def _send_request(self, key: Key, period_ms: float, is_full: bool) -> None:
+        self.pending.sends.append(MessageToSend(key, load_request(period_ms, is_full)))
+
+    def _reject_claim(self, key: Key) -> None:
+        stream = self.streams[key]
+        self.aggregator.warn(stream.name, "name is claimed by another stream", stream.read_ms)
+        self._end(key, PERMISSION_DENIED, "this name is another's")
+
+    def _end(self, key: Key, status: int, text: str) -> None:
+        self.pending.ends.append(StreamToEnd(key, status, text))
+        self.end_stream(key)
--- a/quillstep/load_reports/reader_thread.py
+++ b/quillstep/load_reports/reader_thread.py
@@ -1,106 +1,151 @@
-"""Reads load reports in a thread of the pilot, from streams that share their connections with all else."""
+"""Reads load reports in a thread of the controller, from streams that share their connections with all else."""
 
 import queue
+import threading
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import structlog
 
 from quillstep.config.controller import LoadReportSettings
 from quillstep.config.fleet import FleetSettings
-from quillstep.load_reports.aggregator import Asked, ReportAggregator
-from quillstep.load_reports.reader_session import Desk
+from quillstep.load_reports.aggregator import ReportAggregator
+from quillstep.load_reports.connections import StreamKey, finish_stream, log_warnings, send_messages
+from quillstep.load_reports.messages import AddEndpoints, MembershipChange, ProxyJoined, ProxyLeft, ReportRequest
+from quillstep.load_reports.reader_session import ReaderSession
 from quillstep.load_reports.validation import ReportAccount
 from quillstep.net.clock import now_ms
-from quillstep.xds.server import Peer
+from quillstep.xds.http2 import GrpcPeer
 
-IDLE_S = 0.5
+MAX_WAIT_S = 0.5
 
 
-class ThreadReader:
-    """`opened`, `message` and `ended` come from the connections' threads and never block; `tell` from the deciding one.
+class StreamOpened(NamedTuple):
+    """A report stream has opened."""
 
-    What waits is bounded by the streams' flow control: a peer gets room for more as its messages are read.
+    key: StreamKey
+
+
+class MessageArrived(NamedTuple):
+    """A message has arrived on a report stream."""
+
+    key: StreamKey
+    data: bytes
+
+
+class StreamEnded(NamedTuple):
+    """A report stream has ended."""
+
+    key: StreamKey
+
+
+class Stop(NamedTuple):
+    """The thread is to end."""
+
+
+ReaderEvent = StreamOpened | MessageArrived | StreamEnded | MembershipChange | ReportRequest | Stop
+
+
+class ReaderThread:
+    """The queue and the thread of one reader.
+
+    `open_stream`, `add_message` and `end_stream` come from the connections' threads and never block; `notify` from the
+    deciding thread.  All go through one queue.  What waits there is bounded by the streams' flow control: a peer may
+    send more as its messages are read.
     """
 
-    def __init__(self, facts: LoadReportSettings, fleet: FleetSettings, put: Callable[[tuple], None]) -> None:
-        self.message_most = facts.max_message_bytes
-        self.desk = Desk(ReportAggregator(facts, fleet))
+    def __init__(
+        self, settings: LoadReportSettings, fleet: FleetSettings, put: Callable[[tuple[Any, ...]], None]
+    ) -> None:
+        self.max_message_bytes = settings.max_message_bytes
+        self.session: ReaderSession[StreamKey] = ReaderSession(ReportAggregator(settings, fleet))
         self.put = put
         self.usual_ms = fleet.proxies.report_interval_ms
-        self.came: queue.SimpleQueue[tuple] = queue.SimpleQueue()
+        self.events: queue.SimpleQueue[ReaderEvent] = queue.SimpleQueue()
         self.log = structlog.get_logger("reports")
 
-    def opened(self, peer: Peer, stream: int) -> None:
-        self.came.put(("opened", (peer, stream)))
+    def open_stream(self, connection: GrpcPeer, stream: int) -> None:
+        """A report stream has opened."""
+        self.events.put(StreamOpened(StreamKey(connection, stream)))
+
+    def add_message(self, connection: GrpcPeer, stream: int, data: bytes) -> None:
+        """A message has arrived on a report stream."""
+        self.events.put(MessageArrived(StreamKey(connection, stream), data))
 
-    def message(self, peer: Peer, stream: int, data: bytes) -> None:
-        self.came.put(("message", (peer, stream), data))
+    def end_stream(self, connection: GrpcPeer, stream: int) -> None:
+        """A report stream has ended."""
+        self.events.put(StreamEnded(StreamKey(connection, stream)))
 
-    def ended(self, peer: Peer, stream: int) -> None:
-        self.came.put(("ended", (peer, stream)))
+    def notify(self, changes: list[MembershipChange], requests: list[ReportRequest]) -> None:
+        """Passes on who joined and left, which endpoints are listed, and what proxies have to report."""
+        for change in changes:
+            self.events.put(change)
+        for request in requests:
+            self.events.put(request)
 
-    def tell(self, moves: list[tuple], asked: list[Asked]) -> None:
-        for move in moves:
-            self.came.put(move)
-        for each in asked:
-            self.came.put(("ask", each))
+    def start(self) -> None:
+        """Starts the thread."""
+        threading.Thread(target=self.run, name="report-reader", daemon=True).start()
 
     def stop(self) -> None:
-        self.came.put(("stop",))
+        """Ends the thread, without waiting: it may be blocked in `put`, which nobody takes from any more."""
+        self.events.put(Stop())
 
     def run(self) -> None:
+        """Until `stop`."""
         due_ms = float("inf")
-        while True:
-            wait = min(IDLE_S, max(0.0, due_ms - now_ms()) / 1000.0)
-            try:
-                what = self.came.get(timeout=wait) if wait else self.came.get_nowait()
-                while True:
-                    if what[0] == "stop":
-                        return
-                    self.take(what)
-                    what = self.came.get_nowait()
-            except queue.Empty:
-                pass
-            due_ms = self.work()
-
-    def take(self, what: tuple) -> None:
-        kind, *rest = what
-        desk = self.desk
-        if kind == "message":
-            key, data = rest
-            desk.message(key, data, now_ms())
-        elif kind == "joined":
-            name, proxy, zone, life = rest
-            desk.joined(ReportAccount(proxy, zone, life, self.usual_ms, self.usual_ms), name)
-        elif kind == "left":
-            desk.gatherer.left(*rest)
-        elif kind == "listed":
-            desk.gatherer.listed({(host, port): number for host, port, number in rest[0]})
-        else:
-            {"opened": desk.opened, "ended": desk.ended, "ask": desk.ask}[kind](*rest)
-
-    def work(self) -> float:
-        due_ms = self.desk.work(now_ms())
-        outcome = self.desk.take_outcome()
-        for (peer, stream), _ in outcome.taken:
-            peer.with_codec(lambda c, s=stream: c.taken(s))  # type: ignore[misc]
-        for (peer, stream), data in outcome.sends:
-            peer.send(stream, data)
-        for (peer, stream), status, text in outcome.ends:
-            peer.with_codec(lambda c, s=stream, n=status, t=text: c.finish(s, n, t))  # type: ignore[misc]
-        gatherer = self.desk.gatherer
-        say(self.log, gatherer)
-        if gatherer.due_ms() <= now_ms():
-            found = gatherer.hand_over(now_ms())
-            found["cpu_s"] = {"reader": round(time.thread_time(), 4)}
-            self.put(("reports", 0, found))
+        while self._handle_events(min(MAX_WAIT_S, max(0.0, due_ms - now_ms()) / 1000.0)):
+            due_ms = self._read_messages()
+
+    def _handle_events(self, wait_s: float) -> bool:
+        """Waits for an event, then handles all there are; False where the thread is to end."""
+        try:
+            event = self.events.get(timeout=wait_s) if wait_s else self.events.get_nowait()
+            while not isinstance(event, Stop):
+                self._handle(event)
+                event = self.events.get_nowait()
+        except queue.Empty:
+            return True
+        return False
+
+    def _handle(self, event: ReaderEvent) -> None:
+        session = self.session
+        match event:
+            case MessageArrived(key, data):
+                session.add_message(key, data, now_ms())
+            case StreamOpened(key):
+                session.open_stream(key)
+            case StreamEnded(key):
+                session.end_stream(key)
+            case ProxyJoined():
+                account = ReportAccount(event.proxy, event.zone, event.incarnation, self.usual_ms, self.usual_ms)
+                session.add_proxy(account, event.name)
+            case ProxyLeft():
+                session.aggregator.remove_proxy(event.name)
+            case AddEndpoints():
+                session.aggregator.add_endpoints(event.by_address())
+            case ReportRequest():
+                session.request_reports(event)
+
+    def _read_messages(self) -> float:
+        """Reads what may be read; returns when to do it again."""
+        due_ms = self.session.read_messages(now_ms())
+        pending = self.session.drain_pending()
+        for (connection, stream), _ in pending.consumed:
+            _allow_more(connection, stream)
+        send_messages(pending.sends)
+        for end in pending.ends:
+            finish_stream(end)
+        aggregator = self.session.aggregator
+        log_warnings(self.log, aggregator.drain_warnings())
+        if aggregator.due_ms() <= now_ms():
+            summary = aggregator.drain(now_ms())
+            summary.cpu_s = {"reader": round(time.thread_time(), 4)}
+            self.put(("reports", 0, summary))
         return due_ms
 
 
-def say(log: Any, gatherer: ReportAggregator) -> None:
-    """Say what was wrong with whose reports."""
-    for name, text in gatherer.complaints:
-        log.warning("load report doubted", proxy=name, reason=text)
-    gatherer.complaints = []
+def _allow_more(connection: GrpcPeer, stream: int) -> None:
+    """Has the stream's flow control let the peer send as much as was read."""
+    connection.with_codec(lambda codec: codec.taken(stream))
--- a/quillstep/load_reports/upstream_stats.py
+++ b/quillstep/load_reports/upstream_stats.py
@@ -1,89 +1,303 @@
-"""Sums that merge: what proxies met, by report, and what a window of reports comes to.  Without I/O and clocks.
+"""Sums that merge: checked reports, windows of them, and what a window comes to.  Without I/O and clocks.
 
 A window holds each report under its identity, so merging two windows is a union: repeated, reordered or split as they
 may be, the same reports come to the same figures, bit for bit (`math.fsum` rounds once, whatever the sequence).
-Times are milliseconds, counts are exchanges or tries.
+Times are milliseconds, counts are requests or attempts.
 """
 
 import math
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import NamedTuple
 
-ONE_MOST = 0.25  # the part of a judgement that one proxy's word may make up, where eight or more speak
-ENOUGH = 32  # proxies from which on one may not make up more than that of all traffic
-Row = tuple[int, int, int, float, float | None]  # endpoint, good, failed, summed time of the good, load
-Word = tuple["Report", float, float, Row]  # what it is worth, and how much of it is flow of the present
+import msgspec
+
+from quillstep.load_reports.summary import DownstreamRow, LatencyRow, ProxyRow, ReportSummary, UpstreamRow
+
+MAX_PROXY_SHARE = 0.25  # of an endpoint's figures that one proxy may make up, where eight or more report it
+MIN_BOUNDED_PROXIES = 32  # proxies from which on none may make up more than that of all traffic
+MIN_REMAINING_SHARE = 1e-9
+
+ReportIdentity = tuple[int, str, int]  # proxy, incarnation, number
+
+
+class EndpointRow(msgspec.Struct, gc=False):
+    """The attempts of one proxy at one endpoint."""
+
+    endpoint: int
+    succeeded: int
+    failed: int
+    succeeded_ms: float  # summed latency of the successful attempts
+    load: float | None
+
+
+class ClassArrivals(msgspec.Struct, gc=False):
+    """The requests of one class that arrived at one proxy."""
+
+    class_index: int
+    arrived: int
+    unanswered: int
+
+
+class ClassLatency(msgspec.Struct, gc=False):
+    """The requests of one class in one latency bucket."""
+
+    class_index: int
+    count: int
+    total_ms: float
 
 
 @dataclass(slots=True)
-class Report:
-    """What one proxy met over `covers_ms` until `until_ms`, checked; `factor` is what it stands for."""
+class CountedReport:
+    """What one proxy measured over `window_ms` until `end_ms`, checked."""
 
     proxy: int
-    life: str
-    number: int  # told by the proxy, or a digest of what it sent
+    incarnation: str
+    number: int  # sent by the proxy, or a digest of what it sent
     zone: str
     arrived_ms: float
-    until_ms: float
-    covers_ms: float
-    grace_ms: float  # the period that the proxy was asked for
-    part: float = 1.0  # of its cover that was not counted before
-    factor: float = 1.0  # proxies that its rows stand for; 0: its rows don't count
-    arrivals: list[tuple[int, int, int]] = field(default_factory=list)  # class place, arrived, unanswered
-    rows: list[Row] = field(default_factory=list)
-    took: list[tuple[int, int, float]] = field(default_factory=list)  # class place, count, summed time
-    volume: float = 1.0  # of its tries that count as flow of the present
-    rows_work: float = -1.0  # what its rows cost to read; below 0: it was not to tell of endpoints
+    end_ms: float
+    window_ms: float
+    grace_ms: float  # the period that was requested from the proxy
+    uncounted_share: float = 1.0  # of its window that was not counted before
+    sampling_factor: float = 1.0  # proxies that its rows stand for; 0: its rows don't count
+    arrivals: list[ClassArrivals] = field(default_factory=list)
+    rows: list[EndpointRow] = field(default_factory=list)
+    latencies: list[ClassLatency] = field(default_factory=list)
+    current_share: float = 1.0  # of its attempts that count as current traffic
+    rows_cost: float = -1.0  # what its rows cost to read, in rows; below 0: it was not to have any
 
     @property
-    def identity(self) -> tuple[int, str, int]:
-        return self.proxy, self.life, self.number
+    def identity(self) -> ReportIdentity:
+        """What no other report has."""
+        return self.proxy, self.incarnation, self.number
 
 
-class Window:
+class ReportWindow:
     """The reports of one window by identity; `merge` is associative, commutative and idempotent."""
 
-    def __init__(self, reports: Iterable[Report] = ()) -> None:
-        self.reports: dict[tuple[int, str, int], Report] = {}
+    def __init__(self, reports: Iterable[CountedReport] = ()) -> None:
+        self.reports: dict[ReportIdentity, CountedReport] = {}
         for report in reports:
             self.add(report)
 
-    def add(self, report: Report) -> bool:
+    def add(self, report: CountedReport) -> bool:
         """False where this very report is there already."""
         return self.reports.setdefault(report.identity, report) is report
 
-    def merge(self, other: "Window") -> "Window":
-        return Window([*self.reports.values(), *other.reports.values()])
+    def merge(self, other: "ReportWindow") -> "ReportWindow":
+        """A window with the reports of both."""
+        return ReportWindow([*self.reports.values(), *other.reports.values()])
 
-    def in_order(self) -> list[Report]:
+    def in_order(self) -> list[CountedReport]:
+        """The reports by identity."""
         return [self.reports[identity] for identity in sorted(self.reports)]
 
 
-@dataclass(slots=True)
-class Folded:
-    """What a window came to, as plain rows for the way to the deciding thread."""
-
-    # zone, endpoint, good, failed, summed time of the good, weight of load figures, weighted load, covers, until
-    sums: list[list[Any]] = field(default_factory=list)
-    # class place, proxy, arrived, unanswered, covers_ms, until_ms
-    arrivals: list[list[Any]] = field(default_factory=list)
-    took: list[list[Any]] = field(default_factory=list)  # zone, place, mean time, count
-    # proxy, arrived_ms, until_ms, covers_ms, work of its rows, arrived, part of its tries that failed
-    heard: list[list[Any]] = field(default_factory=list)
-    overtaken: int = 0  # rows left out because fresher ones had told of their endpoint
-
-
-def clip(shares: list[float], most: float) -> list[float]:
-    """Shares of a whole with none above `most` of what is left of all, or above twice an equal part of it where few
-    speak: with one or two there is nobody to say who lies."""
+EndpointKey = tuple[str, int]  # zone and endpoint
+
+
+class WeightedRow(msgspec.Struct, gc=False):
+    """A report's row, what it weighs, and how many of its attempts count as current traffic."""
+
+    report: CountedReport
+    weight: float
+    current_share: float
+    row: EndpointRow
+
+
+class EndpointMemory:
+    """What summaries remember of each zone and endpoint: how recent its figures are, and attempts not yet passed on."""
+
+    def __init__(self) -> None:
+        self.newest_ms: dict[EndpointKey, float] = {}  # when the latest window ended
+        self.carried: dict[EndpointKey, float] = {}  # attempts of superseded rows, added to the next fresh ones
+
+    def forget_older(self, now_ms: float, max_age_ms: float) -> None:
+        """Drops the times of endpoints that nobody has reported for so long."""
+        self.newest_ms = {key: at_ms for key, at_ms in self.newest_ms.items() if now_ms - at_ms < max_age_ms}
+
+
+def summarize(
+    window: ReportWindow, weigh: Callable[[CountedReport], float], memory: EndpointMemory, slack_ms: float
+) -> ReportSummary:
+    """Sums by zone and endpoint, arrivals by class and proxy, latencies by zone and class.
+
+    Args:
+        window: The reports.
+        weigh: A report's weight by age, 0 to 1.
+        memory: Brought up to date.
+        slack_ms: Rows that end by more than this (and their own period) before the latest of their endpoint are left
+            out, as they say nothing of how it is now; that their attempts were made is carried to its next sum.
+    """
+    summary = ReportSummary()
+    rows: dict[EndpointKey, list[WeightedRow]] = {}
+    latencies: dict[tuple[str, int], list[ClassLatency]] = {}
+    reports = window.in_order()
+    remaining = _remaining_shares(reports)
+    for report in reports:
+        weight = weigh(report) * report.uncounted_share
+        if weight <= 0.0:
+            continue
+        _add_proxy(summary, report, weight)
+        for latency in report.latencies:
+            latencies.setdefault((report.zone, latency.class_index), []).append(latency)
+        if report.sampling_factor > 0.0:
+            factor = report.sampling_factor * remaining.get(report.proxy, 1.0)
+            current_share = report.uncounted_share * report.current_share * factor
+            for row in report.rows:
+                weighted = WeightedRow(report, weight * factor, current_share, row)
+                rows.setdefault((report.zone, row.endpoint), []).append(weighted)
+    for key, weighted_rows in rows.items():
+        _add_endpoint(summary, key, weighted_rows, memory, slack_ms)
+    for (zone, class_index), buckets in sorted(latencies.items()):
+        count = sum(bucket.count for bucket in buckets)
+        if count:
+            mean_ms = math.fsum(bucket.total_ms for bucket in buckets) / count
+            summary.latencies.append(LatencyRow(zone, class_index, mean_ms, count))
+    return summary
+
+
+def _remaining_shares(reports: list[CountedReport]) -> dict[int, float]:
+    """By proxy, the share that counts of what it reported, where it reported over `MAX_PROXY_SHARE` of all attempts.
+
+    Empty where few proxies report.
+    """
+    attempts: dict[int, float] = {}
+    for report in reports:
+        if report.rows:
+            reported = sum(row.succeeded + row.failed for row in report.rows) * report.sampling_factor
+            attempts[report.proxy] = attempts.get(report.proxy, 0.0) + reported
+    if len(attempts) < MIN_BOUNDED_PROXIES:
+        return {}
+    clipped = clip_shares(list(attempts.values()), MAX_PROXY_SHARE)
+    return {
+        proxy: counted / reported
+        for (proxy, reported), counted in zip(attempts.items(), clipped, strict=True)
+        if counted < reported
+    }
+
+
+def _add_proxy(summary: ReportSummary, report: CountedReport, weight: float) -> None:
+    """Adds a report's arrivals, and a row on the report itself."""
+    arrived = 0
+    for row in report.arrivals:
+        arrived += row.arrived
+        summary.downstream.append(
+            DownstreamRow(
+                row.class_index,
+                report.proxy,
+                row.arrived * weight,
+                row.unanswered * weight,
+                report.window_ms * weight,
+                report.end_ms,
+            )
+        )
+    failed = sum(row.failed for row in report.rows)
+    attempts = failed + sum(row.succeeded for row in report.rows)
+    summary.proxies.append(
+        ProxyRow(
+            report.proxy,
+            report.arrived_ms,
+            report.end_ms,
+            report.window_ms,
+            report.rows_cost,
+            arrived,
+            failed / attempts if attempts else 0.0,
+        )
+    )
+
+
+def _add_endpoint(
+    summary: ReportSummary, key: EndpointKey, rows: list[WeightedRow], memory: EndpointMemory, slack_ms: float
+) -> None:
+    """Adds the sum of one zone's rows of one endpoint, or carries its attempts where all rows are superseded."""
+    newest_ms = max(memory.newest_ms.get(key, float("-inf")), max(row.report.end_ms for row in rows))
+    memory.newest_ms[key] = newest_ms
+    fresh = [row for row in rows if row.report.end_ms >= newest_ms - slack_ms - row.report.grace_ms]
+    summary.superseded += len(rows) - len(fresh)
+    attempts = memory.carried.pop(key, 0.0) + math.fsum(
+        row.current_share * (row.row.succeeded + row.row.failed) for row in rows
+    )
+    if fresh:
+        summary.upstream.append(_sum_rows(key, fresh, attempts, newest_ms))
+    else:
+        memory.carried[key] = attempts
+
+
+class _ProxySum(msgspec.Struct, gc=False):
+    """What one proxy reported of one endpoint, by weight."""
+
+    succeeded: float = 0.0
+    failed: float = 0.0
+    succeeded_ms: float = 0.0
+    load_weight: float = 0.0
+    weighted_load: float = 0.0
+
+    def add(self, weighted: WeightedRow) -> None:
+        row, weight = weighted.row, weighted.weight
+        self.succeeded += row.succeeded * weight
+        self.failed += row.failed * weight
+        self.succeeded_ms += row.succeeded_ms * weight
+        if row.load is not None:
+            self.load_weight += weight * max(1, row.succeeded + row.failed)
+            self.weighted_load += weight * max(1, row.succeeded + row.failed) * row.load
+
+    @property
+    def attempts(self) -> float:
+        return self.succeeded + self.failed
+
+
+def _sum_rows(key: EndpointKey, rows: list[WeightedRow], attempts: float, end_ms: float) -> UpstreamRow:
+    """One endpoint as one zone met it.
+
+    The number of attempts is all that was reported; the shares that failed, the latency and the load go by weight, with
+    no proxy above `MAX_PROXY_SHARE` of the whole: one false report among many moves little.
+    """
+    by_proxy: dict[int, _ProxySum] = {}
+    for row in rows:
+        held = by_proxy.get(row.report.proxy)
+        if held is None:
+            held = by_proxy[row.report.proxy] = _ProxySum()
+        held.add(row)
+    sums = [by_proxy[proxy] for proxy in sorted(by_proxy)]
+    clipped = clip_shares([each.attempts for each in sums], MAX_PROXY_SHARE)
+    shares = [
+        min(1.0, counted / each.attempts) if each.attempts else 0.0 for counted, each in zip(clipped, sums, strict=True)
+    ]
+    succeeded = math.fsum(each.succeeded * share for each, share in zip(sums, shares, strict=True))
+    failed = math.fsum(each.failed * share for each, share in zip(sums, shares, strict=True))
+    succeeded_ms = math.fsum(each.succeeded_ms * share for each, share in zip(sums, shares, strict=True))
+    scale = attempts / (succeeded + failed) if succeeded + failed else 0.0
+    load = weighted_median(
+        [WeightedFigure(each.weighted_load / each.load_weight, each.load_weight) for each in sums if each.load_weight]
+    )
+    begin_ms = min(row.report.end_ms - row.report.window_ms for row in rows)
+    last_ms = max(row.report.end_ms for row in rows)
+    return UpstreamRow(
+        *key,
+        succeeded * scale,
+        failed * scale,
+        succeeded_ms * scale,
+        load.weight,
+        load.figure * load.weight,
+        last_ms - begin_ms,
+        end_ms,
+    )
+
+
+def clip_shares(shares: list[float], most: float) -> list[float]:
+    """Shares of a whole with none above `most` of what is left of all.
+
+    Where few shares are above 0 the limit is twice an equal part: with one or two there is nobody to compare with.
+    """
     most = max(most, 2.0 / max(1, sum(each > 0.0 for each in shares)))
     if not shares or max(shares) <= most * math.fsum(shares):
         return shares
     ordered = sorted(shares, reverse=True)
     # With the greatest `cut` of them cut to a limit L, L = most x (cut x L + the rest).
     for cut in range(1, len(ordered)):
-        if cut * most > 1.0 - 1e-9:  # those that were cut make up all there is: they are equal
+        if cut * most > 1.0 - MIN_REMAINING_SHARE:  # those that were cut make up all there is: they are equal
             limit = ordered[cut - 1]
             break
         limit = most * math.fsum(ordered[cut:]) / (1.0 - cut * most)
@@ -92,117 +306,23 @@
     return [min(each, limit) for each in shares]
 
 
-def fold(
-    window: Window,
-    now_ms: float,
-    weigh: Callable[[Report, float], float],
-    newest: dict[tuple[str, int], float],
-    slack_ms: float,
-    carried: dict[tuple[str, int], float],
-) -> Folded:
-    """Sums by zone and endpoint, arrivals by class and proxy, times by zone and class.
+class WeightedFigure(NamedTuple):
+    """A figure and its weight."""
 
-    `weigh(report, now_ms)` gives a report's worth; `newest` says until when each zone had told of each endpoint
-    before, and is brought up to date: rows that end over `slack_ms` (and their own period) before it say nothing of how
-    the endpoint is; that their tries were made is `carried` to the next sum of it.
-    """
-    found = Folded()
-    spoken: dict[tuple[str, int], list[Word]] = {}
-    took: dict[tuple[str, int], list[tuple[int, float]]] = {}
-    reports = window.in_order()
-    bounds = bounded(reports)
-    for report in reports:
-        counts = weigh(report, now_ms) * report.part
-        if counts <= 0.0:
-            continue
-        tell_heard(found, report, counts)
-        for place, count, total in report.took:
-            took.setdefault((report.zone, place), []).append((count, total))
-        if report.factor > 0.0:
-            stands = report.factor * bounds.get(report.proxy, 1.0)
-            word = (report, counts * stands, report.part * report.volume * stands)
-            for row in report.rows:
-                spoken.setdefault((report.zone, row[0]), []).append((*word, row))
-    for key, words in spoken.items():
-        until = max(newest.get(key, float("-inf")), max(word[0].until_ms for word in words))
-        newest[key] = until
-        fresh = [word for word in words if word[0].until_ms >= until - slack_ms - word[0].grace_ms]
-        found.overtaken += len(words) - len(fresh)
-        volume = carried.pop(key, 0.0) + math.fsum(word[2] * (word[3][1] + word[3][2]) for word in words)
-        if fresh:
-            found.sums.append(summed(key, fresh, volume, until))
-        else:
-            carried[key] = volume  # that these tries were made is no old news
-    for (zone, place), means in sorted(took.items()):
-        count = sum(each for each, _ in means)
-        if count:
-            found.took.append([zone, place, math.fsum(total for _, total in means) / count, count])
-    return found
+    figure: float
+    weight: float
 
 
-def bounded(reports: list[Report]) -> dict[int, float]:
-    """What is left of the word of those that tell of more than `ONE_MOST` of all tries; few proxies are not bounded."""
-    tries: dict[int, float] = {}
-    for report in reports:
-        if report.rows:
-            told = sum(row[1] + row[2] for row in report.rows) * report.factor
-            tries[report.proxy] = tries.get(report.proxy, 0.0) + told
-    if len(tries) < ENOUGH:
-        return {}
-    left = clip(list(tries.values()), ONE_MOST)
-    return {proxy: kept / told for (proxy, told), kept in zip(tries.items(), left, strict=True) if kept < told}
-
-
-def tell_heard(found: Folded, report: Report, counts: float) -> None:
-    """Arrivals, and a line on the proxy itself."""
-    came = 0
-    for place, arrived, unanswered in report.arrivals:
-        came += arrived
-        found.arrivals.append([
-            place, report.proxy, arrived * counts, unanswered * counts, report.covers_ms * counts, report.until_ms
-        ])  # fmt: skip
-    failed = sum(row[2] for row in report.rows)
-    tries = failed + sum(row[1] for row in report.rows)
-    found.heard.append([
-        report.proxy, report.arrived_ms, report.until_ms, report.covers_ms, report.rows_work, came,
-        failed / tries if tries else 0.0,
-    ])  # fmt: skip
-
-
-def summed(key: tuple[str, int], rows: list[Word], volume: float, until_ms: float) -> list[Any]:
-    """One endpoint as one zone met it.  Volume is all that was told; the parts that failed, the times and the load
-    are judged by what each word is worth, with none above `ONE_MOST` of the whole: one liar among many moves little."""
-    by_proxy: dict[int, list[float]] = {}  # good, failed, good_ms, load weight, weighted load
-    for report, worth, _, (_, good, failed, good_ms, load) in rows:
-        held = by_proxy.get(report.proxy)
-        if held is None:
-            held = by_proxy[report.proxy] = [0.0, 0.0, 0.0, 0.0, 0.0]
-        held[0] += good * worth
-        held[1] += failed * worth
-        held[2] += good_ms * worth
-        if load is not None:
-            held[3] += worth * max(1, good + failed)
-            held[4] += worth * max(1, good + failed) * load
-    words = [by_proxy[proxy] for proxy in sorted(by_proxy)]
-    clipped = clip([word[0] + word[1] for word in words], ONE_MOST)
-    parts = [min(1.0, c / (w[0] + w[1])) if w[0] + w[1] else 0.0 for c, w in zip(clipped, words, strict=True)]
-    met = [math.fsum(word[at] * part for word, part in zip(words, parts, strict=True)) for at in range(3)]
-    scale = volume / (met[0] + met[1]) if met[0] + met[1] else 0.0
-    weight, figure = middle([(word[4] / word[3], word[3]) for word in words if word[3]])
-    begin = min(report.until_ms - report.covers_ms for report, *_ in rows)
-    end = max(report.until_ms for report, *_ in rows)
-    return [*key, *(each * scale for each in met), weight, figure * weight, end - begin, until_ms]
-
-
-def middle(figures: list[tuple[float, float]]) -> tuple[float, float]:
-    """The weight of all figures and their weighted median, no figure's weight above `ONE_MOST` of all."""
+def weighted_median(figures: list[WeightedFigure]) -> WeightedFigure:
+    """The weighted median, with the weight of all figures; no figure's weight is above `MAX_PROXY_SHARE` of all."""
     if not figures:
-        return 0.0, 0.0
+        return WeightedFigure(0.0, 0.0)
     figures.sort()
-    weights = clip([each for _, each in figures], ONE_MOST)
+    weights = clip_shares([each.weight for each in figures], MAX_PROXY_SHARE)
+    total = math.fsum(each.weight for each in figures)
     half, so_far = 0.5 * math.fsum(weights), 0.0
-    for (figure, _), each in zip(figures, weights, strict=True):
-        so_far += each
+    for (figure, _), weight in zip(figures, weights, strict=True):
+        so_far += weight
         if so_far >= half:
-            return math.fsum(each for _, each in figures), figure
-    return math.fsum(each for _, each in figures), figures[-1][0]
+            return WeightedFigure(figure, total)
+    return WeightedFigure(figures[-1].figure, total)
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -15,6 +15,7 @@
 from quillstep.controller.decision_loop import DecisionLoop
 from quillstep.controller.event_codec import parked_of
 from quillstep.files.disk import Disk
+from quillstep.load_reports.summary import ReportSummary
 from quillstep.planner.messages import EndpointEntry
 from quillstep.recording import Header, Record, record_of
 from quillstep.xds.server import REQUESTS
@@ -141,6 +142,8 @@
             return ("roster", rest[0], [EndpointEntry(*entry) for entry in rest[1]], addresses)
         if kind == "files":
             return self.file_news(rest)
+        if kind == "reports":
+            return ("reports", rest[0], msgspec.convert(rest[1], ReportSummary))
         return (kind, *rest)
 
     def file_news(self, rest: list[Any]) -> tuple | None:
--- a/quillstep/replay/model.py
+++ b/quillstep/replay/model.py
@@ -13,7 +13,8 @@
 from typing import Any
 
 from quillstep.config.fleet import ClassSettings, FleetSettings
-from quillstep.load_reports.validation import Told
+from quillstep.load_reports.upstream_stats import ClassArrivals, EndpointRow
+from quillstep.load_reports.validation import LoadReport
 from quillstep.replay.inference import NET_MS, Inferred
 from quillstep.routing import Change
 from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, ROUTES, WEIGHT
@@ -297,20 +298,20 @@
             self.avoids[address] = now + knobs.local_ejection_ms
             self.fails[address] = 0
 
-    def hand_over(self) -> Told:
+    def hand_over(self) -> LoadReport:
         """Its sums, at the moment up to which a report of its told then; they start anew."""
         now = self.day.clock.now
         covers, self.reported_ms = now - self.reported_ms, now
         sums, came = self.sums, self.came
         self.sums, self.came = {}, {}
         self.reports += 1
-        told = Told(self.reports, now, now, covers, 0)
+        report = LoadReport(self.reports, now, now, covers, 0)
         for address, (tries, failed, good_ms) in sums.items():
             known = self.day.by_address[address]
             load = None if self.day.fleet.probes.load_only_here else known.load(now)["util"]
-            told.rows.append((known.number, int(tries - failed), int(failed), good_ms, load))
-        told.arrivals = [(place, arrived, unanswered) for place, (arrived, unanswered) in came.items()]
-        return told
+            report.rows.append(EndpointRow(known.number, int(tries - failed), int(failed), good_ms, load))
+        report.arrivals = [ClassArrivals(place, arrived, unanswered) for place, (arrived, unanswered) in came.items()]
+        return report
 
 
 class VirtualDay:
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -17,7 +17,7 @@
 from quillstep.controller.core import ControllerCore
 from quillstep.controller.decision_loop import DecisionLoop
 from quillstep.invariants import Evidence, judge
-from quillstep.load_reports.validation import Told
+from quillstep.load_reports.validation import LoadReport
 from quillstep.planner.messages import EndpointEntry
 from quillstep.replay.inference import Inferred, held_out_error, infer, tries_of
 from quillstep.replay.model import Endpoint, Proxy, VirtualDay
@@ -148,11 +148,11 @@
         if proxy and self.core.proxy_of(name) is not None:
             self.day.clock.at(at, self.reported, name, proxy.hand_over(), at)
 
-    def reported(self, name: str, told: Told, at: float) -> None:
+    def reported(self, name: str, report: LoadReport, at: float) -> None:
         number = self.core.proxy_of(name)
         if number is not None and not self.ended:
-            told.sent_ms = self.core.now_ms = at
-            self.core.told(number, told)
+            report.sent_ms = self.core.now_ms = at
+            self.core.told(number, report)
             self.poke()
 
     # time
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -16,7 +16,7 @@
 from quillstep.testbed.process import now_ms
 from quillstep.xds.client import MESSAGE_MOST
 from quillstep.xds.http2 import GrpcConnection, ProtocolError
-from quillstep.xds.load_stats import TOOK
+from quillstep.xds.load_stats import LATENCY_BUCKET_PREFIX
 from quillstep.xds.peer import dial
 from quillstep.xds.server import LOAD
 
@@ -27,7 +27,7 @@
 UNSENT_MOST = 32 * 1024  # beyond it sums stay here and add up
 HELD_MOST = 64  # reports that are held back
 BUCKETS_MS = [5.0 * 2.0**at for at in range(12)]
-TOOK_NAMES = [f"{TOOK}{bound:g}" for bound in BUCKETS_MS]
+TOOK_NAMES = [f"{LATENCY_BUCKET_PREFIX}{bound:g}" for bound in BUCKETS_MS]
 
 
 def bucket(took_ms: float) -> int:
--- a/quillstep/xds/http2.py
+++ b/quillstep/xds/http2.py
@@ -14,6 +14,7 @@
 import h2.settings
 
 from quillstep.net.codec import ProtocolError
+from quillstep.net.connection import Connection
 from quillstep.xds.grpc import INTERNAL, UNAVAILABLE, FramingError, Unframer, frame
 
 STREAMS_MOST = 16  # on one connection
@@ -242,4 +243,6 @@
         self.unframers.pop(stream, None)
 
 
-__all__ = ["ProtocolError", "Event", "GrpcConnection", "texts"]
+GrpcPeer = Connection[GrpcConnection]  # a connection that was accepted
+
+__all__ = ["ProtocolError", "Event", "GrpcConnection", "GrpcPeer", "texts"]
--- a/quillstep/xds/load_stats.py
+++ b/quillstep/xds/load_stats.py
@@ -1,15 +1,22 @@
-"""Load reports in our words, whichever front brings them; and what a front tells its pilot."""
+"""Load reports as protobuf messages, and as the plain values of `quillstep.load_reports`."""
 
-from collections.abc import Mapping
-from typing import Any, Protocol
+from collections.abc import Iterable, Mapping
+from typing import Any, NamedTuple, Protocol
 
 import xxhash
 from envoy.config.endpoint.v3 import load_report_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from quillstep.load_reports.validation import Told
+from quillstep.load_reports.upstream_stats import ClassArrivals, ClassLatency, EndpointRow
+from quillstep.load_reports.validation import LoadReport
 
-TOOK = "took_le_"  # buckets of times by class: a metric each, the bound in its name
+# Names of load metrics: what a proxy measures beside the protocol's own counts.
+LATENCY_BUCKET_PREFIX = "took_le_"  # one metric for each bucket, its bound in the name
+ARRIVED_METRIC = "arrived"
+UNANSWERED_METRIC = "unanswered"
+LATENCY_METRIC = "took_ms"
+LOAD_METRIC = "util"
+MAX_NUMBER = 2**53  # of a report: whole numbers up to here are exact as the doubles of the protocol
 
 
 class Hooks(Protocol):
@@ -24,85 +31,113 @@
     def proxy_of(self, node: str) -> int | None:
         """The number of a proxy whose stream stands."""
 
-    def told(self, proxy: int, told: Told) -> None:
+    def told(self, proxy: int, report: LoadReport) -> None:
         """A load report of a proxy."""
 
     places: dict[str, int]  # classes by name
     endpoints: dict[tuple[str, int], int]  # by address
 
 
-def load_request(period_ms: float, full: bool) -> bytes:
-    """What a proxy is asked for: how often, and whether by endpoint."""
-    answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=full)
+def load_request(period_ms: float, is_full: bool) -> bytes:
+    """What a proxy is asked for: how often to report, and whether with a row for each endpoint."""
+    answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=is_full)
     answer.load_reporting_interval.FromMilliseconds(round(period_ms))
     return answer.SerializeToString()
 
 
 def life_of(node: Any) -> str:
-    """What a proxy calls this life of its, or nothing: its load reports must come under the same word."""
+    """A proxy's incarnation, or nothing: its load reports must name the same one."""
     return node.metadata.fields["life"].string_value if "life" in node.metadata.fields else ""
 
 
 def read_report(
     request: lrs_pb2.LoadStatsRequest,
     data: bytes,
-    places: Mapping[str, int],
+    class_indexes: Mapping[str, int],
     endpoints: Mapping[tuple[str, int], int],
-) -> Told:
-    """A load report as plain values, nothing of it checked.  A proxy may number its reports and stamp them: metadata
-    `report: {number, until_ms, sent_ms}`, on its own clock."""
-    told = Told(-1, None, None, 0.0, xxhash.xxh3_64_intdigest(data) >> 1)
+) -> LoadReport:
+    """A load report as plain values, nothing of it checked.
+
+    A proxy may number its reports and stamp them with its own clock, in its node's metadata:
+    `report: {number, until_ms, sent_ms}`.
+    """
+    report = LoadReport(-1, None, None, 0.0, xxhash.xxh3_64_intdigest(data) >> 1)
     if request.HasField("node") and "report" in request.node.metadata.fields:
-        stamps = request.node.metadata.fields["report"].struct_value.fields
-        figures = {name: stamps[name].number_value for name in ("number", "until_ms", "sent_ms") if name in stamps}
-        number = figures.get("number", -1.0)
-        told.number = int(number) if 0 <= number < 2**53 else -1
-        told.until_ms, told.sent_ms = figures.get("until_ms"), figures.get("sent_ms")
-    numbered = False
+        _read_stamps(report, request.node.metadata.fields["report"].struct_value.fields)
+    has_arrivals = False
     for stats in request.cluster_stats:
         interval = stats.load_report_interval
-        told.covers_ms = max(told.covers_ms, interval.seconds * 1000.0 + interval.nanos / 1e6)
-        place = places.get(stats.cluster_name)
-        arrived = unanswered = 0
-        here = False
-        for locality in stats.upstream_locality_stats:
-            for metric in locality.load_metric_stats:
-                name, count = metric.metric_name, metric.num_requests_finished_with_metric
-                if name == "arrived":
-                    arrived, here = arrived + count, True
-                elif name == "unanswered":
-                    unanswered += count
-                elif name.startswith(TOOK) and place is not None and count:
-                    told.took.append((place, count, metric.total_metric_value))
-            for row in locality.upstream_endpoint_stats:
-                read_endpoint(told, row, endpoints)
-            if not here:
-                arrived += locality.total_issued_requests
-                unanswered += locality.total_error_requests
-        if not here:
+        report.window_ms = max(report.window_ms, interval.seconds * 1000.0 + interval.nanos / 1e6)
+        class_index = class_indexes.get(stats.cluster_name)
+        counts = _read_localities(report, stats.upstream_locality_stats, class_index, endpoints)
+        arrived = counts.arrived
+        if not counts.has_arrivals:
             arrived += stats.total_dropped_requests
-        numbered = numbered or here
-        if place is not None:
-            told.arrivals.append((place, arrived, unanswered))
-    told.numbered = numbered
-    return told
+        has_arrivals = has_arrivals or counts.has_arrivals
+        if class_index is not None:
+            report.arrivals.append(ClassArrivals(class_index, arrived, counts.unanswered))
+    report.has_arrivals = has_arrivals
+    return report
+
+
+def _read_stamps(report: LoadReport, fields: Any) -> None:
+    """Reads a report's number and time stamps from its metadata."""
+    stamps = {name: fields[name].number_value for name in ("number", "until_ms", "sent_ms") if name in fields}
+    number = stamps.get("number", -1.0)
+    report.number = int(number) if 0 <= number < MAX_NUMBER else -1
+    report.end_ms, report.sent_ms = stamps.get("until_ms"), stamps.get("sent_ms")
+
 
+class _Counts(NamedTuple):
+    """Requests of one class."""
 
-def read_endpoint(
-    told: Told, row: load_report_pb2.UpstreamEndpointStats, endpoints: Mapping[tuple[str, int], int]
+    arrived: int
+    unanswered: int
+    has_arrivals: bool  # the proxy counts requests apart from attempts
+
+
+def _read_localities(
+    report: LoadReport,
+    localities: Iterable[load_report_pb2.UpstreamLocalityStats],
+    class_index: int | None,
+    endpoints: Mapping[tuple[str, int], int],
+) -> _Counts:
+    """Reads one class: its latencies and endpoint rows into the report, its requests as counts."""
+    arrived = unanswered = 0
+    has_arrivals = False
+    for locality in localities:
+        for metric in locality.load_metric_stats:
+            name, count = metric.metric_name, metric.num_requests_finished_with_metric
+            if name == ARRIVED_METRIC:
+                arrived, has_arrivals = arrived + count, True
+            elif name == UNANSWERED_METRIC:
+                unanswered += count
+            elif name.startswith(LATENCY_BUCKET_PREFIX) and class_index is not None and count:
+                report.latencies.append(ClassLatency(class_index, count, metric.total_metric_value))
+        for row in locality.upstream_endpoint_stats:
+            _read_endpoint(report, row, endpoints)
+        if not has_arrivals:
+            arrived += locality.total_issued_requests
+            unanswered += locality.total_error_requests
+    return _Counts(arrived, unanswered, has_arrivals)
+
+
+def _read_endpoint(
+    report: LoadReport, row: load_report_pb2.UpstreamEndpointStats, endpoints: Mapping[tuple[str, int], int]
 ) -> None:
-    good, failed = row.total_successful_requests, row.total_error_requests
-    good_ms, load = 0.0, None
+    """Reads the row of one endpoint, if it has any attempts."""
+    succeeded, failed = row.total_successful_requests, row.total_error_requests
+    succeeded_ms, load = 0.0, None
     for metric in row.load_metric_stats:
         name = metric.metric_name
-        if name == "took_ms":
-            good_ms += metric.total_metric_value
-        elif name == "util" and (count := metric.num_requests_finished_with_metric):
+        if name == LATENCY_METRIC:
+            succeeded_ms += metric.total_metric_value
+        elif name == LOAD_METRIC and (count := metric.num_requests_finished_with_metric):
             load = metric.total_metric_value / count
-    if good or failed:
+    if succeeded or failed:
         address = row.address.socket_address
         endpoint = endpoints.get((address.address, address.port_value))
         if endpoint is None:
-            told.unlisted += 1
+            report.unlisted_rows += 1
         else:
-            told.rows.append((endpoint, good, failed, good_ms, load))
+            report.rows.append(EndpointRow(endpoint, succeeded, failed, succeeded_ms, load))
--- a/quillstep/xds/server.py
+++ b/quillstep/xds/server.py
@@ -10,10 +10,10 @@
 from google.protobuf.message import DecodeError
 
 from quillstep.config.controller import LimitSettings
-from quillstep.net.connection import Connection as Peer
 from quillstep.net.poller import Poller
 from quillstep.xds.grpc import INVALID_ARGUMENT, RESOURCE_EXHAUSTED, UNIMPLEMENTED
 from quillstep.xds.http2 import Event, GrpcConnection
+from quillstep.xds.http2 import GrpcPeer as Peer
 
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 DELTA, SOTW = ADS + "DeltaAggregatedResources", ADS + "StreamAggregatedResources"
@@ -31,11 +31,11 @@
 class LoadReader(Protocol):
     """Who takes load reports, apart from all other news; none of these may block."""
 
-    message_most: int
+    max_message_bytes: int
 
-    def opened(self, peer: Peer, stream: int) -> None: ...
-    def message(self, peer: Peer, stream: int, data: bytes) -> None: ...
-    def ended(self, peer: Peer, stream: int) -> None: ...
+    def open_stream(self, connection: Peer, stream: int) -> None: ...
+    def add_message(self, connection: Peer, stream: int, data: bytes) -> None: ...
+    def end_stream(self, connection: Peer, stream: int) -> None: ...
 
 
 class Server:
@@ -75,9 +75,9 @@
             self.streams.setdefault(peer, set()).add(stream)
             peer.with_codec(lambda c: c.accept(stream))
             if self.loads and path == LOAD:
-                most = self.loads.message_most
+                most = self.loads.max_message_bytes
                 peer.with_codec(lambda c: c.hold(stream, most))
-                self.loads.opened(peer, stream)
+                self.loads.open_stream(peer, stream)
             else:
                 self.put(("open", peer, stream, path))
         elif kind == "message":
@@ -85,11 +85,11 @@
             if found is None:
                 return
             if self.loads and found == LOAD:
-                if len(event[2]) > self.loads.message_most:  # it came with its stream's opening
+                if len(event[2]) > self.loads.max_message_bytes:  # it came with its stream's opening
                     self.finish(peer, stream, RESOURCE_EXHAUSTED, "a report that is too large")
                     self.end(peer, stream, found, "a report that is too large")
                 else:
-                    self.loads.message(peer, stream, event[2])
+                    self.loads.add_message(peer, stream, event[2])
                 return
             try:
                 message = REQUESTS[found].FromString(event[2])
@@ -107,7 +107,7 @@
 
     def end(self, peer: Peer, stream: int, method: str, reason: str) -> None:
         if self.loads and method == LOAD:
-            self.loads.ended(peer, stream)
+            self.loads.end_stream(peer, stream)
         else:
             self.put(("end", peer, stream, reason))
 
