--- a/quillstep/cli/main.py
+++ b/quillstep/cli/main.py
@@ -14,7 +14,7 @@
 
 from quillstep.cli.store import store, tables
 from quillstep.config.controller import ControllerSettings
-from quillstep.config.cue import ConfigError
+from quillstep.config.errors import ConfigError
 from quillstep.config.loading import changed, load
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.logging import configure_logging
--- a/quillstep/cli/store.py
+++ b/quillstep/cli/store.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from quillstep.config.controller import ControllerSettings
-from quillstep.config.cue import ConfigError
+from quillstep.config.errors import ConfigError
 from quillstep.config.loading import load
 from quillstep.routing.resources import MAX_TABLES, table_number_offset
 from quillstep.store import Store, StoreError
--- a/quillstep/config/loading.py
+++ b/quillstep/config/loading.py
@@ -8,7 +8,8 @@
 
 from quillstep.config.base import Settings
 from quillstep.config.controller import LoadReportSettings
-from quillstep.config.cue import ConfigError, Origin, read, shown
+from quillstep.config.cue import Origin, format_value, read
+from quillstep.config.errors import ConfigError
 from quillstep.config.fleet import ClassSettings, FleetSettings
 from quillstep.config.scenario import FaultSettings
 
@@ -66,7 +67,7 @@
 
 
 def _brief(value: Any) -> str:
-    return shown(value) if not isinstance(value, dict | list) else f"a {type(value).__name__}"
+    return format_value(value) if not isinstance(value, dict | list) else f"a {type(value).__name__}"
 
 
 def _expected(first: Any) -> str:
@@ -94,7 +95,7 @@
         _check_report_addresses(reports, origin)
     zone = getattr(record, "zone", "")
     if zone and zone not in zones:
-        _wrong(origin, "zone", shown(zone), "one of " + ", ".join(sorted(zones)))
+        _wrong(origin, "zone", format_value(zone), "one of " + ", ".join(sorted(zones)))
 
 
 def _check_classes(classes: list[ClassSettings], prefix: str, origin: Origin) -> None:
@@ -102,7 +103,7 @@
     for at, row in enumerate(classes):
         path = f"{prefix}classes.{at}"
         if row.name in names:
-            _wrong(origin, f"{path}.name", shown(row.name), "a name that no other class has")
+            _wrong(origin, f"{path}.name", format_value(row.name), "a name that no other class has")
         names.add(row.name)
         if row.deadline_ms < row.latency_objective_ms:
             expected = f"at least {row.latency_objective_ms:g}, agreed_ms"
@@ -120,16 +121,16 @@
 
 def _check_fault(fault: FaultSettings, path: str, fleet: FleetSettings, origin: Origin) -> None:
     if fault.zone and fault.zone not in fleet.zones:
-        _wrong(origin, f"{path}.zone", shown(fault.zone), "one of " + ", ".join(sorted(set(fleet.zones))))
+        _wrong(origin, f"{path}.zone", format_value(fault.zone), "one of " + ", ".join(sorted(set(fleet.zones))))
     class_names = {row.name for row in fleet.classes}
     names_unknown_class = bool(fault.class_name) and fault.class_name not in class_names
     if (fault.what == "tighten") != bool(fault.class_name) or names_unknown_class:
-        _wrong(origin, f"{path}.kind", shown(fault.class_name), "a class with `tighten`, nothing else")
+        _wrong(origin, f"{path}.kind", format_value(fault.class_name), "a class with `tighten`, nothing else")
 
 
 def _check_report_addresses(reports: LoadReportSettings, origin: Origin) -> None:
     if (reports.by == "processes") != bool(reports.listen):
-        found = f"{len(reports.listen)} with by: {shown(reports.by)}"
+        found = f"{len(reports.listen)} with by: {format_value(reports.by)}"
         _wrong(origin, "reports.listen", found, 'one address a process with by: "processes", else none')
 
 
@@ -155,7 +156,7 @@
         if not isinstance(at, dict) or last not in at:
             raise ConfigError("--set", 1, path, "no such setting", "a path of the record")
         at[last] = value
-    return check(type(record), plain, Origin("--set", {}))
+    return check(type(record), plain, Origin("--set"))
 
 
 def parse_changes(texts: tuple[str, ...] | list[str]) -> dict[str, Any]:
--- a/quillstep/config/planner_config.py
+++ b/quillstep/config/planner_config.py
@@ -1,4 +1,4 @@
-"""What the planner is told of a fleet at its start."""
+"""The planner's configuration at its start, from the settings of a fleet."""
 
 from quillstep.config.fleet import FleetSettings
 from quillstep.planner.messages import ClassConfig, PlannerConfig
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -14,7 +14,7 @@
 from memory_fleet import MemoryPilot, order, pilot_record
 
 from quillstep.config.controller import ControllerSettings, RolloutGateSettings
-from quillstep.config.cue import ConfigError
+from quillstep.config.errors import ConfigError
 from quillstep.config.loading import load
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.config.start_settings import planner_config_from_start
--- a/tests/replay/test_whatif.py
+++ b/tests/replay/test_whatif.py
@@ -8,7 +8,7 @@
 import pytest
 from memory_fleet import CLASSES, fleet, pilot_record, small_day
 
-from quillstep.config.cue import ConfigError
+from quillstep.config.errors import ConfigError
 from quillstep.config.loading import changed, parse_changes
 from quillstep.planner.messages import EndpointEntry
 from quillstep.replay.inference import SPAN_MS, fit, infer
