--- a/quillstep/config/loading.py
+++ b/quillstep/config/loading.py
@@ -57,13 +57,13 @@
         unknown = [each["loc"] for each in error.errors() if each["type"] == "extra_forbidden"]
         if not unknown:
             raise
-    kept = json.loads(json.dumps(plain))
+    remaining = json.loads(json.dumps(plain))
     for *parents, last in unknown:
-        at = kept
+        at = remaining
         for name in parents:
             at = at[name]
         del at[last]
-    return check_older(kind, kept)
+    return check_older(kind, remaining)
 
 
 def _brief(value: Any) -> str:
--- a/quillstep/planner/messages.py
+++ b/quillstep/planner/messages.py
@@ -1,9 +1,9 @@
 """What a caller passes to the planner, and what the planner calls back.
 
-Statistics come in by the thousand a control interval: slotted dataclasses are read as fast as local variables.
 Times are milliseconds with fractions, and ids are as the caller received them.  The caller makes one `Planner`
 (see `quillstep.planner.planner`) at each start and calls its `run_interval` once with all that was observed since the
-last call.
+last call.  Statistics come in by the thousand a control interval, so they are slotted dataclasses, whose attributes are
+read faster than those of named tuples.
 """
 
 from collections.abc import Iterable
--- a/quillstep/planner/outliers.py
+++ b/quillstep/planner/outliers.py
@@ -31,6 +31,7 @@
             endpoint.is_outlier, endpoint.passed_health_checks = True, 0
             fleet.has_urgent_change = True
             allowed -= 1
+            # The text is part of recordings and of the simulator's reports.
             output.log_note(f"{id_} is shut out: {endpoint.failures_since_success} tries since its last good answer")
         if _needs_health_check(fleet, endpoint):
             output.request_health_check(id_)
--- a/quillstep/planner/state.py
+++ b/quillstep/planner/state.py
@@ -214,7 +214,7 @@
         return [sum(proxy.request_rates[index] for proxy in proxies) for index in range(len(self.classes))]
 
     def ejected_endpoints(self) -> set[EndpointId]:
-        """The endpoints that proxies were told to keep out of all tables."""
+        """The endpoints whose ejection has been published."""
         return {endpoint for endpoint, state in self.endpoints.items() if state.is_ejected}
 
     def all_proxies_have_calendar(self) -> bool:
--- a/quillstep/simulator/host.py
+++ b/quillstep/simulator/host.py
@@ -72,7 +72,7 @@
             self._observations = Observations(now_ms)
         return self._observations
 
-    def take_observations(self) -> Observations | None:
+    def drain_observations(self) -> Observations | None:
         """The observations of this batch, or None where the planner does not run; the next ones are a new batch's."""
         observations, self._observations = self._observations, None
         return observations
@@ -165,7 +165,7 @@
         """Runs each planner that has an event, and returns the lines of the reply."""
         lines: list[str] = []
         for name, instance in self._instances.items():
-            observations = instance.take_observations()
+            observations = instance.drain_observations()
             if observations is None:
                 continue
             output = SimulatorOutput(name, lines)
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -75,6 +75,15 @@
     assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
 
 
+def test_the_adapter_imports_nothing_but_the_standard_library():
+    code = (
+        "import sys, quillstep.simulator.__main__\n"
+        "print(sorted({name.partition('.')[0] for name in sys.modules} - set(sys.stdlib_module_names)))"
+    )
+    out = subprocess.run([sys.executable, "-S", "-c", code], capture_output=True, text=True, check=True).stdout
+    assert out.strip() == "['__main__', 'quillstep']"
+
+
 def test_an_exception_in_the_planner_is_reported_as_the_wire_has_it(monkeypatch):
     def fail(*_):
         raise RuntimeError("out of\nreach")
