--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 .PHONY: demo test install clean site-files
 
 demo: $(STAMP)
-	$(PYTHON) -m quillstep.cli --log-level warning day examples/days/bad-day.cue --record .day
+	$(PYTHON) -m quillstep.cli --log-level warning scenario examples/days/bad-day.cue --record .day
 
 test: $(STAMP)
 	$(VENV)/bin/ruff format --check .
--- /dev/null
+++ b/quillstep/cli/check.py
@@ -0,0 +1,22 @@
+"""`quillstep check`: settings files."""
+
+import click
+
+from quillstep.cli.output import load_settings
+from quillstep.config.base import Settings
+from quillstep.config.controller import ControllerSettings
+from quillstep.config.scenario import ScenarioSettings
+
+KINDS: dict[str, type[Settings]] = {"controller": ControllerSettings, "scenario": ScenarioSettings}
+EARLIER_NAMES = {"pilot": "controller", "day": "scenario"}
+
+
+@click.command()
+@click.argument("kind", type=click.Choice([*KINDS, *EARLIER_NAMES]), metavar="[controller|scenario]")
+@click.argument("path", type=click.Path())
+def check(kind: str, path: str) -> None:
+    """Check a settings file and say what is wrong with it."""
+    if kind in EARLIER_NAMES:
+        click.echo(f"quillstep: check {kind} is now check {EARLIER_NAMES[kind]}", err=True)
+    load_settings(KINDS[EARLIER_NAMES.get(kind, kind)], path)
+    click.echo(f"{path}: a sound {kind} record")
--- /dev/null
+++ b/quillstep/cli/controller.py
@@ -0,0 +1,71 @@
+"""`quillstep controller`: one controller in the foreground."""
+
+import os
+import sys
+import threading
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+import click
+import structlog
+
+from quillstep.cli.output import fail, load_settings, print_json
+from quillstep.config.controller import ControllerSettings
+
+if TYPE_CHECKING:
+    from quillstep.controller.service import Controller
+    from quillstep.store import Store
+
+MAX_STOP_S = 5.0  # after its parent has gone, a controller that does not stop is ended
+
+
+@click.command()
+@click.option("--settings", required=True, type=click.Path(), help="The controller's settings, a .cue file.")
+@click.option("--with-parent", is_flag=True, help="End when standard input does.")
+def controller(settings: str, with_parent: bool) -> None:
+    """Run one controller until it is told to stop."""
+    record = load_settings(ControllerSettings, settings)
+    store, record = _open_store(record, settings)
+    running = _make_controller(record, store, settings)
+    addresses = {"reports": running.processes.addresses} if running.processes else {}
+    print_json({"ready": running.server.address, **addresses})
+    sys.stdout.flush()
+    if with_parent:
+        threading.Thread(target=_stop_with_input, args=(running.stop,), daemon=True, name="parent-watch").start()
+    try:
+        running.run()
+    except KeyboardInterrupt:
+        running.server.stop()
+
+
+def _open_store(record: ControllerSettings, path: str) -> tuple["Store | None", ControllerSettings]:
+    """The store, and the settings to go by: a store that cannot be used is left out, with a log line."""
+    from quillstep.store import StoreError, StoreSchemaTooNewError
+    from quillstep.store.writer import opened
+
+    try:
+        return (opened(record.store) if record.store.folder else None), record
+    except StoreSchemaTooNewError as error:
+        fail(f"{path}: store.folder: {error}")
+    except StoreError as error:
+        structlog.get_logger("store").error("store left out", kind=error.reason, reason=str(error))
+        without = record.store.model_copy(update={"folder": ""})
+        return None, record.model_copy(update={"store": without})
+
+
+def _make_controller(record: ControllerSettings, store: "Store | None", path: str) -> "Controller":
+    from quillstep.controller.service import Controller
+    from quillstep.files.disk import UnusableFileError
+
+    try:
+        return Controller(record, store)
+    except UnusableFileError as error:
+        fail(f"{path}: files.root: {error}")
+    except OSError as error:
+        fail(f"{path}: {error.filename or record.listen}: {error.strerror or error}")
+
+
+def _stop_with_input(stop: Callable[[], None]) -> None:
+    sys.stdin.buffer.read()
+    stop()
+    threading.Timer(MAX_STOP_S, os._exit, (0,)).start()
--- a/quillstep/testbed/scenarios/runner.py
+++ b/quillstep/testbed/scenarios/runner.py
@@ -110,7 +110,7 @@
         )  # fmt: skip
         path = self.folder / f"pilot-{at}.cue"
         path.write_bytes(msgspec.json.format(msgspec.json.encode(record.model_dump())))  # JSON is CUE
-        pilot = self.child(f"pilot-{at}", "quillstep.cli", "pilot", "--settings", str(path), "--with-parent")
+        pilot = self.child(f"pilot-{at}", "quillstep.cli", "controller", "--settings", str(path), "--with-parent")
         self.addresses[at] = pilot.wait_for("ready")
         self.report_addresses[at] = pilot.last.get("reports", [])
         self.pilots[at] = pilot
--- a/tests/files/test_files.py
+++ b/tests/files/test_files.py
@@ -136,7 +136,7 @@
     record = pilot_record(files=FileSettings(root=str(tmp_path / "root")))
     path = tmp_path / "p.cue"
     path.write_bytes(msgspec.json.encode(record.model_dump()))
-    command = [sys.executable, "-m", "quillstep.cli", "pilot", "--settings", str(path)]
+    command = [sys.executable, "-m", "quillstep.cli", "controller", "--settings", str(path)]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
     assert done.returncode == 2
     assert done.stderr.strip() == f"quillstep: {path}: files.root: {tmp_path / 'root'} is written by another pilot"
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -152,7 +152,7 @@
     day = small_day(seconds=2.5)
     script = tmp_path / "small.cue"
     script.write_bytes(msgspec.json.encode(day.model_dump()))
-    command = [sys.executable, "-m", "quillstep.cli", "day", str(script), "--record", str(tmp_path / "out")]
+    command = [sys.executable, "-m", "quillstep.cli", "scenario", str(script), "--record", str(tmp_path / "out")]
     done = subprocess.run([*command, "--arm", "learnt", "--arm", "even"], capture_output=True, timeout=120, check=False)
     found = msgspec.json.decode(done.stdout.splitlines()[-1])
     assert done.returncode == 0 and found["rules_broken"] == 0
@@ -170,7 +170,7 @@
 )
 def test_a_pilot_refuses_to_start_on_settings_that_do_not_check(tmp_path, text, said):
     (tmp_path / "p.cue").write_text(text)
-    command = [sys.executable, "-m", "quillstep.cli", "pilot", "--settings", str(tmp_path / "p.cue")]
+    command = [sys.executable, "-m", "quillstep.cli", "controller", "--settings", str(tmp_path / "p.cue")]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
     assert done.returncode == 2 and said in done.stderr and "expected" in done.stderr
 
