--- a/quillstep/logging.py
+++ b/quillstep/logging.py
@@ -8,25 +8,30 @@
 
 
 def configure_logging(form: str, level: str) -> None:
-    """`form` is auto, human or json; `level` a name such as info."""
-    human = form == "human" or (form == "auto" and sys.stderr.isatty())
-    shape: Processor = structlog.dev.ConsoleRenderer() if human else structlog.processors.JSONRenderer()
+    """Configure structlog for this process.
+
+    Args:
+        form: `human`, `json`, or `auto` for the first on a terminal and the second elsewhere.
+        level: The lowest level that is written, such as `info`.
+    """
+    is_human = form == "human" or (form == "auto" and sys.stderr.isatty())
+    renderer: Processor = structlog.dev.ConsoleRenderer() if is_human else structlog.processors.JSONRenderer()
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            shape,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.getLevelName(level.upper())),
-        logger_factory=lambda *name: _Named(name[0] if name else ""),
+        logger_factory=lambda *name: _StderrLogger(name[0] if name else ""),
         cache_logger_on_first_use=True,
     )
 
 
-class _Named:
-    """Writes finished lines to standard error; losing the reader of the log must not end a pilot."""
+class _StderrLogger:
+    """Writes rendered lines to standard error; a log that nobody reads any more must not end the program."""
 
     def __init__(self, name: str) -> None:
         self.name = name
--- a/quillstep/platform/__init__.py
+++ b/quillstep/platform/__init__.py
@@ -1,1 +1,1 @@
-"""One pilot in service on the platform: its start, configuration, discovery and signals."""
+"""One controller in service on the platform: start, configuration, discovery, signals, and the deciding thread."""
--- a/quillstep/platform/__main__.py
+++ b/quillstep/platform/__main__.py
@@ -1,84 +1,103 @@
-"""Run as `python -m quillstep.platform`: one pilot in the foreground, told all by BALANCER_CONFIG and its sisters."""
+"""Run as `python -m quillstep.platform`: one controller in the foreground, configured by `BALANCER_CONFIG`.
+
+Exit statuses: 0 after SIGTERM, 1 where the configuration can't be used, 70 after an internal error.
+"""
 
 import os
 import signal
 import sys
 import threading
 from types import FrameType
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NoReturn
 
 if TYPE_CHECKING:
+    from quillstep.platform.configuration import PlatformConfiguration
     from quillstep.platform.service import PlatformController
 
-FAULT = 70  # the status of a process that ends by a fault of ours
+EXIT_CONFIGURATION_ERROR = 1
+EXIT_INTERNAL_ERROR = 70
 
 
 class Signals:
-    """Only ever sets what is wanted, so that no signal is lost to another that comes in between; the loop does it."""
+    """Keeps the signals that arrive before there is a controller, and passes all to it.
+
+    A handler only ever sets a flag, so that no signal is lost to another one in between; the deciding thread acts.
+    """
 
     def __init__(self) -> None:
-        self.came: set[int] = set()
-        self.pilot: PlatformController | None = None
+        self.received: set[int] = set()
+        self.controller: PlatformController | None = None
 
-    def take(self, number: int, frame: FrameType | None) -> None:
-        self.came.add(number)
-        if self.pilot:
-            tell(self.pilot, {number})
+    def handle(self, number: int, frame: FrameType | None) -> None:
+        """Note a signal; installed as its handler."""
+        self.received.add(number)
+        if self.controller:
+            _request(self.controller, {number})
 
-    def hand_over(self, pilot: "PlatformController") -> None:
-        """From now on to this pilot, and to it what came before."""
-        self.pilot = pilot
-        tell(pilot, self.came)
+    def forward_to(self, controller: "PlatformController") -> None:
+        """Pass signals to this controller from now on, and those that have arrived already."""
+        self.controller = controller
+        _request(controller, self.received)
 
 
-def tell(pilot: "PlatformController", came: set[int]) -> None:
-    if signal.SIGTERM in came:
-        pilot.stops = True
-    if signal.SIGHUP in came:
-        pilot.reloads = True
+def _request(controller: "PlatformController", signals: set[int]) -> None:
+    if signal.SIGTERM in signals:
+        controller.stop_requested = True
+    if signal.SIGHUP in signals:
+        controller.reload_requested = True
 
 
-def end_with_thread(ended: threading.ExceptHookArgs) -> None:
-    """A thread that can't go on takes the process with it: one that lives on without it would serve nobody."""
+def exit_after_thread(failure: threading.ExceptHookArgs) -> NoReturn:
+    """End the process with a thread that has failed: without it the process would serve nobody."""
     import structlog
 
-    name = ended.thread.name if ended.thread else "unknown"
-    trouble = (ended.exc_type, ended.exc_value, ended.exc_traceback)
-    structlog.get_logger("pilot").critical("a thread ended by a fault of ours", thread=name, exc_info=trouble)
+    name = failure.thread.name if failure.thread else "unknown"
+    exception = (failure.exc_type, failure.exc_value, failure.exc_traceback)
+    structlog.get_logger("controller").critical("thread ended with an internal error", thread=name, exc_info=exception)
+    _exit(EXIT_INTERNAL_ERROR)
+
+
+def _exit(status: int) -> NoReturn:
+    """End the process at once: threads that wait for a peer must not hold it up."""
     sys.stderr.flush()
-    os._exit(FAULT)
+    os._exit(status)
 
 
 def main() -> int:
+    """Run a controller until SIGTERM; return the exit status where it could not start."""
     signals = Signals()
-    # Before all that takes long to import: SIGHUP would end a process that has not said otherwise.
-    signal.signal(signal.SIGTERM, signals.take)
-    signal.signal(signal.SIGHUP, signals.take)
+    # Before the imports, which take long: SIGHUP would end a process that does not handle it.
+    signal.signal(signal.SIGTERM, signals.handle)
+    signal.signal(signal.SIGHUP, signals.handle)
     from quillstep.logging import configure_logging
-    from quillstep.platform import configuration
-    from quillstep.platform.service import PlatformController
+    from quillstep.platform.configuration import ConfigurationError, read_configuration
 
     configure_logging("json", "info")
-    threading.excepthook = end_with_thread
+    threading.excepthook = exit_after_thread
     try:
-        found = configuration.read()
-        facts = configuration.pilot_facts(found, os.environ[configuration.FILE])
-        pilot = PlatformController(found, facts)
-    except configuration.ConfigurationError as trouble:
-        print(f"quillstep: {trouble}.", file=sys.stderr)
-        return 1
-    except OSError as trouble:
-        print(f"quillstep: it can't listen at {found.listen}: {trouble.strerror or trouble}.", file=sys.stderr)
-        return 1
-    signals.hand_over(pilot)
+        configuration = read_configuration()
+        controller = _make_controller(configuration)
+    except ConfigurationError as error:
+        print(f"quillstep: {error}.", file=sys.stderr)
+        return EXIT_CONFIGURATION_ERROR
+    except OSError as error:
+        reason = error.strerror or error
+        print(f"quillstep: it can't listen at {configuration.listen}: {reason}.", file=sys.stderr)
+        return EXIT_CONFIGURATION_ERROR
+    signals.forward_to(controller)
     try:
-        pilot.run(configuration.read)
-    except Exception as trouble:
-        pilot.log.critical("the deciding thread ended by a fault of ours", exc_info=trouble)
-        sys.stderr.flush()
-        os._exit(FAULT)
-    sys.stderr.flush()
-    os._exit(0)  # threads that wait for others' sockets must not hold up the end
+        controller.run(read_configuration)
+    except Exception as error:
+        controller.log.critical("deciding thread ended with an internal error", exc_info=error)
+        _exit(EXIT_INTERNAL_ERROR)
+    _exit(0)
+
+
+def _make_controller(configuration: "PlatformConfiguration") -> "PlatformController":
+    from quillstep.platform.configuration import CONFIG_VARIABLE, controller_config
+    from quillstep.platform.service import PlatformController
+
+    return PlatformController(configuration, controller_config(configuration, os.environ[CONFIG_VARIABLE]))
 
 
 if __name__ == "__main__":
--- a/quillstep/platform/configuration.py
+++ b/quillstep/platform/configuration.py
@@ -1,6 +1,6 @@
-"""The configuration that the platform hands a pilot: read, checked, and turned into what the pilot goes by.
+"""The configuration file that the platform gives a controller: read, checked, and turned into what each part needs.
 
-`ConfigurationError` is one sentence that names file, path, what was found and what was expected.
+A `ConfigurationError` is one sentence that names the file, the path in it, what was found and what was expected.
 """
 
 import json
@@ -12,23 +12,35 @@
 import msgspec
 
 from quillstep.config.start_settings import ms, planner_config_of_start, whole
+from quillstep.errors import QuillstepError
 from quillstep.planner.messages import PlannerConfig
-from quillstep.platform.endpoint_list import address_of
-from quillstep.platform.protocol.validation import Known
+from quillstep.platform.endpoint_list import parse_address
+from quillstep.platform.protocol.validation import Deployment
+from quillstep.platform.settings_flattening import flatten_settings
 
-Text = Annotated[str, msgspec.Meta(min_length=1)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
-PROBE_DIALS = 1.6  # times that proxies wait for a connection that a probe may take as a whole
-PROBE_MS = 500.0  # the same where the settings don't tell how long proxies wait
-FILE, NAME, LISTEN, DISCOVERY = (f"BALANCER_{name}" for name in ("CONFIG", "NAME", "LISTEN", "DISCOVERY"))
 
+# Environment variables: the file, and fields that may stand there in place of the file.
+CONFIG_VARIABLE = "BALANCER_CONFIG"
+FIELD_VARIABLES = {"name": "BALANCER_NAME", "listen": "BALANCER_LISTEN", "discovery": "BALANCER_DISCOVERY"}
 
-class ConfigurationError(Exception):
+# Names within `settings`, whose classes are called lanes.
+ZONES, CLASSES, CLASS_NAME, CLASS_DEADLINE = "zones", "lanes", "name", "giveUp"
+PROXIES, CONNECT_TIMEOUT, CONTROL_INTERVAL = "specifics.dataPlaneSize", "allowed.dialTimeout", "tick"
+
+HEALTH_CHECK_CONNECT_TIMEOUTS = 1.6  # the proxies' connect timeouts that a whole health check may take
+DEFAULT_HEALTH_CHECK_TIMEOUT_MS = 500.0  # where the settings do not give the proxies' connect timeout
+HEALTH_PATH, LOAD_PATH = "/health", "/status/load"
+MAX_SHOWN_CHARACTERS = 60  # of a value in an error
+
+
+class ConfigurationError(QuillstepError):
     """What is wrong with the configuration, in one sentence."""
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What the machine gives."""
+    """What the machine gives the controller."""
 
     cores: Annotated[float, msgspec.Meta(gt=0)] = 1.0
     memory_mb: Annotated[float, msgspec.Meta(gt=0)] = 2048.0
@@ -36,7 +48,7 @@
 
 
 class KnownEndpoints(msgspec.Struct, frozen=True):
-    """A list of endpoints as discovery words it; entries are checked one by one (`endpoints.py`)."""
+    """An endpoint list as discovery sends it; its entries are checked one by one (`endpoint_list.py`)."""
 
     members: list[Any]
     revision: Count
@@ -44,140 +56,129 @@
 
 
 class PlatformConfiguration(msgspec.Struct, frozen=True):
-    """The file; fields that are not named here are left alone."""
+    """The file, by its own names; fields that are not named here are ignored."""
 
-    name: Text
-    listen: Text
-    discovery: Text
+    name: NonEmptyText
+    listen: NonEmptyText
+    discovery: NonEmptyText
     settings: dict[str, Any]
-    seed: Text
+    seed: NonEmptyText
     limits: MachineLimits = MachineLimits()
     known: KnownEndpoints = KnownEndpoints([], 0)
 
 
 class ControllerConfig(msgspec.Struct, frozen=True):
-    """What the settings say: to the module, of what may come in, and of probes and rounds."""
-
-    start: PlannerConfig
-    classes: list[str]
-    known: Known
-    tick_ms: float
-    probe_ms: float
-    probe_path: str
-
-
-def flat(value: Any, path: str = "") -> dict[str, str]:
-    """Nested settings in the form of a `start`: paths, lists joined by commas, lists of objects by their places."""
-    if isinstance(value, dict):
-        within = {f"{path}.{name}" if path else name: inner for name, inner in value.items()}
-    elif isinstance(value, list) and any(isinstance(each, dict) for each in value):
-        within = {f"{path}.{place}": inner for place, inner in enumerate(value)}
-        return {f"{path}.count": str(len(value)), **flattened(within)}
-    else:
-        return {path: ",".join(plain(each) for each in value) if isinstance(value, list) else plain(value)}
-    return flattened(within)
-
-
-def flattened(within: dict[str, Any]) -> dict[str, str]:
-    found: dict[str, str] = {}
-    for path, inner in within.items():
-        found.update(flat(inner, path))
-    return found
-
-
-def plain(value: Any) -> str:
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    if isinstance(value, float) and value.is_integer():
-        return str(int(value))
-    return "" if value is None else str(value)
-
-
-def read(environment: Mapping[str, str] = os.environ) -> PlatformConfiguration:
-    """The configuration that the environment names; raises Fault."""
-    path = environment.get(FILE, "")
+    """What the parts of a controller are configured by."""
+
+    planner: PlannerConfig
+    class_names: list[str]
+    deployment: Deployment
+    batch_window_ms: float
+    health_check_timeout_ms: float
+    health_check_path: str
+
+
+def read_configuration(environment: Mapping[str, str] = os.environ) -> PlatformConfiguration:
+    """Return the configuration that the environment names.
+
+    Raises:
+        ConfigurationError: The file can't be read, or a field is missing or invalid.
+    """
+    path = environment.get(CONFIG_VARIABLE, "")
     if not path:
-        raise ConfigurationError(f"{FILE} names no configuration file: its path was expected there")
-    try:
-        data = Path(path).read_bytes()
-    except OSError as trouble:
-        raise ConfigurationError(f"{path}: it can't be read: {trouble.strerror or trouble}") from None
+        raise ConfigurationError(f"{CONFIG_VARIABLE} names no configuration file: its path was expected there")
+    document = _read_document(path)
+    if isinstance(document, dict):
+        for field, variable in FIELD_VARIABLES.items():
+            if field not in document and environment.get(variable):
+                document[field] = environment[variable]
     try:
-        told = msgspec.json.decode(data)
-    except (msgspec.DecodeError, RecursionError) as trouble:
-        raise ConfigurationError(f"{path}: JSON was expected, found what can't be read: {trouble}") from None
-    if isinstance(told, dict):
-        for field, variable in (("name", NAME), ("listen", LISTEN), ("discovery", DISCOVERY)):
-            if field not in told and environment.get(variable):
-                told[field] = environment[variable]
-    try:
-        record = msgspec.convert(told, PlatformConfiguration)
-    except msgspec.ValidationError as trouble:
-        raise ConfigurationError(f"{path}: {trouble}{found(told, str(trouble))}") from None
+        configuration = msgspec.convert(document, PlatformConfiguration)
+    except msgspec.ValidationError as error:
+        raise ConfigurationError(f"{path}: {error}{_found_at(document, str(error))}") from error
     for field in ("listen", "discovery"):
         try:
-            address_of(getattr(record, field))
-        except ValueError:
-            what = f"Expected an address in figures with its port - at `$.{field}`"
-            raise ConfigurationError(f"{path}: {what}{found(told, what)}") from None
-    return record
-
-
-def found(told: Any, trouble: str) -> str:
-    """What stands where a check failed, cut short."""
-    _, at, path = trouble.partition(" - at `$.")
-    for name in path.rstrip("`").split(".") if at else []:
-        if not isinstance(told, dict) or name not in told:
+            parse_address(getattr(configuration, field))
+        except ValueError as error:
+            expected = f"Expected an address in figures with its port - at `$.{field}`"
+            raise ConfigurationError(f"{path}: {expected}{_found_at(document, expected)}") from error
+    return configuration
+
+
+def _read_document(path: str) -> Any:
+    try:
+        data = Path(path).read_bytes()
+    except OSError as error:
+        raise ConfigurationError(f"{path}: it can't be read: {error.strerror or error}") from error
+    try:
+        return msgspec.json.decode(data)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise ConfigurationError(f"{path}: JSON was expected, found what can't be read: {error}") from error
+
+
+def _found_at(document: Any, message: str) -> str:
+    """Return what stands at the path that an error names, shortened; nothing where nothing stands there."""
+    _, separator, path = message.partition(" - at `$.")
+    for name in path.rstrip("`").split(".") if separator else []:
+        if not isinstance(document, dict) or name not in document:
             return ""
-        told = told[name]
-    return f", found {json.dumps(told)[:60]}"
+        document = document[name]
+    return f", found {json.dumps(document)[:MAX_SHOWN_CHARACTERS]}"
+
 
+def controller_config(configuration: PlatformConfiguration, path: str) -> ControllerConfig:
+    """Return what the settings of a configuration come to; `path` is named in errors.
 
-def pilot_facts(record: PlatformConfiguration, path: str) -> ControllerConfig:
-    """The settings in the pilot's words; raises Fault."""
-    zones = texts(record.settings.get("zones"), "names of zones", "$.settings.zones", path)
-    lanes = record.settings.get("lanes")
-    names = [lane.get("name") if isinstance(lane, dict) else None for lane in lanes] if isinstance(lanes, list) else []
-    classes = texts(names, "a list of classes", "$.settings.lanes", path)
+    Raises:
+        ConfigurationError: A setting is missing or invalid.
+    """
+    settings = configuration.settings
+    zones = _unique_names(settings.get(ZONES), "names of zones", f"$.settings.{ZONES}", path)
+    class_names = _unique_names(_names_of_classes(settings), "a list of classes", f"$.settings.{CLASSES}", path)
     try:
-        settings = flat(record.settings)
-        start, _ = planner_config_of_start(settings)
-        # As the file tells them: a name may hold what joins names and paths in a start.
-        start.zones = zones
-        deadline_ms = max(ms(settings, f"lanes.{place}.giveUp") for place in range(len(classes)))
-        proxies = whole(settings, "specifics.dataPlaneSize")
-        dial_ms, tick_ms = ms(settings, "allowed.dialTimeout"), ms(settings, "tick")
-    except ValueError as trouble:
-        raise ConfigurationError(f"{path}: Expected a number, found {trouble} - at `$.settings`") from None
-    except RecursionError:
+        flat = flatten_settings(settings)
+        planner, _ = planner_config_of_start(flat)
+        planner.zones = zones  # not as the flat form has them: a zone's name may hold a comma
+        max_deadline_ms = max(ms(flat, f"{CLASSES}.{index}.{CLASS_DEADLINE}") for index in range(len(class_names)))
+        proxies = whole(flat, PROXIES)
+        connect_timeout_ms, batch_window_ms = ms(flat, CONNECT_TIMEOUT), ms(flat, CONTROL_INTERVAL)
+    except ValueError as error:
+        raise ConfigurationError(f"{path}: Expected a number, found {error} - at `$.settings`") from error
+    except RecursionError as error:
         raise ConfigurationError(
             f"{path}: Expected settings, found what is nested beyond sense - at `$.settings`"
-        ) from None
+        ) from error
     if proxies <= 0:
-        at = "$.settings.specifics.dataPlaneSize"
-        raise ConfigurationError(
-            f"{path}: Expected a number of proxies above 0, found {proxies or 'nothing'} - at `{at}`"
-        )
-    known = Known(
-        proxies, frozenset(zones), {name: place for place, name in enumerate(classes)}, deadline_ms or float("inf")
-    )
+        found = f"found {proxies or 'nothing'} - at `$.settings.{PROXIES}`"
+        raise ConfigurationError(f"{path}: Expected a number of proxies above 0, {found}")
+    class_indexes = {name: index for index, name in enumerate(class_names)}
     return ControllerConfig(
-        start, classes, known, tick_ms, PROBE_DIALS * dial_ms or PROBE_MS,
-        "/status/load" if start.load_from_health_checks else "/health",
-    )  # fmt: skip
+        planner,
+        class_names,
+        Deployment(proxies, frozenset(zones), class_indexes, max_deadline_ms or float("inf")),
+        batch_window_ms,
+        HEALTH_CHECK_CONNECT_TIMEOUTS * connect_timeout_ms or DEFAULT_HEALTH_CHECK_TIMEOUT_MS,
+        LOAD_PATH if planner.load_from_health_checks else HEALTH_PATH,
+    )
+
+
+def _names_of_classes(settings: dict[str, Any]) -> list[Any]:
+    classes = settings.get(CLASSES)
+    if not isinstance(classes, list):
+        return []
+    return [each.get(CLASS_NAME) if isinstance(each, dict) else None for each in classes]
 
 
-def texts(told: Any, expected: str, at: str, path: str) -> list[str]:
-    """Names, each once; raises Fault."""
-    if not isinstance(told, list) or not told:
+def _unique_names(value: Any, expected: str, at: str, path: str) -> list[str]:
+    if not isinstance(value, list) or not value:
         raise ConfigurationError(f"{path}: Expected {expected}, found nothing - at `{at}`")
-    if not all(type(name) is str and name for name in told) or len(set(told)) < len(told):
+    if not all(type(name) is str and name for name in value) or len(set(value)) < len(value):
         raise ConfigurationError(f"{path}: Expected {expected}, each a text and there once - at `{at}`")
-    return told
+    return value
 
 
-def seed_of(text: str) -> int:
-    """A seed as told, hexadecimal mostly."""
+def parse_seed(text: str) -> int:
+    """Return a seed that is written in hexadecimal; of any other text, its bytes as a number."""
     try:
         return int(text, 16)
     except ValueError:
--- a/quillstep/platform/discovery_watch.py
+++ b/quillstep/platform/discovery_watch.py
@@ -1,10 +1,10 @@
-"""Follows discovery: one long HTTP/1.1 answer, a JSON object a line; found dead by its silence and dialled anew.
+"""Watches discovery: one long HTTP/1.1 response, a JSON object a line, reconnected where it ends or falls silent.
 
-Beside it stand looks: the whole list, asked for on a connection of its own, which the agent answers at once.  They
-find a watch that lives but keeps news back, and ask again for entries that could not be read.
+Beside the watch stand refreshes: the complete list, requested on a connection of its own, which the agent answers at
+once.  They find a watch that lives but holds updates back, and fetch entries that could not be read again.
 
-Times here are ratios to the empty lines that a live watch brings: news counts as told a while after it was due
-whether it came or not, so that dialling and finding a silence must both fit.
+The times are ratios to the empty lines that a live watch brings.  An update counts as delivered some time after it was
+due whether it arrived or not, and detecting a silence and reconnecting must both fit in that time.
 """
 
 import contextlib
@@ -18,176 +18,196 @@
 import msgspec
 import structlog
 
+from quillstep.net.clock import now_ms
 from quillstep.net.http import connect, get, next_event, send_request
-from quillstep.platform.endpoint_list import DiscoveryUpdate, MalformedListError, address_of, read_list
-
-EMPTY_MS = 2000.0  # between empty lines while nothing changes
-SILENT_MS = 2.1 * EMPTY_MS  # without a whole line: the watch is dead
-DIAL_MS = 0.4 * EMPTY_MS  # for the connection to come up, and for a look as a whole
-AGAIN_MS = 0.05 * EMPTY_MS  # between two dials at the least
-LOOK_MS = 0.5 * EMPTY_MS  # between two looks at the least
-LINE_MOST = 2**20
-PATH = "/v1/endpoints"
-
-
-class Lines:
-    """Splits what comes into lines, bounded; raises Unreadable."""
+from quillstep.platform.endpoint_list import (
+    DiscoveryUpdate,
+    MalformedListError,
+    parse_address,
+    parse_endpoint_list,
+)
+from quillstep.platform.list_tracker import ListTracker
+
+EMPTY_LINE_INTERVAL_MS = 2000.0  # while nothing changes
+SILENCE_TIMEOUT_MS = 2.1 * EMPTY_LINE_INTERVAL_MS  # without a complete line
+CONNECT_TIMEOUT_MS = 0.4 * EMPTY_LINE_INTERVAL_MS  # also of a refresh as a whole
+MIN_RECONNECT_INTERVAL_MS = 0.05 * EMPTY_LINE_INTERVAL_MS
+MIN_REFRESH_INTERVAL_MS = 0.5 * EMPTY_LINE_INTERVAL_MS
+MAX_LINE_BYTES = 2**20
+LIST_PATH = "/v1/endpoints"
+HTTP_OK = 200
+
+
+class LineSplitter:
+    """Splits received bytes into lines of bounded length."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.incomplete = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > LINE_MOST:
+        """Return the lines that these bytes complete.
+
+        Raises:
+            MalformedListError: A line exceeds its bound.
+        """
+        *lines, self.incomplete = (self.incomplete + data).split(b"\n")
+        if len(self.incomplete) > MAX_LINE_BYTES:
             raise MalformedListError("a line that does not end")
         return lines
 
 
 class DiscoveryWatch:
-    """Keeps a watch at one address; `move` sends it to another.  `put` is given ("list", news)."""
+    """Keeps a watch at one address, in a thread of its own that calls `publish` with each update.
+
+    `set_address` may be called from any thread; `lock` guards `address` and `sock`.  All else is written by the
+    watch's thread alone, and read by others for the status log.  The thread is a daemon that ends with the process: it
+    may be held by a silent server for a second, and a stop must not wait for it.
+    """
 
     def __init__(
-        self, address: str, revision: int, offset_ms: float, put: Callable[[tuple], None], *, owed: bool = False
+        self,
+        address: str,
+        revision: int,
+        clock_offset_ms: float,
+        publish: Callable[[DiscoveryUpdate], None],
+        *,
+        has_missing_entries: bool = False,
     ) -> None:
-        """`owed`: what is known at this revision lacks entries that could not be read."""
-        self.address, self.offset_ms, self.put, self.owed = address, offset_ms, put, owed
-        self.seen = revision  # the newest that was read
-        self.held = -1  # that of the last whole list without a spoilt entry: it holds all changes up to there
-        self.revision = 0 if owed else revision  # the newest up to which nothing is owed
+        """Prepare a watch that resumes from a list known already; see `ListTracker` and `parse_endpoint_list`."""
+        self.address, self.clock_offset_ms, self.publish = address, clock_offset_ms, publish
+        self.tracker = ListTracker(revision, has_missing_entries=has_missing_entries)
         self.lock = threading.Lock()
         self.sock: socket.socket | None = None
-        self.moved = threading.Event()
-        self.dials = self.lines = self.spoilt = self.looks = 0
-        self.looked_ms = float("-inf")
-        self.state = "not dialled yet"
+        self.address_changed = threading.Event()
+        self.connects = self.lines = self.refreshes = 0
+        self.last_refresh_ms = float("-inf")
+        self.state = "not connected yet"  # for the status log: "watching", or why the last watch ended
+        self.last_logged_reason = ""
         self.log = structlog.get_logger("discovery")
-        self.said = ""
 
     def start(self) -> None:
-        threading.Thread(target=self.run, daemon=True).start()
+        """Start the watch's thread."""
+        threading.Thread(target=self._run, name="discovery-watch", daemon=True).start()
 
-    def move(self, address: str) -> None:
-        """Leave what stands, and dial there at once."""
+    def set_address(self, address: str) -> None:
+        """End the watch at the present address, and connect to another at once."""
         with self.lock:
             if address == self.address:
                 return
             self.address = address
-            self.moved.set()
+            self.address_changed.set()
             if self.sock:
                 with contextlib.suppress(OSError):
                     self.sock.shutdown(socket.SHUT_RDWR)
 
-    def run(self) -> None:
+    def _run(self) -> None:
         while True:
-            self.moved.clear()
-            address, begun = self.address, time.monotonic()
-            try:
-                self.follow(address)
-                why = "the answer ended"
-            except (OSError, MalformedListError, h11.ProtocolError) as trouble:
-                why = f"{type(trouble).__name__}: {trouble}"
-            except Exception as trouble:  # a fault of ours with what came: the next dial may bring what we can read
-                why = f"{type(trouble).__name__}: {trouble}"
-                self.log.exception("the watch met a fault of ours", address=address)
-            self.state = why
-            if why != self.said:
-                self.said = why
-                self.log.warning("watch ended", address=address, reason=why)
-            # One that ends after each line must not take the whole core.
-            self.moved.wait(max(0.0, begun + AGAIN_MS / 1000.0 - time.monotonic()))
-
-    def follow(self, address: str) -> None:
-        """Raises OSError, Unreadable or h11.ProtocolError."""
-        self.dials += 1
-        with connect(address_of(address), time.monotonic() + DIAL_MS / 1000.0) as sock:
+            self.address_changed.clear()
+            address, begun_s = self.address, time.monotonic()
+            self.state = self._watch_until_end(address)
+            if self.state != self.last_logged_reason:
+                self.last_logged_reason = self.state
+                self.log.warning("watch ended", address=address, reason=self.state)
+            # A watch that ends after each line must not take the whole core.
+            next_connect_s = begun_s + MIN_RECONNECT_INTERVAL_MS / 1000.0
+            self.address_changed.wait(max(0.0, next_connect_s - time.monotonic()))
+
+    def _watch_until_end(self, address: str) -> str:
+        """Return why the watch ended."""
+        try:
+            self.watch_once(address)
+        except (OSError, MalformedListError, h11.ProtocolError) as error:
+            return f"{type(error).__name__}: {error}"
+        except Exception as error:  # the edge of the thread: the next watch may bring what can be handled
+            self.log.exception("watch failed with an internal error", address=address)
+            return f"{type(error).__name__}: {error}"
+        return "the response ended"
+
+    def watch_once(self, address: str) -> None:
+        """Connect and publish updates until the response ends.
+
+        Raises:
+            OSError: The connection can't be made, broke or fell silent.
+            MalformedListError: A line is no endpoint list.
+            h11.ProtocolError: What was received is no HTTP.
+        """
+        self.connects += 1
+        with connect(parse_address(address), time.monotonic() + CONNECT_TIMEOUT_MS / 1000.0) as sock:
             with self.lock:
                 if address != self.address:
-                    return  # it has moved while this was dialled
+                    return  # it was changed while this connected
                 self.sock = sock
-            first = True
             try:
-                for line in self.answer(sock, address):
-                    self.lines += 1
-                    self.state = "follows"
-                    self.said = ""
-                    if line.strip():
-                        self.take(line, first)
-                        first = False
-                    if self.looks_now(line):
-                        self.look(address)
+                self._read_watch(sock, address)
             finally:
                 with self.lock:
                     self.sock = None
 
-    def answer(self, sock: socket.socket, address: str) -> Iterator[bytes]:
-        http, lines = h11.Connection(h11.CLIENT), Lines()
-        until = time.monotonic() + SILENT_MS / 1000.0
-        send_request(sock, http, address, f"{PATH}?follow=1&since={self.revision}", until)
+    def _read_watch(self, sock: socket.socket, address: str) -> None:
+        is_first = True
+        for line in self._lines(sock, address):
+            self.lines += 1
+            self.state = "watching"
+            self.last_logged_reason = ""
+            if line.strip():
+                self.handle_line(line, is_first)
+                is_first = False
+            if self._is_refresh_due(line):
+                self.refresh(address)
+
+    def _lines(self, sock: socket.socket, address: str) -> Iterator[bytes]:
+        http, splitter = h11.Connection(h11.CLIENT), LineSplitter()
+        deadline_s = time.monotonic() + SILENCE_TIMEOUT_MS / 1000.0
+        target = f"{LIST_PATH}?follow=1&since={self.tracker.resume_revision}"
+        send_request(sock, http, address, target, deadline_s)
         while True:
-            event = next_event(sock, http, until)
+            event = next_event(sock, http, deadline_s)
             if isinstance(event, h11.Response):
-                if event.status_code != 200:
+                if event.status_code != HTTP_OK:
                     raise MalformedListError(f"status {event.status_code}")
             elif isinstance(event, h11.Data):
-                for line in lines.feed(bytes(event.data)):
-                    until = time.monotonic() + SILENT_MS / 1000.0
+                for line in splitter.feed(bytes(event.data)):
+                    deadline_s = time.monotonic() + SILENCE_TIMEOUT_MS / 1000.0
                     yield line
             else:
                 return
 
-    def looks_now(self, line: bytes) -> bool:
-        """While nothing seems to change the watch may keep news back; an entry that is owed can't wait for that."""
-        due = time.monotonic() * 1000.0 - self.looked_ms >= LOOK_MS
-        return due and (self.owed or not line.strip())
+    def _is_refresh_due(self, line: bytes) -> bool:
+        """While nothing seems to change, the watch may hold updates back; a missing entry can't wait for that."""
+        is_due = now_ms() - self.last_refresh_ms >= MIN_REFRESH_INTERVAL_MS
+        return is_due and (self.tracker.has_missing_entries or not line.strip())
 
-    def look(self, address: str) -> None:
-        """Ask for the whole list, and take it where it has more than the watch has brought."""
-        self.looks += 1
-        begun = time.monotonic()
-        self.looked_ms = begun * 1000.0
+    def refresh(self, address: str) -> None:
+        """Request the complete list, and publish it where it holds more than the watch has brought."""
+        self.refreshes += 1
+        begun_s = time.monotonic()
+        self.last_refresh_ms = begun_s * 1000.0
         try:
-            found = get(address_of(address), PATH, begun + DIAL_MS / 1000.0, LINE_MOST)
-            news = read_list(decoded(found.body), self.offset_ms)
+            response = get(parse_address(address), LIST_PATH, begun_s + CONNECT_TIMEOUT_MS / 1000.0, MAX_LINE_BYTES)
+            update = parse_endpoint_list(_decode(response.body), self.clock_offset_ms)
         except (OSError, h11.ProtocolError, MalformedListError):
-            return  # discovery is down, or a look was spoilt: the watch goes on, its own silence tells
-        # As new as what was read counts where something of that is owed.
-        if found.status == 200 and news.revision >= self.seen + (not self.owed):
-            self.bring(news, news.whole)
+            return  # discovery is down or sent no list: the watch goes on, and ends by its own silence
+        if response.status == HTTP_OK and self.tracker.accept_from_refresh(update):
+            self._publish(update)
 
-    def take(self, line: bytes, first: bool = False) -> None:
-        """One line of news; raises Unreadable.  Changes that go back are older than what stands, and dropped.
+    def handle_line(self, line: bytes, is_first: bool = False) -> None:
+        """Publish a line of the watch, unless it is older than what is known.
 
-        The first of a watch holds all that has changed after `revision`, so that nothing is owed after it.
+        Raises:
+            MalformedListError: The line is no endpoint list.
         """
-        news = read_list(decoded(line), self.offset_ms)
-        if not news.whole and news.revision < self.seen:
-            self.spoilt += 1
-        elif news.whole or news.revision != self.held:  # else a look was quicker than the watch
-            self.bring(news, news.whole or first)
+        update = parse_endpoint_list(_decode(line), self.clock_offset_ms)
+        if self.tracker.accept_from_watch(update, is_first):
+            self._publish(update)
 
-    def bring(self, news: DiscoveryUpdate, holds_all: bool) -> None:
-        """Hand a list on.  Entries that could not be read are owed until a list that holds them has come.
+    def _publish(self, update: DiscoveryUpdate) -> None:
+        if update.rejected:
+            self.log.warning("endpoint entries rejected", rejected=len(update.rejected), reason=update.rejected[0])
+        self.publish(update)
 
-        Found in reading: the next good line moved the revision past a spoilt one, which was never asked for again.
-        """
-        self.seen = news.revision
-        if news.whole:
-            self.held = -1 if news.spoilt else news.revision
-        if news.spoilt:
-            self.owed, self.revision = True, min(self.revision, max(0, news.revision - 1))
-            self.spoilt += len(news.spoilt)
-            self.log.warning("entries left out", number=len(news.spoilt), reason=news.spoilt[0])
-        elif holds_all or not self.owed:
-            self.owed, self.revision = False, news.revision
-        self.put(("list", news))
-
-
-def decoded(data: bytes) -> Any:
-    """Raises Unreadable."""
+
+def _decode(data: bytes) -> Any:
     try:
         return msgspec.json.decode(data)
-    except (msgspec.DecodeError, RecursionError):
-        raise MalformedListError("what is no JSON") from None
-
-
-__all__ = ["DiscoveryUpdate", "DiscoveryWatch"]
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise MalformedListError("what is no JSON") from error
--- /dev/null
+++ b/quillstep/platform/event_handler.py
@@ -0,0 +1,111 @@
+"""Applies each event to what the deciding thread holds: streams, endpoints, and the planner's next observations."""
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Any
+
+import structlog
+
+from quillstep.controller.control_intervals import ControlIntervals
+from quillstep.planner.messages import (
+    DownstreamStats,
+    EndpointListUpdate,
+    HealthCheckResult,
+    ProxyStreamEvent,
+    UpstreamStats,
+)
+from quillstep.planner.planner import Planner
+from quillstep.platform.endpoint_list import DiscoveryUpdate
+from quillstep.platform.endpoint_registry import EndpointRegistry
+from quillstep.platform.protocol.events import (
+    AckReceived,
+    ProtocolConnection,
+    ProtocolEvent,
+    ProxyConnected,
+    ProxyDisconnected,
+)
+from quillstep.platform.protocol.updates import ProtocolOutput
+
+ControllerEvent = ProtocolEvent | HealthCheckResult | DiscoveryUpdate
+
+
+class EventHandler:
+    """The deciding thread's state of streams and endpoints; `handle` dispatches by the event's type."""
+
+    def __init__(
+        self,
+        intervals: ControlIntervals[Planner],
+        output: ProtocolOutput,
+        endpoints: EndpointRegistry,
+        clock_ms: Callable[[], float],
+    ) -> None:
+        self.intervals, self.output, self.endpoints, self.clock_ms = intervals, output, endpoints, clock_ms
+        self.streams: dict[int, ProtocolConnection] = {}  # of each connected proxy
+        self.dropped: Counter[str] = Counter()  # reports of no use, by reason
+        self.reported: Counter[str] = Counter()  # attempts and requests that the planner was given
+        self.log = structlog.get_logger("controller")
+
+    def handle(self, event: ControllerEvent) -> None:
+        """Apply one event."""
+        HANDLERS[type(event)](self, event)
+
+    def _handle_connected(self, event: ProxyConnected) -> None:
+        connection, proxy = event.connection, event.proxy
+        if previous := self.streams.get(proxy):  # it has reconnected before the end of its old stream was seen
+            if previous.accept_number > connection.accept_number:  # both waited to be read, the newer was read first
+                connection.close("its proxy has reconnected")
+                return
+            self._end_stream(previous, proxy)
+            previous.close("its proxy has reconnected")
+        self.streams[proxy] = connection
+        self.output.add_proxy(proxy)
+        self.intervals.pending.proxy_streams.append(
+            ProxyStreamEvent(proxy, True, event.zone, event.expected_requests_per_s, event.is_fresh)
+        )
+        self.log.info("proxy connected", proxy=proxy, zone=event.zone, is_fresh=event.is_fresh)
+
+    def _handle_disconnected(self, event: ProxyDisconnected) -> None:
+        self._end_stream(event.connection, event.proxy)
+
+    def _end_stream(self, connection: ProtocolConnection, proxy: int) -> None:
+        if self.streams.get(proxy) is not connection:
+            return  # the end of an older stream
+        del self.streams[proxy]
+        self.output.remove_proxy(proxy)
+        self.intervals.pending.proxy_streams.append(ProxyStreamEvent(proxy, False))
+
+    def _handle_ack(self, event: AckReceived) -> None:
+        is_current = self.streams.get(event.proxy) is event.connection
+        if is_current and self.output.accept_ack(event.proxy, event.serial):
+            self.intervals.pending.acks.append(event.serial)
+        else:
+            self.dropped["an ack that was not requested"] += 1
+
+    def _handle_upstream_stats(self, stats: UpstreamStats) -> None:
+        if self.endpoints.knows(stats.endpoint):
+            self.intervals.pending.upstream_stats.append(stats)
+            self.reported.update(attempts=int(stats.attempts), failures=int(stats.failures))
+        else:
+            self.dropped["stats of an endpoint that is not listed"] += 1
+
+    def _handle_downstream_stats(self, stats: DownstreamStats) -> None:
+        self.intervals.pending.downstream_stats.append(stats)
+        self.reported.update(requests=int(stats.requests), unanswered=int(stats.unanswered))
+
+    def _handle_health_check(self, result: HealthCheckResult) -> None:
+        self.intervals.pending.health_checks.append(result)
+
+    def _handle_discovery_update(self, update: DiscoveryUpdate) -> None:
+        self.endpoints.apply(update, self.clock_ms())
+        self.intervals.pending.endpoint_lists.append(EndpointListUpdate(update.kind, update.entries))
+
+
+HANDLERS: dict[type, Callable[[EventHandler, Any], None]] = {
+    ProxyConnected: EventHandler._handle_connected,
+    ProxyDisconnected: EventHandler._handle_disconnected,
+    AckReceived: EventHandler._handle_ack,
+    UpstreamStats: EventHandler._handle_upstream_stats,
+    DownstreamStats: EventHandler._handle_downstream_stats,
+    HealthCheckResult: EventHandler._handle_health_check,
+    DiscoveryUpdate: EventHandler._handle_discovery_update,
+}
--- a/quillstep/platform/protocol/__init__.py
+++ b/quillstep/platform/protocol/__init__.py
@@ -1,1 +1,4 @@
-"""The platform's protocol: JSON objects in frames; streams of proxies, collectors, strangers, orders."""
+"""The platform's protocol: JSON objects behind their length, from proxies and collectors, and updates to proxies.
+
+`names` holds every name of the wire; no other package knows them.
+"""
--- a/quillstep/platform/protocol/codec.py
+++ b/quillstep/platform/protocol/codec.py
@@ -1,82 +1,98 @@
-"""Frames without I/O: a length of four bytes, most significant first, then so many bytes of one JSON object.
+"""The framing of the protocol without I/O: a length of four bytes, then one JSON object of so many bytes."""
 
-Events are ("message", fields) and, last, ("broken", why): from there on nothing can be read any more.
-"""
-
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
+from quillstep.errors import QuillstepError
 from quillstep.net.framing import add_length, remove_bodies
 
-MESSAGE_MOST = 2**20
-NO_OBJECT = "a message that is no JSON object"
-OPENS = b"{ \t\r\n"  # what an object may begin with
+MAX_MESSAGE_BYTES = 2**20
+MIN_MESSAGE_BYTES = 2  # an empty object
+NOT_AN_OBJECT = "a message that is no JSON object"
+OBJECT_STARTS = b"{ \t\r\n"  # the bytes that a JSON object may begin with
+
+Message = dict[str, Any]
+
+_encode = msgspec.json.Encoder().encode
+_decode = msgspec.json.Decoder(Message).decode
+
+
+class MalformedMessageError(QuillstepError):
+    """The stream can't be read from here on; the text says why."""
 
-encode = msgspec.json.Encoder().encode
-decode = msgspec.json.Decoder(dict[str, Any]).decode
 
-Event = tuple
+class StreamBroken(NamedTuple):
+    """The last event of a connection whose bytes can't be read any further."""
 
+    reason: str
 
-class MalformedMessageError(Exception):
-    """Nothing can be read any more; the text says why."""
+
+MessageEvent = Message | StreamBroken
+
+
+def encode_message(message: Message) -> bytes:
+    """Return a message as it is written, its length included."""
+    return add_length(_encode(message))
 
 
 class MessageCodec:
-    """One connection's reading and writing.  `stranger_most`: the longest message before it has `started`."""
+    """The codec of one connection (`quillstep.net.codec.Codec`); its events are messages and `StreamBroken`."""
 
-    def __init__(self, stranger_most: int) -> None:
-        self.stranger_most = stranger_most
+    def __init__(self, max_unregistered_bytes: int) -> None:
+        """`max_unregistered_bytes` bounds a message from a peer that has not registered."""
+        self.max_unregistered_bytes = max_unregistered_bytes
         self.is_registered = False
         self.unsent_bytes = 0
         self.buffer = bytearray()
         self.outgoing: list[bytes] = []
-        self.broken = False
+        self.is_broken = False
 
-    def receive(self, data: bytes) -> list[Event]:
-        events: list[Event] = []
-        if self.broken:
+    def receive(self, data: bytes) -> list[MessageEvent]:
+        """Return the messages that these bytes complete, and `StreamBroken` last where they can't be read."""
+        events: list[MessageEvent] = []
+        if self.is_broken:
             return events
         self.buffer += data
 
-        def check(length: int, first: bytes) -> None:
-            """A stranger's is judged before it is held; its first message may be followed at once by others."""
-            if not 2 <= length <= (MESSAGE_MOST if self.is_registered or events else self.stranger_most):
+        def check(length: int, first_byte: bytes) -> None:
+            # The peer may register by its first message and follow it at once with longer ones.
+            is_bounded = not (self.is_registered or events)
+            max_bytes = self.max_unregistered_bytes if is_bounded else MAX_MESSAGE_BYTES
+            if not MIN_MESSAGE_BYTES <= length <= max_bytes:
                 raise MalformedMessageError(f"a message of {length} bytes")
-            if first and first not in OPENS:
-                raise MalformedMessageError(NO_OBJECT)
+            if first_byte and first_byte not in OBJECT_STARTS:
+                raise MalformedMessageError(NOT_AN_OBJECT)
 
         try:
             for body in remove_bodies(self.buffer, check):
-                events.append(("message", decode(body)))
-        except MalformedMessageError as trouble:
-            events.append(self.breaks(str(trouble)))
+                events.append(_decode(body))
+        except MalformedMessageError as error:
+            events.append(self._break(str(error)))
         except (msgspec.DecodeError, RecursionError, ValueError):
-            events.append(self.breaks(NO_OBJECT))
+            events.append(self._break(NOT_AN_OBJECT))
         return events
 
-    def breaks(self, why: str) -> Event:
-        self.broken = True
+    def _break(self, reason: str) -> StreamBroken:
+        self.is_broken = True
         self.buffer.clear()
-        return ("broken", why)
+        return StreamBroken(reason)
 
     def send(self, stream: int, message: bytes) -> None:
-        """`message` is framed already; a connection has one stream."""
+        """Queue an encoded message; a connection has one stream."""
         self.outgoing.append(message)
         self.unsent_bytes += len(message)
 
     def pump(self) -> bytes:
+        """Remove and return the bytes that wait to be written."""
         data = b"".join(self.outgoing)
         self.outgoing.clear()
         self.unsent_bytes = 0
         return data
 
     def ping(self) -> None:
-        """The protocol has none that a pilot may send."""
+        """Do nothing: the protocol has no ping that a controller may send."""
 
     def goodbye(self) -> bytes:
+        """Return nothing: the protocol has no message for a peer that broke it."""
         return b""
-
-
-__all__ = ["MessageCodec", "decode", "encode", "add_length"]
--- a/quillstep/platform/protocol/connections.py
+++ b/quillstep/platform/protocol/connections.py
@@ -1,162 +1,161 @@
-"""Who connects: proxies by their streams, collectors, strangers.  All of it runs in the poller's thread.
+"""Who connects: proxies by their streams, collectors, and peers that have not registered.
 
-Not joined, a connection may ask for a sign of life and join, nothing else; joined, it is read whatever comes, and
-what is spoilt is dropped and counted.  News for the deciding thread never waits (`EventQueue.bring`):
-("join", peer, proxy, zone, usual, fresh), ("leave", peer, proxy), ("receipt", peer, proxy, serial),
-("sums", row), ("arrivals", row).
+All of it runs in the poller's thread.  An unregistered connection may send a heartbeat and register, nothing else; of
+a registered one every message is read, and an invalid one is dropped and counted.
 """
 
 from collections import Counter
-from collections.abc import Callable
-from typing import Any, NamedTuple
+from collections.abc import Callable, Hashable
+from typing import Any, NamedTuple, Protocol
 
 import structlog
 
 from quillstep.net.clock import now_ms
-from quillstep.net.connection import Connection
 from quillstep.net.poller import Poller
-from quillstep.planner.messages import DownstreamStats, UpstreamStats
-from quillstep.platform.protocol import validation
-from quillstep.platform.protocol.codec import Event, MessageCodec, add_length, encode
-from quillstep.platform.protocol.validation import InvalidMessageError, Known
-
-ALIVE = add_length(encode({"t": "hb_ok"}))
-STRANGER_MOST = 4096  # bytes of a message before joining
-COLLECTORS = 2  # of one zone: the one that comes and the one that has not been seen to go
-TOLD_MS = 2000.0  # between two lines of the log on what was dropped for the same reason
+from quillstep.platform.protocol import names, validation
+from quillstep.platform.protocol.codec import Message, MessageCodec, MessageEvent, StreamBroken, encode_message
+from quillstep.platform.protocol.events import (
+    AckReceived,
+    ProtocolConnection,
+    ProtocolEvent,
+    ProxyConnected,
+    ProxyDisconnected,
+)
+from quillstep.platform.protocol.stats_merging import merge_downstream_stats, merge_upstream_stats
+from quillstep.platform.protocol.validation import Deployment, InvalidMessageError
+
+HEARTBEAT_ANSWER = encode_message({names.KIND: names.HEARTBEAT_ANSWER})
+MAX_UNREGISTERED_MESSAGE_BYTES = 4096
+MAX_COLLECTORS_PER_ZONE = 2  # one that connects, and one whose end has not been seen yet
+DROP_LOG_INTERVAL_MS = 2000.0  # between two log lines on messages dropped for the same reason
 
 
 class ConnectionLimits(NamedTuple):
-    """What one connection may cost; see `net.poller.Limits`."""
+    """What one connection may cost; see `quillstep.net.connection.Limits`."""
 
     max_connections: int
     max_unregistered: int
     max_unsent_bytes: int = 128 * 1024
-    messages_per_s: float = 20000.0  # one that brings more for long is read no further; the flood is its own loss
+    messages_per_s: float = 20000.0
     handshake_timeout_ms: float = 1000.0
     write_timeout_ms: float = 15000.0
-    idle_timeout_ms: float = float("inf")  # nobody is bound to speak
+    idle_timeout_ms: float = float("inf")  # no peer is obliged to send anything
     ping_interval_ms: float = float("inf")
 
 
+class Publish(Protocol):
+    """Passes an event to the deciding thread without blocking; see `EventQueue.put_nowait`."""
+
+    def __call__(
+        self, event: ProtocolEvent, key: Hashable = None, merge: Callable[[Any, Any], Any] | None = None
+    ) -> None:
+        """Publish the event, merged with others of its key where the queue is full."""
+
+
 class ConnectionManager:
-    """The listener and all that it accepted.  `bring(news, key, add)` hands over."""
+    """The listening socket, and who is registered on which connection."""
 
-    def __init__(self, listen: str, limits: ConnectionLimits, known: Known, bring: Callable[..., None]) -> None:
-        self.known, self.bring = known, bring
-        self.poller = Poller(
+    def __init__(self, listen: str, limits: ConnectionLimits, deployment: Deployment, publish: Publish) -> None:
+        """Bind the socket; see `Poller`.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
+        self.deployment, self.publish = deployment, publish
+        self.poller: Poller[MessageCodec, MessageEvent] = Poller(
             listen,
             limits,
-            lambda: MessageCodec(STRANGER_MOST),
-            self.event,
-            self.closed,
+            lambda: MessageCodec(MAX_UNREGISTERED_MESSAGE_BYTES),
+            self.handle_event,
+            self.handle_closed,
             idle_timeout_ms=limits.idle_timeout_ms,
         )
-        self.proxies: dict[Connection, int] = {}
-        self.collectors: dict[Connection, str] = {}
-        self.dropped: Counter[str] = Counter()  # messages, by reason
-        self.ended: Counter[str] = Counter()  # connections that never joined, by reason
-        self.told_ms: dict[str, float] = {}
-        self.log = structlog.get_logger("frames")
-
-    def event(self, peer: Connection, event: Event) -> None:
-        if peer.close_reason:
+        self.proxies: dict[ProtocolConnection, int] = {}
+        self.collectors: dict[ProtocolConnection, str] = {}  # and their zones
+        self.dropped: Counter[str] = Counter()  # messages by reason
+        self.closed_unregistered: Counter[str] = Counter()  # connections by reason
+        self.last_logged_ms: dict[str, float] = {}  # by reason of dropped messages
+        self.log = structlog.get_logger("connections")
+
+    def handle_event(self, connection: ProtocolConnection, event: MessageEvent) -> None:
+        """Answer, publish or drop one message; close the connection where it can't be read."""
+        if connection.close_reason:
             return
-        kind, what = event
-        if kind == "broken":
-            peer.close(what)
+        if isinstance(event, StreamBroken):
+            connection.close(event.reason)
             return
-        name = validation.kind(what)
-        if name == "hb":
-            peer.send(0, ALIVE)
+        kind = validation.message_kind(event)
+        if kind == names.HEARTBEAT:
+            connection.send(0, HEARTBEAT_ANSWER)
             return
         try:
-            if peer.is_registered:
-                self.report(peer, name, what)
+            if connection.is_registered:
+                self._handle_report(connection, kind, event)
             else:
-                self.start(peer, name, what)
-        except InvalidMessageError as trouble:
-            if peer.is_registered:
-                self.drop(f"{name if name in REPORTS else 'message'}: {trouble}")
+                self._register(connection, kind, event)
+        except InvalidMessageError as error:
+            if connection.is_registered:
+                self._drop(f"{kind if kind in REPORT_HANDLERS else 'message'}: {error}")
             else:
-                peer.close(str(trouble))
-
-    def start(self, peer: Connection, name: str, fields: dict[str, Any]) -> None:
-        if name == "attach":
-            proxy, zone, usual, fresh = validation.joining(fields, self.known)
-            self.proxies[peer] = proxy
-            self.bring(("join", peer, proxy, zone, usual, fresh))
-        elif name == "telemetry":
-            zone = validation.zone(fields, self.known)
-            same = [other for other, its in self.collectors.items() if its == zone]
-            if len(same) >= COLLECTORS:
-                # The oldest could be the one that works, and the others come from who only says so.
-                min(same, key=lambda other: other.last_received_ms).close("its zone has newer collectors")
-            self.collectors[peer] = zone
-        else:
-            raise InvalidMessageError("it began without joining")
-        peer.codec.is_registered = True
-
-    def report(self, peer: Connection, name: str, fields: dict[str, Any]) -> None:
-        if name not in REPORTS:
-            raise InvalidMessageError("its kind is none that a pilot is sent here")
-        REPORTS[name](self, peer, fields)
+                connection.close(str(error))
 
-    def sums(self, peer: Connection, fields: dict[str, Any]) -> None:
-        zone, row = validation.sums(fields, self.known)
-        self.bring(("sums", row), (zone, row.endpoint), add_sums)
-
-    def usage(self, peer: Connection, fields: dict[str, Any]) -> None:
-        row = validation.usage(fields, self.known)
-        if self.proxies.get(peer, row.proxy) != row.proxy:
+    def handle_closed(self, connection: ProtocolConnection, reason: str) -> None:
+        """Publish that a proxy's stream has ended; count a connection that never registered."""
+        proxy = self.proxies.pop(connection, None)
+        if proxy is not None:
+            self.log.info("proxy disconnected", proxy=proxy, reason=reason)
+            self.publish(ProxyDisconnected(connection, proxy))
+        elif self.collectors.pop(connection, None) is None:
+            self.closed_unregistered[reason] += 1
+
+    def _register(self, connection: ProtocolConnection, kind: str, message: Message) -> None:
+        if kind == names.PROXY_REGISTRATION:
+            registration = validation.parse_proxy_registration(message, self.deployment)
+            self.proxies[connection] = registration.proxy
+            self.publish(ProxyConnected(connection, *registration))
+        elif kind == names.COLLECTOR_REGISTRATION:
+            self._register_collector(connection, validation.parse_zone(message, self.deployment))
+        else:
+            raise InvalidMessageError("it began without registering")
+        connection.codec.is_registered = True
+
+    def _register_collector(self, connection: ProtocolConnection, zone: str) -> None:
+        others = [other for other, its_zone in self.collectors.items() if its_zone == zone]
+        if len(others) >= MAX_COLLECTORS_PER_ZONE:
+            # Not the oldest: it may be the one that works, while the others only claim to be collectors.
+            min(others, key=lambda other: other.last_received_ms).close("its zone has newer collectors")
+        self.collectors[connection] = zone
+
+    def _handle_report(self, connection: ProtocolConnection, kind: str, message: Message) -> None:
+        if kind not in REPORT_HANDLERS:
+            raise InvalidMessageError("its kind is none that a controller is sent here")
+        REPORT_HANDLERS[kind](self, connection, message)
+
+    def _handle_upstream_stats(self, connection: ProtocolConnection, message: Message) -> None:
+        zone, stats = validation.parse_upstream_stats(message, self.deployment)
+        self.publish(stats, (zone, stats.endpoint), merge_upstream_stats)
+
+    def _handle_downstream_stats(self, connection: ProtocolConnection, message: Message) -> None:
+        stats = validation.parse_downstream_stats(message, self.deployment)
+        if self.proxies.get(connection, stats.proxy) != stats.proxy:
             raise InvalidMessageError("it is of another proxy")
-        self.bring(("arrivals", row), (row.class_index, row.proxy), add_arrivals)
+        self.publish(stats, (stats.class_index, stats.proxy), merge_downstream_stats)
 
-    def receipt(self, peer: Connection, fields: dict[str, Any]) -> None:
-        proxy, serial = validation.receipt(fields, self.known)
-        if self.proxies.get(peer) != proxy:
+    def _handle_ack(self, connection: ProtocolConnection, message: Message) -> None:
+        proxy, serial = validation.parse_ack(message, self.deployment)
+        if self.proxies.get(connection) != proxy:
             raise InvalidMessageError("it is of another proxy")
-        self.bring(("receipt", peer, proxy, serial))
+        self.publish(AckReceived(connection, proxy, serial))
 
-    def drop(self, reason: str) -> None:
-        """Count a message that is of no use; say so once in a while."""
+    def _drop(self, reason: str) -> None:
         self.dropped[reason] += 1
-        if now_ms() - self.told_ms.get(reason, float("-inf")) > TOLD_MS:
-            self.told_ms[reason] = now_ms()
-            self.log.warning("message dropped", reason=reason, so_far=self.dropped[reason])
+        if now_ms() - self.last_logged_ms.get(reason, float("-inf")) > DROP_LOG_INTERVAL_MS:
+            self.last_logged_ms[reason] = now_ms()
+            self.log.warning("message dropped", reason=reason, dropped=self.dropped[reason])
 
-    def closed(self, peer: Connection, reason: str) -> None:
-        proxy = self.proxies.pop(peer, None)
-        if proxy is not None:
-            self.log.info("proxy left", proxy=proxy, reason=reason)
-            self.bring(("leave", peer, proxy))
-        elif self.collectors.pop(peer, None) is None:
-            self.ended[reason] += 1
 
-
-REPORTS: dict[str, Callable[[ConnectionManager, Connection, dict[str, Any]], None]] = {
-    "upstream_stats": ConnectionManager.sums,
-    "client_stats": ConnectionManager.usage,
-    "done": ConnectionManager.receipt,
+REPORT_HANDLERS: dict[str, Callable[[ConnectionManager, ProtocolConnection, Message], None]] = {
+    names.UPSTREAM_STATS: ConnectionManager._handle_upstream_stats,
+    names.DOWNSTREAM_STATS: ConnectionManager._handle_downstream_stats,
+    names.ACK: ConnectionManager._handle_ack,
 }
-
-
-def add_sums(old: tuple, new: tuple) -> tuple:
-    """Two entries of the lane with sums of one zone and endpoint as one; the newer load report stands."""
-    (_, a), (_, b) = old, new
-    successes_a, successes_b = a.attempts - a.failures, b.attempts - b.failures
-    good = successes_a + successes_b
-    mean_ms = (a.mean_success_ms * successes_a + b.mean_success_ms * successes_b) / good if good else 0.0
-    merged = UpstreamStats(
-        a.endpoint, a.attempts + b.attempts, a.failures + b.failures, mean_ms, a.window_ms + b.window_ms,
-        {**a.load, **b.load},
-    )  # fmt: skip
-    return "sums", merged
-
-
-def add_arrivals(old: tuple, new: tuple) -> tuple:
-    (_, a), (_, b) = old, new
-    merged = DownstreamStats(
-        a.class_index, a.proxy, a.requests + b.requests, a.unanswered + b.unanswered, a.window_ms + b.window_ms
-    )
-    return "arrivals", merged
--- /dev/null
+++ b/quillstep/platform/protocol/events.py
@@ -0,0 +1,40 @@
+"""What the connections of the protocol report to the deciding thread, by type.
+
+Statistics are reported as the planner takes them: `UpstreamStats` and `DownstreamStats`.
+"""
+
+from typing import NamedTuple
+
+from quillstep.net.connection import Connection
+from quillstep.planner.messages import DownstreamStats, UpstreamStats
+from quillstep.platform.protocol.codec import MessageCodec
+
+ProtocolConnection = Connection[MessageCodec]
+
+
+class ProxyConnected(NamedTuple):
+    """A proxy has registered on a connection, which is its stream from now on."""
+
+    connection: ProtocolConnection
+    proxy: int
+    zone: str
+    expected_requests_per_s: float
+    is_fresh: bool  # it holds nothing from earlier updates
+
+
+class ProxyDisconnected(NamedTuple):
+    """A proxy's stream has ended."""
+
+    connection: ProtocolConnection
+    proxy: int
+
+
+class AckReceived(NamedTuple):
+    """A proxy has applied every update up to the one with this serial."""
+
+    connection: ProtocolConnection
+    proxy: int
+    serial: int
+
+
+ProtocolEvent = ProxyConnected | ProxyDisconnected | AckReceived | UpstreamStats | DownstreamStats
--- a/quillstep/platform/service.py
+++ b/quillstep/platform/service.py
@@ -1,15 +1,19 @@
-"""The live pilot: the module, told and obeyed over the platform's protocol.
+"""One controller: its planner, connected by the platform's protocol to proxies, collectors, discovery and endpoints.
 
-The poller's thread reads and writes streams, the watch and the prober have threads of their own, this one decides.
-Orders leave as the module wrote them: the channel that it counts for is the platform's own, so no channel, ledger,
-gate, book or store of ours stands between (docs/node.md).
+Threads, all started here but the one that calls `PlatformController.run`:
+
+- the deciding thread, which called `run`, owns the planner, `EventHandler` and `ProtocolOutput`;
+- `connections` polls the sockets and owns `ConnectionManager`;
+- `discovery-watch` follows the endpoint list;
+- `health-check-N` check endpoints.
+
+The last three pass events to the first by one `EventQueue`, and never wait for it.  Updates leave as the planner
+wrote them: the channel that its update budget counts for is the platform's own (docs/node.md).
 """
 
-import os
 import threading
 import time
-from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Hashable
 from typing import Any
 
 import structlog
@@ -18,257 +22,172 @@
 from quillstep.controller.event_queue import EventQueue
 from quillstep.controller.health_checker import HealthChecker
 from quillstep.net.clock import now_ms
-from quillstep.net.connection import Connection
-from quillstep.planner.messages import (
-    DownstreamStats,
-    EndpointListUpdate,
-    HealthCheckResult,
-    ProxyStreamEvent,
-    UpstreamStats,
-)
 from quillstep.planner.planner import Planner
 from quillstep.platform.configuration import (
     ConfigurationError,
     ControllerConfig,
     PlatformConfiguration,
-    pilot_facts,
-    seed_of,
+    controller_config,
+    parse_seed,
 )
 from quillstep.platform.discovery_watch import DiscoveryWatch
-from quillstep.platform.endpoint_list import DiscoveryUpdate, read_list
+from quillstep.platform.endpoint_list import parse_endpoint_list
+from quillstep.platform.endpoint_registry import EndpointRegistry
+from quillstep.platform.event_handler import ControllerEvent, EventHandler
 from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
 from quillstep.platform.protocol.updates import ProtocolOutput
+from quillstep.platform.status import IntervalFigures, status_fields
 
-STACK_BYTES = 256 * 1024
-BATCH = 1024  # pieces of news between two rounds
-NEWS_MOST = 4096  # that wait for this thread before reports add up
-IDLE_S = 0.1  # also the longest that a signal waits
-SAY_MS = 5000.0
-PROBERS = 12
-OWN = 24  # descriptors for the log, the watch, the listener and what the interpreter opens; probes come on top
-FORGET_PERIODS = 30.0  # report periods after which sums of an endpoint that has gone are of no interest
+THREAD_STACK_BYTES = 256 * 1024
+MAX_EVENTS_PER_PASS = 1024
+MAX_QUEUED_EVENTS = 4096  # from here on statistics are merged
+MAX_QUEUED_STATS = 1  # all events of this controller are queued as such
+MAX_WAIT_S = 0.1  # also the longest that a signal waits
+STATUS_INTERVAL_MS = 5000.0
+HEALTH_CHECK_WORKERS = 12
+RESERVED_DESCRIPTORS = 24  # the log, the watch, the listener, and what the interpreter opens
+REMOVED_ENDPOINT_REPORT_INTERVALS = 30.0  # for which reports on a removed endpoint are taken
+FIXED_FIELDS = ("name", "listen", "settings")  # of the configuration: they change by a restart only
 
 
-def limits_of(record: PlatformConfiguration, facts: ControllerConfig) -> ConnectionLimits:
-    """Who has not joined may use all that is free, and gives way to who comes.
+def connection_limits(configuration: PlatformConfiguration) -> ConnectionLimits:
+    """Return limits by which unregistered connections may use all free descriptors, and are evicted for new ones.
 
-    Found in reading: with more proxies than descriptors only 16 were let wait, and after a kill, when all dial at
-    once, one whose joining came in pieces was cut off beside free descriptors.
+    Guards against closing a proxy whose registration arrives in pieces while descriptors are free, when all proxies
+    reconnect at once.
     """
-    most = record.limits.sockets - OWN - PROBERS
-    return ConnectionLimits(most, most)
+    free = configuration.limits.sockets - RESERVED_DESCRIPTORS - HEALTH_CHECK_WORKERS
+    return ConnectionLimits(max_connections=free, max_unregistered=free)
 
 
 class PlatformController:
-    """`run` is the deciding thread; signals set `reloads` and `stops`, each apart: none can undo the other."""
+    """One controller; `run` is the deciding thread.
+
+    Signal handlers set `reload_requested` and `stop_requested`, each apart so that none undoes the other.
+    """
 
-    def __init__(self, record: PlatformConfiguration, facts: ControllerConfig) -> None:
-        threading.stack_size(STACK_BYTES)
-        self.record, self.facts = record, facts
-        self.reloads = self.stops = False
-        self.offset_ms = now_ms() - time.time() * 1000.0
-        self.event_queue: EventQueue[tuple] = EventQueue(NEWS_MOST, 1)
-        self.control_intervals = ControlIntervals(Planner(facts.start, seed_of(record.seed)), facts.tick_ms)
-        self.log = structlog.get_logger("pilot")
-        self.orders = ProtocolOutput(facts.classes, self.probe, self.control_intervals.set_timer, self.note)
-        self.at: dict[int, Connection] = {}  # where each joined proxy's stream is
-        self.addresses: dict[str, tuple[str, int]] = {}
-        self.gone: dict[str, float] = {}  # endpoints that are listed no more, and since when
-        self.dropped: Counter[str] = Counter()
-        self.told: Counter[str] = Counter()  # tries and arrivals that the module was told of
-        self.late_ms = 0.0  # the worst of the rounds since the last line of figures
-        self.cpu_ms = 0.0  # the longest of them
-        self.written = self.written_bytes = 0
-        self.said_ms = now_ms()
-        self.front = ConnectionManager(record.listen, limits_of(record, facts), facts.known, self.bring)
-        known = {"revision": record.known.revision, "complete": True, "members": record.known.members}
-        self.first = read_list(known, self.offset_ms, "persisted")
+    def __init__(self, configuration: PlatformConfiguration, config: ControllerConfig) -> None:
+        """Bind the socket and start the health check workers; all else starts with `run`.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
+        threading.stack_size(THREAD_STACK_BYTES)
+        self.configuration, self.config = configuration, config
+        self.reload_requested = self.stop_requested = False
+        self.log = structlog.get_logger("controller")
+        self.event_queue: EventQueue[ControllerEvent] = EventQueue(MAX_QUEUED_EVENTS, MAX_QUEUED_STATS)
+        planner = Planner(config.planner, parse_seed(configuration.seed))
+        self.intervals = ControlIntervals(planner, config.batch_window_ms)
+        self.output = ProtocolOutput(
+            config.class_names, self._request_health_check, self.intervals.set_timer, self._log_note
+        )
+        self.endpoints = EndpointRegistry(REMOVED_ENDPOINT_REPORT_INTERVALS * config.planner.report_interval_ms)
+        self.handler = EventHandler(self.intervals, self.output, self.endpoints, now_ms)
+        self.figures = IntervalFigures()
+        self.last_status_ms = now_ms()
+        self.connections = ConnectionManager(
+            configuration.listen, connection_limits(configuration), config.deployment, self.publish
+        )
+        known = {"revision": configuration.known.revision, "complete": True, "members": configuration.known.members}
+        clock_offset_ms = now_ms() - time.time() * 1000.0
+        self.known_list = parse_endpoint_list(known, clock_offset_ms, "persisted")
         self.watch = DiscoveryWatch(
-            record.discovery, record.known.revision, self.offset_ms, self.bring, owed=bool(self.first.spoilt)
+            configuration.discovery,
+            configuration.known.revision,
+            clock_offset_ms,
+            self.publish,
+            has_missing_entries=bool(self.known_list.rejected),
+        )
+        self.health_checker = HealthChecker(
+            HEALTH_CHECK_WORKERS, config.health_check_timeout_ms, self.publish, config.health_check_path
         )
-        self.health_checker = HealthChecker(PROBERS, facts.probe_ms, self.put_health_check, facts.probe_path)
-
-    # from other threads
 
-    def bring(self, news: tuple, key: Any = None, add: Callable | None = None) -> None:
-        self.event_queue.put_nowait(now_ms(), news, key, add)
+    def publish(
+        self, event: ControllerEvent, key: Hashable = None, merge: Callable[[Any, Any], Any] | None = None
+    ) -> None:
+        """Pass an event to the deciding thread, from any thread; see `EventQueue.put_nowait`."""
+        self.event_queue.put_nowait(now_ms(), event, key, merge)
 
-    def put_health_check(self, result: HealthCheckResult) -> None:
-        self.bring(("probe", *result))
+    # The deciding thread
 
-    # the deciding thread
+    def run(self, read_configuration: Callable[[], PlatformConfiguration]) -> None:
+        """Decide until `stop_requested`.
 
-    def run(self, reload: Callable[[], PlatformConfiguration]) -> None:
-        """Decide until a signal asks to stop."""
-        self.take_list(self.first)
-        self.control_intervals.record_arrival(now_ms() - self.facts.tick_ms)
-        threading.Thread(target=self.front.poller.run, daemon=True).start()
+        The threads that this starts are daemons and not joined: each may wait for a peer, and a stop must not.
+        """
+        self.handler.handle(self.known_list)
+        self.intervals.record_arrival(now_ms() - self.config.batch_window_ms)
+        threading.Thread(target=self.connections.poller.run, name="connections", daemon=True).start()
         self.watch.start()
         self.log.info(
-            "pilot ready", pilot=self.record.name, address=self.front.poller.address,
-            endpoints=len(self.addresses), limits=limits_of(self.record, self.facts)._asdict(),
-        )  # fmt: skip
-        while not self.stops:
-            if self.reloads:
-                self.reloads = False
-                self.reload(reload)
-            self.turn()
-        self.say()
-        self.front.poller.stop()
-
-    def turn(self) -> None:
-        """Wait for news or for what is due next, take it in, decide, write."""
-        wait_s = (self.control_intervals.due_ms() - now_ms()) / 1000.0
+            "controller ready",
+            controller=self.configuration.name,
+            address=self.connections.poller.address,
+            endpoints=len(self.endpoints.addresses),
+            limits=connection_limits(self.configuration)._asdict(),
+        )
+        while not self.stop_requested:
+            if self.reload_requested:
+                self.reload_requested = False
+                self.reload(read_configuration)
+            self.run_pass()
+        self.log_status()
+        self.connections.poller.stop()
+
+    def run_pass(self) -> None:
+        """Wait for an event or for what is due next, handle what has arrived, and decide where an interval is due."""
+        wait_s = (self.intervals.due_ms() - now_ms()) / 1000.0
         if wait_s > 0:
-            self.event_queue.wait(min(IDLE_S, wait_s))
-        for arrived_ms, news in self.event_queue.drain(BATCH):
-            TAKES[news[0]](self, *news[1:])
-            self.control_intervals.record_arrival(arrived_ms)
+            self.event_queue.wait(min(MAX_WAIT_S, wait_s))
+        for arrived_ms, event in self.event_queue.drain(MAX_EVENTS_PER_PASS):
+            self.handler.handle(event)
+            self.intervals.record_arrival(arrived_ms)
         now = now_ms()
-        due = self.control_intervals.due_ms()
-        if due <= now:
-            self.late_ms = max(self.late_ms, now - due)
-            self.round(now)
-        if now - self.said_ms > SAY_MS:
-            self.say()
-
-    def round(self, now: float) -> None:
-        begun = time.thread_time()
-        incoming = self.control_intervals.start(now)
-        self.control_intervals.run(incoming, self.orders)
-        for proxy, message in self.orders.flush():
-            self.at[proxy].send(0, message)
-            self.written += 1
-            self.written_bytes += len(message)
-        self.cpu_ms = max(self.cpu_ms, 1000.0 * (time.thread_time() - begun))
-
-    def probe(self, endpoint: str) -> None:
-        if endpoint in self.addresses:
-            self.health_checker.request(endpoint, *self.addresses[endpoint])
-
-    def note(self, text: str) -> None:
-        self.log.info("note", reason=text)
-
-    # news
-
-    def take_join(self, peer: Connection, proxy: int, zone: str, usual: float, fresh: bool) -> None:
-        if before := self.at.get(proxy):  # it has dialled anew before its old stream was seen to end
-            if before.accept_number > peer.accept_number:  # both waited to be read, and the newer was read first
-                peer.close("its proxy dialled anew")
-                return
-            self.take_leave(before, proxy)
-            before.close("its proxy dialled anew")
-        self.at[proxy] = peer
-        self.orders.join(proxy)
-        self.control_intervals.pending.proxy_streams.append(ProxyStreamEvent(proxy, True, zone, usual, fresh))
-        self.log.info("proxy joined", proxy=proxy, zone=zone, fresh=fresh)
-
-    def take_leave(self, peer: Connection, proxy: int) -> None:
-        if self.at.get(proxy) is not peer:
-            return  # the end of an older stream
-        del self.at[proxy]
-        self.orders.leave(proxy)
-        self.control_intervals.pending.proxy_streams.append(ProxyStreamEvent(proxy, False))
-
-    def take_receipt(self, peer: Connection, proxy: int, serial: int) -> None:
-        if self.at.get(proxy) is peer and self.orders.answered(proxy, serial):
-            self.control_intervals.pending.acks.append(serial)
-        else:
-            self.dropped["a mark that was not asked for"] += 1
-
-    def take_sums(self, row: UpstreamStats) -> None:
-        if row.endpoint in self.addresses or row.endpoint in self.gone:
-            self.control_intervals.pending.upstream_stats.append(row)
-            self.told.update(tries=int(row.attempts), failed=int(row.failures))
-        else:
-            self.dropped["sums of an endpoint that is not listed"] += 1
-
-    def take_arrivals(self, row: DownstreamStats) -> None:
-        self.control_intervals.pending.downstream_stats.append(row)
-        self.told.update(arrived=int(row.requests), unanswered=int(row.unanswered))
-
-    def take_probe(self, endpoint: str, answered: bool, took_ms: float, load: dict[str, float]) -> None:
-        self.control_intervals.pending.health_checks.append(HealthCheckResult(endpoint, answered, took_ms, load))
-
-    def take_list(self, news: DiscoveryUpdate) -> None:
-        """What discovery says; addresses and names of what has gone are forgotten after a while."""
-        now = now_ms()
-        listed = {entry.endpoint for entry in news.entries if entry.state != "terminated"}
-        gone = {entry.endpoint for entry in news.entries} - listed
-        if news.kind == "complete":
-            gone |= self.addresses.keys() - listed
-        for endpoint in gone:
-            if self.addresses.pop(endpoint, None):
-                self.gone[endpoint] = now
-        self.addresses.update({endpoint: news.addresses[endpoint] for endpoint in listed})
-        forget_ms = FORGET_PERIODS * self.facts.start.report_interval_ms
-        self.gone = {e: at for e, at in self.gone.items() if now - at < forget_ms and e not in listed}
-        self.control_intervals.pending.endpoint_lists.append(EndpointListUpdate(news.kind, news.entries))
-
-    # configuration and figures
-
-    def reload(self, read: Callable[[], PlatformConfiguration]) -> None:
-        """Take what may change in service; a file that can't be used leaves the old one in force."""
+        due_ms = self.intervals.due_ms()
+        if due_ms <= now:
+            self.figures.max_late_ms = max(self.figures.max_late_ms, now - due_ms)
+            self.run_interval(now)
+        if now - self.last_status_ms > STATUS_INTERVAL_MS:
+            self.log_status()
+
+    def run_interval(self, now: float) -> None:
+        """Run the planner once, and send its updates."""
+        begun_s = time.thread_time()
+        observations = self.intervals.start(now)
+        self.intervals.run(observations, self.output)
+        for proxy, update in self.output.flush():
+            self.handler.streams[proxy].send(0, update)
+            self.figures.updates_sent += 1
+            self.figures.update_bytes_sent += len(update)
+        self.figures.max_cpu_ms = max(self.figures.max_cpu_ms, 1000.0 * (time.thread_time() - begun_s))
+
+    def _request_health_check(self, endpoint: str) -> None:
+        if endpoint in self.endpoints.addresses:
+            self.health_checker.request(endpoint, *self.endpoints.addresses[endpoint])
+
+    def _log_note(self, text: str) -> None:
+        self.log.info("planner note", note=text)
+
+    def reload(self, read_configuration: Callable[[], PlatformConfiguration]) -> None:
+        """Apply what may change in service; a file that can't be used leaves the old configuration in force."""
         try:
-            record = read()
-            pilot_facts(record, "the new configuration")
-        except ConfigurationError as trouble:
-            self.log.error("configuration kept", reason=str(trouble))
+            configuration = read_configuration()
+            controller_config(configuration, "the new configuration")
+        except ConfigurationError as error:
+            self.log.error("configuration rejected", reason=str(error))
             return
-        except Exception as trouble:  # a fault of ours with what stands there must not end a pilot that serves
-            self.log.exception("configuration kept", reason=f"{type(trouble).__name__}: {trouble}")
+        except Exception as error:  # an internal error over the file must not end a controller that serves
+            self.log.exception("configuration rejected", reason=f"{type(error).__name__}: {error}")
             return
-        kept = [name for name in ("name", "listen", "settings") if getattr(record, name) != getattr(self.record, name)]
-        self.watch.move(record.discovery)
-        self.record = record
-        self.log.info("configuration read", discovery=record.discovery, needs_a_restart=kept)
-
-    def say(self) -> None:
-        """A line of figures."""
-        self.said_ms = now_ms()
-        front = self.front
-        self.log.info(
-            "figures", joined=len(self.at), connections=len(front.poller.connections),
-            rounds=self.control_intervals.completed,
-            late_ms=round(self.late_ms, 1), round_cpu_ms=round(self.cpu_ms, 1), cpu_s=round(time.process_time(), 2),
-            messages=self.written, bytes=self.written_bytes, endpoints=len(self.addresses),
-            dropped=dict(front.dropped + self.dropped), ended=dict(front.ended), watch=self.watch.state,
-            dials=self.watch.dials, lines=self.watch.lines, revision=self.watch.revision,
-            spoilt=self.watch.spoilt, owed=self.watch.owed, looks=self.watch.looks,
-            believed={**believed(self.control_intervals.planner), **self.told}, **machine(),
-        )  # fmt: skip
-        self.late_ms = self.cpu_ms = 0.0
-
-
-def believed(planner: Planner) -> dict[str, Any]:
-    """What the module goes by, to be held against what the endpoints say."""
-    return {
-        "load": round(planner.capacity.mean_utilization, 2),
-        "let_in": round(planner.admission.admitted_fraction, 2),
-        "answered_per_s": round(planner.capacity.goodput_per_s, 1),
-        "out": [endpoint for endpoint, state in planner.fleet.endpoints.items() if state.is_outlier],
-    }  # fmt: skip
-
-
-def machine() -> dict[str, float]:
-    """Resident memory and descriptors of this process, where the system tells them."""
-    try:
-        with open("/proc/self/statm", encoding="ascii") as file:
-            pages = int(file.read().split()[1])
-        return {
-            "resident_mb": round(pages * os.sysconf("SC_PAGE_SIZE") / 2**20, 1),
-            "descriptors": len(os.listdir("/proc/self/fd")),
-        }
-    except (OSError, ValueError, IndexError):
-        return {}
-
-
-TAKES: dict[str, Callable[..., None]] = {
-    "join": PlatformController.take_join,
-    "leave": PlatformController.take_leave,
-    "receipt": PlatformController.take_receipt,
-    "sums": PlatformController.take_sums,
-    "arrivals": PlatformController.take_arrivals,
-    "probe": PlatformController.take_probe,
-    "list": PlatformController.take_list,
-}
+        fixed = [field for field in FIXED_FIELDS if getattr(configuration, field) != getattr(self.configuration, field)]
+        self.watch.set_address(configuration.discovery)
+        self.configuration = configuration
+        self.log.info("configuration reloaded", discovery=configuration.discovery, needs_restart=fixed)
+
+    def log_status(self) -> None:
+        """Write the status line, and begin its next period."""
+        self.last_status_ms = now_ms()
+        fields = status_fields(self.handler, self.connections, self.watch, self.intervals, self.figures)
+        self.log.info("status", **fields)
+        self.figures.reset_maxima()
--- /dev/null
+++ b/quillstep/platform/status.py
@@ -0,0 +1,85 @@
+"""The status line of the log: what the controller has done, what it holds, and what its planner assumes."""
+
+import os
+import time
+from pathlib import Path
+from typing import Any
+
+from quillstep.controller.control_intervals import ControlIntervals
+from quillstep.planner.planner import Planner
+from quillstep.platform.discovery_watch import DiscoveryWatch
+from quillstep.platform.event_handler import EventHandler
+from quillstep.platform.protocol.connections import ConnectionManager
+
+
+class IntervalFigures:
+    """What control intervals took and sent; the maxima are since the last status line."""
+
+    def __init__(self) -> None:
+        self.max_late_ms = 0.0  # behind the time that an interval was due
+        self.max_cpu_ms = 0.0
+        self.updates_sent = self.update_bytes_sent = 0
+
+    def reset_maxima(self) -> None:
+        """Begin the next period."""
+        self.max_late_ms = self.max_cpu_ms = 0.0
+
+
+def status_fields(
+    handler: EventHandler,
+    connections: ConnectionManager,
+    watch: DiscoveryWatch,
+    intervals: ControlIntervals[Planner],
+    figures: IntervalFigures,
+) -> dict[str, Any]:
+    """Return the fields of the status line."""
+    return {
+        "proxies": len(handler.streams),
+        "connections": len(connections.poller.connections),
+        "control_intervals": intervals.completed,
+        "max_late_ms": round(figures.max_late_ms, 1),
+        "max_interval_cpu_ms": round(figures.max_cpu_ms, 1),
+        "cpu_s": round(time.process_time(), 2),
+        "updates": figures.updates_sent,
+        "update_bytes": figures.update_bytes_sent,
+        "endpoints": len(handler.endpoints.addresses),
+        "dropped": dict(connections.dropped + handler.dropped),
+        "closed_unregistered": dict(connections.closed_unregistered),
+        **_discovery_fields(watch),
+        "assumed": {**_planner_fields(intervals.planner), **handler.reported},
+        **_process_fields(),
+    }
+
+
+def _discovery_fields(watch: DiscoveryWatch) -> dict[str, Any]:
+    return {
+        "watch": watch.state,
+        "watch_connects": watch.connects,
+        "watch_lines": watch.lines,
+        "list_refreshes": watch.refreshes,
+        "revision": watch.tracker.resume_revision,
+        "entries_rejected": watch.tracker.rejected,
+        "has_missing_entries": watch.tracker.has_missing_entries,
+    }
+
+
+def _planner_fields(planner: Planner) -> dict[str, Any]:
+    """What the planner goes by, to be compared with what the endpoints measure."""
+    return {
+        "utilization": round(planner.capacity.mean_utilization, 2),
+        "admitted_fraction": round(planner.admission.admitted_fraction, 2),
+        "goodput_per_s": round(planner.capacity.goodput_per_s, 1),
+        "ejected": [endpoint for endpoint, state in planner.fleet.endpoints.items() if state.is_outlier],
+    }
+
+
+def _process_fields() -> dict[str, float]:
+    """Resident memory and descriptors of this process, where the system tells them."""
+    try:
+        resident_pages = int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1])
+        return {
+            "resident_mb": round(resident_pages * os.sysconf("SC_PAGE_SIZE") / 2**20, 1),
+            "descriptors": sum(1 for _ in Path("/proc/self/fd").iterdir()),
+        }
+    except (OSError, ValueError, IndexError):
+        return {}
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -19,9 +19,11 @@
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.config.start_settings import planner_config_of_start
 from quillstep.files.generation_files import Packer, manifest
+from quillstep.net.framing import add_length
+from quillstep.planner.messages import DownstreamStats, UpstreamStats
 from quillstep.platform import configuration, endpoint_list
-from quillstep.platform.protocol import validation
-from quillstep.platform.protocol.codec import MessageCodec, add_length
+from quillstep.platform.protocol import events, validation
+from quillstep.platform.protocol.codec import MessageCodec
 from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
 from quillstep.platform.protocol.updates import ProtocolOutput
 from quillstep.recording import lives, read_life
@@ -96,11 +98,11 @@
     elif kind < 0.95:
         proxy = draw.randrange(8)
         joined.add(proxy)
-        orders.join(proxy)
+        orders.add_proxy(proxy)
     elif joined:
         proxy = draw.choice(sorted(joined))
         joined.discard(proxy)
-        orders.leave(proxy)
+        orders.remove_proxy(proxy)
 
 
 ATTACH = {"t": "attach", "id": 3, "site": "a", "rps": 21.5, "new": True}
@@ -173,19 +175,32 @@
     return {name: outcome_of(data) for name, data in conversations().items()}
 
 
+BROUGHT_KINDS = {
+    events.ProxyConnected: "join", events.ProxyDisconnected: "leave", events.AckReceived: "receipt",
+    UpstreamStats: "sums", DownstreamStats: "arrivals",
+}  # fmt: skip
+
+
+def brought_event(event):
+    """An event by the name of its kind in the data, and its values without the connection."""
+    if isinstance(event, UpstreamStats | DownstreamStats):
+        return plain([BROUGHT_KINDS[type(event)], event])
+    return plain([BROUGHT_KINDS[type(event)], *event[1:]])
+
+
 def outcome_of(data):
     """One connection's bytes, read by the front without its sockets."""
     brought = []
-    known = validation.Known(4, frozenset("ab"), {"lookup": 0, "quote": 1, "issue": 2}, 1200.0)
+    known = validation.Deployment(4, frozenset("ab"), {"lookup": 0, "quote": 1, "issue": 2}, 1200.0)
     front = ConnectionManager(
         "127.0.0.1:0", ConnectionLimits(64, 64), known, lambda news, key=None, add=None: brought.append(news)
     )
     peer = Peer()
     for event in peer.codec.receive(data):
-        front.event(peer, event)
+        front.handle_event(peer, event)
     front.poller.listener.close()
     return {
-        "brought": [plain([each for each in news if each is not peer]) for news in brought],
+        "brought": [brought_event(event) for event in brought],
         "answered": [message.hex() for message in peer.sent], "started": peer.is_registered,
         "dropped": sum(front.dropped.values()), "ended": bool(peer.close_reason),
     }  # fmt: skip
@@ -309,20 +324,21 @@
 def configuration_values(path):
     """What a platform configuration comes to: values in order, whatever their names; or the sentence on it."""
     try:
-        found = configuration.read({"BALANCER_CONFIG": str(path)})
-        facts = configuration.pilot_facts(found, str(path))
+        found = configuration.read_configuration({"BALANCER_CONFIG": str(path)})
+        facts = configuration.controller_config(found, str(path))
     except configuration.ConfigurationError as trouble:
         return str(trouble).replace(f"{path.parent}/", "")
     known = {"revision": found.known.revision, "complete": True, "members": found.known.members}
-    first = endpoint_list.read_list(known, 5000.0, "persisted")
+    first = endpoint_list.parse_endpoint_list(known, 5000.0, "persisted")
     return plain({
-        "start": list(dataclasses.astuple(facts.start)),
+        "start": list(dataclasses.astuple(facts.planner)),
         "rest": [
-            facts.classes, facts.known.proxies, sorted(facts.known.zones), facts.known.places, facts.known.deadline_ms,
-            facts.tick_ms, facts.probe_ms, facts.probe_path,
+            facts.class_names, facts.deployment.proxies, sorted(facts.deployment.zones), facts.deployment.class_indexes,
+            facts.deployment.max_deadline_ms,
+            facts.batch_window_ms, facts.health_check_timeout_ms, facts.health_check_path,
         ],
-        "list": [first.kind, first.entries, first.addresses, first.revision, first.spoilt, first.whole],
-        "seed": configuration.seed_of(found.seed),
+        "list": [first.kind, first.entries, first.addresses, first.revision, first.rejected, first.is_complete],
+        "seed": configuration.parse_seed(found.seed),
     })  # fmt: skip
 
 
