--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -35,7 +35,8 @@
 from quillstep.routing.resources import table_number_offset
 from quillstep.routing.retry_policies import RetryPolicies, max_retry_policy
 from quillstep.routing.rollout_gate import RolloutGate
-from quillstep.routing.versions import TableVersion, VersionedTables, version_from_row
+from quillstep.routing.versioned_tables import VersionedTables
+from quillstep.routing.versions import TableVersion, version_from_row
 
 PLANNERS: dict[str, Any] = {"learnt": Planner, "even": EvenPlanner, "listed": ListedPlanner}
 ORDERS_KEPT = 4096  # whose times are remembered
@@ -66,7 +67,7 @@
             MAX_STALL_SHARE * min(row.latency_objective_ms for row in classes) if record.limits.splits_updates else 0.0
         )
         self.tables = Tables(
-            len(classes), proxies.admission, proxies.default_retry_policy, channel.lines_per_message, ways=self.ways,
+            proxies.admission, proxies.default_retry_policy, channel.lines_per_message, retry_policies=self.ways,
             max_ack_delay_ms=channel.max_ack_delay_ms, stall_ms=stall_ms,
             max_messages=channel.max_messages, message_window_ms=channel.message_window_ms,
         )  # fmt: skip
@@ -248,14 +249,15 @@
         """What the book and the gate go by."""
         rules = self.record.fleet.rules
         warm_ms = rules.warm_up_ms
-        self.tables.warming_up = {e: at for e, at in self.started.items() if at and now_ms - at < warm_ms}
+        self.tables.saturation.warming_up = {e: at for e, at in self.started.items() if at and now_ms - at < warm_ms}
         self.book.now_ms = now_ms
         self.book.endpoints.started_ms = self.started
         self.book.end_expired_recovery()
         self.book.endpoints.in_service = {endpoint for endpoint, state in self.states.items() if state == "in_service"}
         low = rules.initial_capacity
         self.book.endpoints.capacity_shares = {
-            e: low + (1.0 - low) * max(0.0, now_ms - at) / warm_ms for e, at in self.tables.warming_up.items()
+            e: low + (1.0 - low) * max(0.0, now_ms - at) / warm_ms
+            for e, at in self.tables.saturation.warming_up.items()
         }
 
     def tell_held(self, now_ms: float) -> None:
--- a/quillstep/model_checking/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -37,7 +37,7 @@
     def __init__(self, encoder: Encoder, make: Callable[..., Tables]) -> None:
         self.encoder = encoder
         self.ways = RetryPolicies([1], [CLASSES[0].deadline_ms])
-        self.tables = make(len(CLASSES), "rate", 0, 6.0, max_ack_delay_ms=600.0, ways=self.ways)
+        self.tables = make("rate", 0, 6.0, max_ack_delay_ms=600.0, retry_policies=self.ways)
         self.weights = dict.fromkeys(LINES, 10.0)
         self.out: set[int] = set()
         self.tries = 1
@@ -223,7 +223,7 @@
                     frozenset(ledger.acknowledged.items()), frozenset(ledger.pending), frozenset(ledger.nacked.items()),
                     tuple(tuple(change for change in f.changes) for f in ledger.in_flight_updates.values()),
                     tuple(tuple(part) for part in ledger.split_updates), frozenset(ledger.nack_retries_ms),
-                    frozenset((key, sent[0]) for key, sent in ledger.in_flight.items()),
+                    frozenset((key, sent.version) for key, sent in ledger.in_flight.items()),
                 ),
             ))  # fmt: skip
         held = frozenset((url, name, version) for url, row in self.held.items() for name, version in row.items())
--- a/quillstep/model_checking/mutants.py
+++ b/quillstep/model_checking/mutants.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from quillstep.routing import Change, Key, Nack, ProxyState, Tables
-from quillstep.routing.proxy_state import InFlightUpdate
+from quillstep.routing.changes import InFlightUpdate
 
 
 class HeldAtSending(Tables):
@@ -24,8 +24,8 @@
         found = super().record_ack(proxy, nonce, now_ms)
         ledger = self.proxies[proxy]
         for key, _ in found:
-            if (newest := ledger.in_flight.pop(key, None)) and newest[0]:
-                ledger.acknowledged[key] = newest[0]
+            if (newest := ledger.in_flight.pop(key, None)) and newest.version:
+                ledger.acknowledged[key] = newest.version
         return found
 
 
@@ -74,8 +74,8 @@
     def add_proxy(self, proxy: int, zone: str, held: Any) -> ProxyState:
         return super().add_proxy(proxy, zone, self.last or held)
 
-    def add_acknowledged(self, proxy: int, held: Any) -> None:
-        super().add_acknowledged(proxy, {} if self.last else held)
+    def add_reported(self, proxy: int, held: Any) -> None:
+        super().add_reported(proxy, {} if self.last else held)
 
     def remove_proxy(self, proxy: int) -> None:
         if proxy in self.proxies:
--- a/quillstep/routing/__init__.py
+++ b/quillstep/routing/__init__.py
@@ -1,7 +1,8 @@
-"""Tables and their versions, without I/O: what each proxy should hold, holds and has refused."""
+"""Desired, in-flight and acknowledged state of all proxies, and the versions of tables.  Without I/O."""
 
-from quillstep.routing.proxy_state import Change, Nack, ProxyState
+from quillstep.routing.changes import Change, Nack
+from quillstep.routing.proxy_state import ProxyState
 from quillstep.routing.resources import Key, Resource
 from quillstep.routing.tables import ProxyUpdate, Tables
 
-__all__ = ["Change", "Resource", "Key", "ProxyState", "ProxyUpdate", "Nack", "Tables"]
+__all__ = ["Change", "Key", "Nack", "ProxyState", "ProxyUpdate", "Resource", "Tables"]
--- a/quillstep/routing/ack_latency.py
+++ b/quillstep/routing/ack_latency.py
@@ -1,41 +1,51 @@
-"""How one proxy takes its orders: on their way, late, stalling it, lost.  Without I/O and clocks; times are in ms.
+"""How long one proxy takes to apply and acknowledge updates.  Without I/O and clocks; times are milliseconds.
 
-A proxy stands still while it applies what it is sent.  What a line costs it is the least that lines have cost it of
-late: queues and a busy pilot only ever add to a time, so that the minimum over a window is the proxy's own part (the
-filter that BBR uses for a path's round trip; Cardwell et al., ACM Queue 14(5), 2016).
+A proxy serves nothing while it applies an update.  The cost of a line (a changed resource) is the least that lines have
+cost it lately: queues and a busy controller only ever add to a time, so that the minimum over a window is the proxy's
+own part (the filter that BBR uses for the round trip of a path; Cardwell et al., ACM Queue 14(5), 2016).
 """
 
 from collections import deque
 from statistics import median
 from typing import NamedTuple
 
-IN_TIME, LATE, STALLED, LOST = "on its way", "late", "stalls", "lost"
-SMALL, LARGE = 2, 8  # lines: what a round trip is told by, and what a line's cost is told by
-LOOKED_BACK, ENOUGH = 64, 8  # answers of all proxies: that are looked back on, that say something
-BELIEVED = 2  # answers of many lines that tell a proxy's own cost
-KEPT = 8  # answers of each size that are looked back on
-MAX_STALL_SHARE = 0.1  # of the shortest agreed time: as long as one piece may make a proxy stand still
-FIRST_LINES = 16  # of one piece while nothing is known of anybody
-LEAST_LINES = 4  # of a piece, however long they take
-REST = 1.0  # after a piece the proxy has its time for exchanges: as long again as it stood still
+# Statuses of an update without an acknowledgement.  The values are recorded.
+IN_TIME = "on its way"
+LATE = "late"
+STALLED = "stalls"
+LOST = "lost"
+
+MAX_SMALL_UPDATE_LINES = 2  # up to this size an update tells the round trip
+MIN_LARGE_UPDATE_LINES = 8  # from this size on an update tells the cost of a line
+KEPT_SAMPLES = 8  # of updates of each size
+MIN_LARGE_SAMPLES = 2  # one alone may have met a busy controller
+KEPT_FLEET_SAMPLES = 64
+MIN_FLEET_SAMPLES = 8
+MAX_STALL_SHARE = 0.1  # of the shortest latency objective, that one update may stall a proxy for
+FIRST_UPDATE_LINES = 16  # while no cost of a line is known
+MIN_UPDATE_LINES = 4  # however much a line costs
+REST_FACTOR = 1.0  # a proxy is left alone after an update for as long as that stalled it, times this
+MIN_REST_SHARE = 0.5  # of the stall limit, below which a stall needs no rest
+LATE_FACTOR = 2.0  # times the expected latency
 
 
 class LineCostEstimate:
-    """What a line costs most proxies: the median of the last answers, whoever gave them; few slow ones don't count."""
+    """The cost of a line at most proxies: the median of the last samples, so that few slow proxies do not count."""
 
     def __init__(self) -> None:
-        self.samples_ms: deque[float] = deque(maxlen=LOOKED_BACK)
+        self.samples_ms: deque[float] = deque(maxlen=KEPT_FLEET_SAMPLES)
 
     def add(self, line_ms: float) -> None:
+        """Adds a proxy's sample."""
         self.samples_ms.append(line_ms)
 
     def line_ms(self) -> float | None:
-        """None until enough have answered."""
-        return median(self.samples_ms) if len(self.samples_ms) >= ENOUGH else None
+        """Returns the estimate; None until there are enough samples."""
+        return median(self.samples_ms) if len(self.samples_ms) >= MIN_FLEET_SAMPLES else None
 
 
 class AckDelay(NamedTuple):
-    """What is to be thought of a response that has no word yet: which, since when, after how many ms, why."""
+    """The status of an update that has no acknowledgement, how long it has waited, and what the status rests on."""
 
     nonce: str
     status: str
@@ -44,72 +54,80 @@
 
 
 class AckLatency:
-    """One proxy's pace.  `max_ack_delay_ms`: from when on an order is late; `stall_ms`: what one piece may cost;
-    `usual_line_ms`: what a line costs the others, gone by until its own cost is known."""
+    """One proxy's latency.
+
+    `max_ack_delay_ms`: from when on an update is late; 0: never.  `stall_ms`: how long one update may stall the proxy;
+    0: no limit.  `usual_line_ms`: the cost of a line at other proxies, used until its own is known.
+    """
 
     def __init__(
         self, max_ack_delay_ms: float = 0.0, stall_ms: float = 0.0, usual_line_ms: float | None = None
     ) -> None:
         self.max_ack_delay_ms, self.stall_ms, self.usual_line_ms = max_ack_delay_ms, stall_ms, usual_line_ms
-        self.small_update_ms: deque[float] = deque(maxlen=KEPT)
-        self.large_updates: deque[tuple[int, float]] = deque(maxlen=KEPT)
-        self.last_line_ms: float | None = None  # the cost of a line by the last answer that tells one
-        self.last_ack_ms = float("-inf")  # when its last word came
-        self.rest_until_ms = 0.0  # before which no further piece of ordinary changes goes
+        self.small_update_ms: deque[float] = deque(maxlen=KEPT_SAMPLES)
+        self.large_updates: deque[tuple[int, float]] = deque(maxlen=KEPT_SAMPLES)  # lines and latency
+        self.last_line_ms: float | None = None  # the sample of the last large update, until it is collected
+        self.last_ack_ms = float("-inf")
+        self.rest_until_ms = 0.0  # before it only ejections are sent
 
     def record_ack(self, lines: int, sent_ms: float, now_ms: float) -> None:
-        """Its word on a response of so many lines; what came before it in the stream was taken first."""
-        took = now_ms - max(sent_ms, self.last_ack_ms)
+        """Records the answer to an update of so many lines; earlier updates of the stream were applied before it."""
+        latency_ms = now_ms - max(sent_ms, self.last_ack_ms)
         self.last_ack_ms = now_ms
-        if lines <= SMALL:
-            self.small_update_ms.append(took)
-        elif lines >= LARGE:
-            self.large_updates.append((lines, took))
-            self.last_line_ms = max(0.0, took - self.round_trip_ms()) / lines
-        self.rest_until_ms = now_ms + REST * self.apply_ms(lines)
+        if lines <= MAX_SMALL_UPDATE_LINES:
+            self.small_update_ms.append(latency_ms)
+        elif lines >= MIN_LARGE_UPDATE_LINES:
+            self.large_updates.append((lines, latency_ms))
+            self.last_line_ms = max(0.0, latency_ms - self.round_trip_ms()) / lines
+        self.rest_until_ms = now_ms + REST_FACTOR * self.stall_of_ms(lines)
 
     def round_trip_ms(self) -> float:
-        """What an answer takes that costs nothing to apply."""
+        """Returns the latency of an update that costs nothing to apply."""
         return min(self.small_update_ms, default=0.0)
 
     def line_ms(self) -> float | None:
-        """What a line makes it stand still for; None: nothing is known.
-
-        One answer alone may have met a busy pilot; until there are more, it is taken for one of many.
-        """
-        if len(self.large_updates) < BELIEVED:
+        """Returns the cost of a line; None where nothing is known of it."""
+        if len(self.large_updates) < MIN_LARGE_SAMPLES:
             return self.usual_line_ms
-        trip = self.round_trip_ms()
-        return min(max(0.0, took - trip) / lines for lines, took in self.large_updates)
+        round_trip_ms = self.round_trip_ms()
+        return min(max(0.0, latency_ms - round_trip_ms) / lines for lines, latency_ms in self.large_updates)
 
-    def apply_ms(self, lines: int) -> float:
-        """How long so many lines make it stand still, as far as that is worth a rest."""
-        stands = lines * (self.line_ms() or 0.0)
-        return stands if stands > 0.5 * self.stall_ms else 0.0
+    def stall_of_ms(self, lines: int) -> float:
+        """Returns how long so many lines stall the proxy; 0 where that is too short to need a rest."""
+        stall_ms = lines * (self.line_ms() or 0.0)
+        return stall_ms if stall_ms > MIN_REST_SHARE * self.stall_ms else 0.0
 
     def max_lines(self) -> int | None:
-        """The lines of one piece; None: all at once."""
+        """Returns the most lines of one update; None: no limit."""
         line_ms = self.line_ms()
         if not self.stall_ms:
             return None
         if line_ms is None:
-            return FIRST_LINES
-        return max(LEAST_LINES, int(self.stall_ms / line_ms)) if line_ms else None
+            return FIRST_UPDATE_LINES
+        return max(MIN_UPDATE_LINES, int(self.stall_ms / line_ms)) if line_ms else None
 
     def late_ms(self, lines: int) -> float:
-        """From when on a response of so many lines is late: the settings' figure, or what it surely takes."""
-        return max(self.max_ack_delay_ms, 2.0 * (self.round_trip_ms() + lines * (self.line_ms() or 0.0)))
+        """Returns after how long an update of so many lines is late: the configured time, or what it surely takes."""
+        return max(self.max_ack_delay_ms, LATE_FACTOR * (self.round_trip_ms() + lines * (self.line_ms() or 0.0)))
 
     def ack_delay(self, nonce: str, lines: int, sent_ms: float, now_ms: float, heard_ms: float | None) -> AckDelay:
-        """A response without a word.  `heard_ms`: when anything at all last came from this peer, if that is known.
-
-        One that still talks and does not answer stands still over it, or will never apply it; one from which nothing
-        comes may have it under way.  Neither counts as held.  That it was lost only a later word can tell.
+        """Returns the status of the oldest update that has no acknowledgement.
+
+        A proxy that still sends other messages is stalled by the update, or will never apply it; to one that sends
+        nothing it may still be on its way.  Neither counts as acknowledged.  Only a later acknowledgement can show
+        that it was lost.
+
+        Args:
+            nonce: The update's.
+            lines: Its size.
+            sent_ms: When it was sent.
+            now_ms: The present time.
+            heard_ms: When anything at all last came from this proxy, if that is known.
         """
-        since = max(sent_ms, self.last_ack_ms)
-        waits = now_ms - since
-        if not self.max_ack_delay_ms or waits <= self.late_ms(lines):
-            return AckDelay(nonce, IN_TIME, waits, "")
-        if heard_ms is not None and heard_ms > since + self.max_ack_delay_ms:
-            return AckDelay(nonce, STALLED, waits, f"it talks and has not applied {lines} lines")
-        return AckDelay(nonce, LATE, waits, f"nothing came from it since it was sent {lines} lines")
+        since_ms = max(sent_ms, self.last_ack_ms)
+        waiting_ms = now_ms - since_ms
+        if not self.max_ack_delay_ms or waiting_ms <= self.late_ms(lines):
+            return AckDelay(nonce, IN_TIME, waiting_ms, "")
+        if heard_ms is not None and heard_ms > since_ms + self.max_ack_delay_ms:
+            return AckDelay(nonce, STALLED, waiting_ms, f"it talks and has not applied {lines} lines")
+        return AckDelay(nonce, LATE, waiting_ms, f"nothing came from it since it was sent {lines} lines")
--- a/quillstep/routing/retry_policies.py
+++ b/quillstep/routing/retry_policies.py
@@ -1,9 +1,9 @@
-"""Which ways of trying again may still be in force at which proxies.  Without I/O and clocks; times are milliseconds.
+"""Which retry policies may still be in effect at which proxies.  Without I/O and clocks; times are milliseconds.
 
-A way is 0 (never), 1 (after proof that a try never ran), 2 or 3 (after any failure, once or twice).  A looser way
-counts as in force from the moment it is sent, a tighter one only when its proxy has acknowledged it and all exchanges
-that had begun before are over: a proxy goes through with an exchange by the routes that it began with.  What a proxy
-brought from elsewhere is taken for the loosest there is until it holds routes of ours.
+A policy is 0 (never retry), 1 (only where an attempt surely was not executed), 2 or 3 (after any failure, once or
+twice).  A higher policy counts as in effect from the moment it is sent, a lower one only once its proxy has
+acknowledged it and all requests that began before are over: a proxy finishes a request with the routes that the request
+began with.  A policy that a proxy brought from elsewhere counts as the highest until the proxy holds routes of ours.
 """
 
 from collections.abc import Mapping
@@ -11,11 +11,13 @@
 from typing import NamedTuple
 
 MAX_RETRY_POLICY = 3
-ONLY_IF_NOT_EXECUTED = 1  # needs proof that nothing ran: never looser than any class allows
+IDEMPOTENT_RETRY_POLICY = 2
+ONLY_IF_NOT_EXECUTED = 1  # no class forbids it
+MAX_RETRY_POLICIES = {"safe": MAX_RETRY_POLICY, "keyed": IDEMPOTENT_RETRY_POLICY}  # by a class's semantics
 
 
 class PolicyExcess(NamedTuple):
-    """A class with a way looser than it allows: at which proxies, also those that left with it."""
+    """A class with a higher policy than it allows: the highest, and at which proxies, those that left with it too."""
 
     class_index: int
     retry_policy: int
@@ -23,7 +25,7 @@
 
 
 class PolicyExcessChange(NamedTuple):
-    """What has changed of a class: who may go by too loose a way now, who no longer can, how many may."""
+    """A change of a class's excess: the proxies that exceed now, those that no longer do, and how many exceed."""
 
     class_index: int
     retry_policy: int
@@ -32,124 +34,138 @@
     count_exceeding: int
 
 
+class ExpiringPolicy(NamedTuple):
+    """A replaced policy, and until when requests that began with it may last."""
+
+    retry_policy: int
+    until_ms: float
+
+
 @dataclass(slots=True)
 class ProxyRetryPolicies:
-    """One proxy's ways by class: held by its word, under way by nonce, and running out until a time."""
+    """One proxy's policies by class: acknowledged, in flight by nonce, and expiring."""
 
     acknowledged: dict[int, int] = field(default_factory=dict)
     in_flight: dict[str, dict[int, int]] = field(default_factory=dict)
-    expiring: dict[int, list[tuple[int, float]]] = field(default_factory=dict)  # way, until when
-    is_known: bool = True  # what it holds is ours; else it may be anything
+    expiring: dict[int, list[ExpiringPolicy]] = field(default_factory=dict)
+    is_known: bool = True  # it holds routes of ours
 
 
 class RetryPolicies:
-    """`allowed`: the loosest way that each class may be tried again by; `deadline_ms`: how long an exchange lasts."""
+    """`allowed`: the highest policy that each class allows; `deadline_ms`: how long a request of each may last."""
 
     def __init__(self, allowed: list[int], deadline_ms: list[float]) -> None:
         self.allowed, self.deadline_ms = allowed, deadline_ms
         self.proxies: dict[int, ProxyRetryPolicies] = {}
-        self.logged_excess: dict[int, set[int]] = {}  # the proxies with too loose a way that were last told, by class
-        self.has_changed = False  # something has changed since `changes` was called last
+        self.logged_excess: dict[int, set[int]] = {}  # the exceeding proxies that `changes` returned last, by class
+        self.has_changed = False  # since `changes` was called last
         self.next_expiry_ms = float("inf")  # when time alone changes something
 
-    def add_proxy(self, proxy: int, fresh: bool, base: int) -> None:
-        """`fresh`: it holds no routes, and tries again as proxies do by themselves (`base`).
+    def add_proxy(self, proxy: int, fresh: bool, default_policy: int) -> None:
+        """Adds a proxy; `fresh`: it holds no routes, and retries by the default policy.
 
-        One that breaks off and comes back goes on with exchanges that it had begun, so what is known of it stays, and
-        what it may have been told elsewhere is added.
+        One that reconnects goes on with requests that had begun, so that what is known of it stays, and what it may
+        have been sent by another controller is added.
         """
-        held = ProxyRetryPolicies() if fresh else self.proxies.get(proxy, ProxyRetryPolicies())
-        held.is_known = fresh
-        held.acknowledged = dict.fromkeys(range(len(self.allowed)), base if fresh else MAX_RETRY_POLICY)
-        self.proxies[proxy] = held
+        policies = ProxyRetryPolicies() if fresh else self.proxies.get(proxy, ProxyRetryPolicies())
+        policies.is_known = fresh
+        policy = default_policy if fresh else MAX_RETRY_POLICY
+        policies.acknowledged = dict.fromkeys(range(len(self.allowed)), policy)
+        self.proxies[proxy] = policies
         self.has_changed = True
 
     def is_unknown(self, proxy: int) -> bool:
-        """Whether it came with routes that are not known yet."""
-        held = self.proxies.get(proxy)
-        return held is not None and not held.is_known
+        """Whether a proxy came with routes that are not known yet."""
+        policies = self.proxies.get(proxy)
+        return policies is not None and not policies.is_known
 
-    def record_reported(self, proxy: int, ways: Mapping[int, int], now_ms: float) -> None:
-        """What it came with has turned out to be these."""
+    def record_reported(self, proxy: int, policies: Mapping[int, int], now_ms: float) -> None:
+        """Records that the routes that a proxy came with have turned out to have these policies."""
         if self.is_unknown(proxy):
-            held = self.proxies[proxy]
-            held.in_flight[""] = dict(ways)
+            self.proxies[proxy].in_flight[""] = dict(policies)
             self.record_ack(proxy, "", now_ms)
 
-    def record_sent(self, proxy: int, nonce: str, ways: Mapping[int, int]) -> None:
-        """Routes with these ways are on their way to it."""
+    def record_sent(self, proxy: int, nonce: str, policies: Mapping[int, int]) -> None:
+        """Records that a proxy was sent routes with these policies."""
         if proxy in self.proxies:
-            self.proxies[proxy].in_flight[nonce] = dict(ways)
+            self.proxies[proxy].in_flight[nonce] = dict(policies)
             self.has_changed = True
 
     def record_ack(self, proxy: int, nonce: str, now_ms: float) -> None:
-        """It holds them for exchanges that begin from now on; those that it is at go on as they began.
+        """Records that a proxy begins requests with these routes from now on.
 
-        Routes that were sent before these and have no word may have been held for a while.
+        Routes that were sent before these and were not acknowledged may have been in effect for a while.
         """
-        held = self.proxies.get(proxy)
-        if held is None or nonce not in held.in_flight:
+        policies = self.proxies.get(proxy)
+        if policies is None or nonce not in policies.in_flight:
             return
-        sent = list(held.in_flight)
-        overtaken = [held.in_flight.pop(each) for each in sent[: sent.index(nonce)]]
-        for place, way in held.in_flight.pop(nonce).items():
-            before = max([held.acknowledged.get(place, 0), *(ways.get(place, 0) for ways in overtaken)])
-            if before > way:
-                held.expiring.setdefault(place, []).append((before, now_ms + self.deadline_ms[place]))
-            held.acknowledged[place] = way
-        held.is_known = self.has_changed = True
+        sent = list(policies.in_flight)
+        overtaken = [policies.in_flight.pop(each) for each in sent[: sent.index(nonce)]]
+        for index, policy in policies.in_flight.pop(nonce).items():
+            before = max([policies.acknowledged.get(index, 0), *(each.get(index, 0) for each in overtaken)])
+            if before > policy:
+                expiring = ExpiringPolicy(before, now_ms + self.deadline_ms[index])
+                policies.expiring.setdefault(index, []).append(expiring)
+            policies.acknowledged[index] = policy
+        policies.is_known = self.has_changed = True
 
     def record_nack(self, proxy: int, nonce: str) -> None:
-        """It keeps what it had."""
+        """Records that a proxy rejected routes and keeps what it had."""
         if proxy in self.proxies:
             self.proxies[proxy].in_flight.pop(nonce, None)
 
-    def highest_in_effect(self, proxy: int, place: int, now_ms: float) -> int:
-        """The loosest way that an exchange of this class may go by at this proxy now."""
-        held = self.proxies[proxy]
-        ends = [end for end in held.expiring.get(place, ()) if end[1] > now_ms]
-        held.expiring[place] = ends
-        return max(
-            [
-                held.acknowledged.get(place, 0),
-                *(f.get(place, 0) for f in held.in_flight.values()),
-                *(w for w, _ in ends),
-            ]
-        )
+    def highest_in_effect(self, proxy: int, class_index: int, now_ms: float) -> int:
+        """Returns the highest policy that a request of this class may have at this proxy now."""
+        policies = self.proxies[proxy]
+        expiring = [each for each in policies.expiring.get(class_index, ()) if each.until_ms > now_ms]
+        policies.expiring[class_index] = expiring
+        in_flight = [each.get(class_index, 0) for each in policies.in_flight.values()]
+        return max([policies.acknowledged.get(class_index, 0), *in_flight, *(each.retry_policy for each in expiring)])
 
     def excesses(self, now_ms: float) -> list[PolicyExcess]:
-        """The classes that may still be tried again by a looser way than they allow."""
+        """Returns the classes that may still be retried by a higher policy than they allow."""
         found = []
-        for place, allowed in enumerate(self.allowed):
-            ways = {proxy: self.highest_in_effect(proxy, place, now_ms) for proxy in self.proxies}
-            loose = [proxy for proxy, way in ways.items() if way > allowed]
-            if loose:
-                found.append(PolicyExcess(place, max(ways[proxy] for proxy in loose), sorted(loose)))
+        for class_index, allowed in enumerate(self.allowed):
+            policies = {proxy: self.highest_in_effect(proxy, class_index, now_ms) for proxy in self.proxies}
+            exceeding = [proxy for proxy, policy in policies.items() if policy > allowed]
+            if exceeding:
+                highest = max(policies[proxy] for proxy in exceeding)
+                found.append(PolicyExcess(class_index, highest, sorted(exceeding)))
         return found
 
     def changes(self, now_ms: float) -> list[PolicyExcessChange]:
-        """What is to be told since the last time, by class."""
+        """Returns what has changed of the excesses since the last call, by class."""
         if not self.has_changed and now_ms < self.next_expiry_ms:
             return []
         self.has_changed = False
-        standing = {row.class_index: row for row in self.excesses(now_ms)}
-        ends = [end for held in self.proxies.values() for rows in held.expiring.values() for _, end in rows]
-        self.next_expiry_ms = min((end for end in ends if end > now_ms), default=float("inf"))
-        told = []
-        for place in range(len(self.allowed)):
-            row = standing.get(place)
-            now, before = set(row.proxies if row else ()), self.logged_excess.get(place, set())
+        excesses = {excess.class_index: excess for excess in self.excesses(now_ms)}
+        self.next_expiry_ms = self._first_expiry_ms(now_ms)
+        changes = []
+        for class_index in range(len(self.allowed)):
+            excess = excesses.get(class_index, PolicyExcess(class_index, 0, []))
+            now, before = set(excess.proxies), self.logged_excess.get(class_index, set())
             if now != before:
-                self.logged_excess[place] = now
-                told.append(
-                    PolicyExcessChange(
-                        place, row.retry_policy if row else 0, sorted(now - before), sorted(before - now), len(now)
-                    )
-                )
-        return told
+                self.logged_excess[class_index] = now
+                exceeding, compliant = sorted(now - before), sorted(before - now)
+                change = PolicyExcessChange(class_index, excess.retry_policy, exceeding, compliant, len(now))
+                changes.append(change)
+        return changes
+
+    def _first_expiry_ms(self, now_ms: float) -> float:
+        """Returns when the next of the expiring policies is no longer in effect."""
+        first_ms = float("inf")
+        for policies in self.proxies.values():
+            for expiring in policies.expiring.values():
+                for each in expiring:
+                    if each.until_ms > now_ms:
+                        first_ms = min(first_ms, each.until_ms)
+        return first_ms
 
 
 def max_retry_policy(semantics: str) -> int:
-    """The loosest way that a class may be tried again by, whatever the module orders: a safe one any, a keyed one once
-    within its window, all others after proof only."""
-    return {"safe": MAX_RETRY_POLICY, "keyed": 2}.get(semantics, ONLY_IF_NOT_EXECUTED)
+    """Returns the highest policy that a class of these semantics allows, whatever the planner sets.
+
+    A safe class allows any, an idempotent one a single retry within its window, all others only a retry of an attempt
+    that surely was not executed.
+    """
+    return MAX_RETRY_POLICIES.get(semantics, ONLY_IF_NOT_EXECUTED)
--- a/quillstep/xds/delta.py
+++ b/quillstep/xds/delta.py
@@ -57,7 +57,7 @@
         fresh = url not in self.subscriptions
         held = self.subscriptions.setdefault(url, Subscription())
         if fresh:
-            self.tables.add_acknowledged(self.proxy, self.held(request))
+            self.tables.add_reported(self.proxy, self.held(request))
             bare = not request.resource_names_subscribe
             if bare and url in (resources.LDS, resources.CDS):
                 held.wildcard = True
--- a/quillstep/xds/sotw.py
+++ b/quillstep/xds/sotw.py
@@ -55,7 +55,7 @@
         self.names[url] = names
         if before is None or names - before:
             keys = [key for key in self.tables.desired_keys(self.proxy) if key[0] in KINDS[url] and self.wants(key)]
-            self.tables.subscribe(self.proxy, keys, anew=True)
+            self.tables.subscribe(self.proxy, keys, resend=True)
         return acknowledged, refusal
 
     def wants(self, key: Key) -> bool:
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -140,10 +140,10 @@
 
     def left(self, name, order, now):
         rows = self.messages[name]
+        while rows and rows[0][1] <= now - 10000.0:
+            rows.popleft()
         if all(each != order for each, _ in rows):
             rows.append((order, now))
-        while rows[0][1] <= now - 10000.0:
-            rows.popleft()
         assert len(rows) <= 20, "more messages than the limit"
 
     @rule(ms=st.sampled_from([50.0, 300.0, 1500.0]))
--- a/tests/routing/test_ack_latency.py
+++ b/tests/routing/test_ack_latency.py
@@ -196,7 +196,7 @@
                 proxy.read()
     core.roster("partial", [EndpointEntry(3, "b", "in_service", 1.0, pilot.now)], {})
     core.heard(pilot.now)
-    core.tables.warming_up[3] = pilot.now
+    core.tables.saturation.warming_up[3] = pilot.now
     order(pilot, lambda tables: (tables.set_weight(0, 3, 2.0), tables.set_ejected(3, False, "")))
     for _ in range(20):
         pilot.now += 10.0
--- a/tests/routing/test_tables.py
+++ b/tests/routing/test_tables.py
@@ -327,7 +327,7 @@
 
 
 def test_versions_follow_from_the_content_alone():
-    one, two = (Tables(2, "rate", 0, 6.0) for _ in range(2))
+    one, two = (Tables("rate", 0, 6.0) for _ in range(2))
     for tables, numbers in ((one, (1, 2, 3)), (two, (3, 2, 1))):
         for number in numbers:
             tables.begin()
