--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -12,7 +12,7 @@
 
 from quillstep.bench.streams import day_of
 from quillstep.config.scenario import ScenarioSettings
-from quillstep.invariants import Evidence, judge, longest_channel
+from quillstep.invariants import Evidence, check_invariants, longest_queue
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service
 
@@ -26,9 +26,9 @@
 
 def answered(evidence: Evidence) -> dict[tuple[str, int], list[tuple[float, float]]]:
     """For each pilot's life and order: when it was ordered and when each proxy's acknowledgement came."""
-    acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.sent if row["what"] == "ack"}
+    acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.channel_rows if row["what"] == "ack"}
     found: dict[tuple[str, int], list[tuple[float, float]]] = defaultdict(list)
-    for row in evidence.sent:
+    for row in evidence.channel_rows:
         if row["what"] == "send" and (row["proxy"], row["nonce"]) in acks:
             life = row["nonce"].rpartition(".")[0]
             found[life, row["order"]].append((row["ordered"], acks[row["proxy"], row["nonce"]]))
@@ -39,7 +39,7 @@
     """Milliseconds from the roster's word of a drain to the last acknowledgement of the order that followed it."""
     orders = answered(evidence)
     found = []
-    for told in evidence.told:
+    for told in evidence.discovery_updates:
         if told["state"] != "terminating":
             continue
         after = [
@@ -66,17 +66,17 @@
     arm = play_arm(day, folder / f"{name.replace(' ', '-')}-{proxies}")
     evidence = arm.evidence()
     # Joins apart from the rest.
-    sent = [row for row in evidence.sent if row["what"] == "send" and row["at"] >= arm.begin_ms]
+    sent = [row for row in evidence.channel_rows if row["what"] == "send" and row["at"] >= arm.begin_ms]
     lines = sum(row["lines"] for row in sent)
     carried = sum(row["bytes"] for row in sent)
     drains = drain_times(evidence)
     return {
-        "arm": name, "proxies": proxies, "rules_broken": len(judge(evidence)),
-        "service": service(day.fleet, evidence.exchanges)["service"],
+        "arm": name, "proxies": proxies, "rules_broken": len(check_invariants(evidence)),
+        "service": service(day.fleet, evidence.requests)["service"],
         "writes": len(sent), "lines": lines, "bytes": carried, "bytes_a_line": round(carried / max(1, lines), 1),
         "drain_to_last_ack_ms": round(max(drains, default=0.0), 1), "turn_to_last_ack_ms": turn_ms(evidence, proxies),
         "pilot_cpu_of_a_core": round(arm.cpu_s / arm.took_s, 3), "stolen": round(arm.stolen, 3),
-        "longest_channel": round(longest_channel(evidence), 1),
+        "longest_channel": round(longest_queue(evidence), 1),
     }  # fmt: skip
 
 
--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -12,7 +12,7 @@
 
 from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, day_of
 from quillstep.config.scenario import ScenarioSettings
-from quillstep.invariants import Evidence, judge, longest_channel
+from quillstep.invariants import Evidence, check_invariants, longest_queue
 from quillstep.testbed.scenarios.runner import Arm, play_arm
 from quillstep.testbed.scenarios.service_quality import service
 
@@ -57,16 +57,16 @@
 def acknowledged(evidence: Evidence, begin_ms: float) -> tuple[list[float], list[float], list[float], list[float]]:
     """Milliseconds from the roster's word of a drain to each proxy's acknowledgement, and to the last of each drain:
     with reports, without."""
-    acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.sent if row["what"] == "ack"}
+    acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.channel_rows if row["what"] == "ack"}
     each: tuple[list[float], list[float]] = ([], [])
     last: tuple[list[float], list[float]] = ([], [])
     drains = {
         str(row["endpoint"]): row["at"]
-        for row in evidence.told
+        for row in evidence.discovery_updates
         if row["state"] == "terminating" and row["at"] >= begin_ms
     }
     times: dict[str, list[float]] = {name: [] for name in drains}
-    for row in evidence.applied:
+    for row in evidence.applied_updates:
         for name, _ in row["changed"]:
             if "/withdrawn/" in name:
                 number = name.rpartition("/")[2]
@@ -105,7 +105,7 @@
     evidence = arm.evidence()
     loud, quiet, loud_last, quiet_last = acknowledged(evidence, arm.begin_ms)
     word = last_word(arm)
-    breaks = judge(evidence)
+    breaks = check_invariants(evidence)
     seconds = SPAN_S * spans
     cpu = word.get("cpu_s", {})
     readers = {name: sum(parts.values()) for name, parts in cpu.items() if isinstance(parts, dict)}
@@ -114,8 +114,8 @@
         "proxies": proxies, "by": way, "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
         "reports_per_s": round(word.get("reports", 0) / (seconds / 2.0 + day.warm_up_s), 1),
         "groups": word.get("groups", 1), "times": word.get("times", 1),
-        "rules_broken": len(breaks), "breaks": [found._asdict() for found in breaks[:5]],
-        "service": service(day.fleet, evidence.exchanges)["service"],
+        "rules_broken": len(breaks), "breaks": [found.to_row() for found in breaks[:5]],
+        "service": service(day.fleet, evidence.requests)["service"],
         "drains": len(loud_last) + len(quiet_last),
     }  # fmt: skip
     for name, values in (("with", loud), ("without", quiet)):
@@ -124,7 +124,7 @@
         row[f"last_ack_ms_{name}"] = [part(values, 0.5), part(values, 1.0)]
     row["ratio_last_ack"] = round(part(loud_last, 0.5) / max(1.0, part(quiet_last, 0.5)), 2)
     row["ratio_p99"] = round(part(loud, 0.99) / max(1.0, part(quiet, 0.99)), 2)
-    row["channel_of_limit"] = round(longest_channel(evidence) / limit, 3)
+    row["channel_of_limit"] = round(longest_queue(evidence) / limit, 3)
     row["rounds_late_ms"] = list(word.get("rounds_late_ms", {}).values())
     row["deciding_cpu"] = round(cpu.get("deciding", 0.0) / arm.took_s, 3)
     row["pilot_cpu"] = round(cpu.get("process", 0.0) / arm.took_s, 3)
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -18,7 +18,7 @@
 from quillstep.bench.streams import day_of
 from quillstep.config.controller import StoreSettings
 from quillstep.config.scenario import ScenarioSettings
-from quillstep.invariants import judge, longest_channel, slowest_drain
+from quillstep.invariants import check_invariants, longest_drain_ms, longest_queue
 from quillstep.routing.resources import WEIGHT, make_resource
 from quillstep.store import Store
 from quillstep.store.records import OPERATOR_COMMANDS, VERSIONS, Entry, OperatorCommand, VersionRow, number_key
@@ -100,7 +100,7 @@
     finally:
         arm.stop()
     evidence = arm.evidence()
-    row.update(rules_broken=len(judge(evidence)), longest_channel=round(longest_channel(evidence), 1))
+    row.update(rules_broken=len(check_invariants(evidence)), longest_channel=round(longest_queue(evidence), 1))
     return row
 
 
@@ -113,13 +113,13 @@
     for endpoint, weight in version.weights:
         key = (WEIGHT, 0, endpoint)
         wanted[name(key)] = make_resource(key, ("127.0.0.1", arm.ports[endpoint], weight)).version
-    before = sum(row["what"] == "send" for row in arm.evidence().sent)
+    before = sum(row["what"] == "send" for row in arm.evidence().channel_rows)
     begun = now_ms()
     store.write(
         [Entry(OPERATOR_COMMANDS, number_key(time.time_ns()), OperatorCommand("rollback", [(0, kind)], "bench", 0.0))]
     )
     ended = Watched(arm).until(wanted, proxies, SETTLE_S)
-    sent = [row for row in arm.evidence().sent if row["what"] == "send"][before:]
+    sent = [row for row in arm.evidence().channel_rows if row["what"] == "send"][before:]
     return {
         f"{kind}_last_ms": None if ended is None else round(ended - begun, 1),
         f"{kind}_lines": sum(row["lines"] for row in sent), f"{kind}_bytes": sum(row["bytes"] for row in sent),
@@ -152,16 +152,17 @@
     back = killed + DOWN_S * 1000.0
     until = back + AFTER_S * 1000.0
     parts = {
-        "before": [row for row in evidence.exchanges if killed - 8000.0 <= row["at"] < killed],
-        "after": [row for row in evidence.exchanges if back <= row["at"] < until],
+        "before": [row for row in evidence.requests if killed - 8000.0 <= row["at"] < killed],
+        "after": [row for row in evidence.requests if back <= row["at"] < until],
     }
-    sent = [row for row in evidence.sent if row["what"] == "send" and back <= row["at"] < until]
+    sent = [row for row in evidence.channel_rows if row["what"] == "send" and back <= row["at"] < until]
+    violations = check_invariants(evidence)
     return {
         "what": "crash", "arm": "store" if recovery_trust_ms else "without", "seed": seed,
-        "rules_broken": len(judge(evidence)), "breaks": [found._asdict() for found in judge(evidence)[:3]],
+        "rules_broken": len(violations), "breaks": [violation.to_row() for violation in violations[:3]],
         **{f"service_{when}": service(day.fleet, rows)["service"] for when, rows in parts.items()},
         "right_again_ms": right_again(arm, killed), "lines_after": sum(row["lines"] for row in sent),
-        "slowest_drain_ms": round(slowest_drain(evidence), 1), **commits(arm),
+        "slowest_drain_ms": round(longest_drain_ms(evidence), 1), **commits(arm),
     }  # fmt: skip
 
 
@@ -203,9 +204,10 @@
         arm = play_arm(day, folder / f"cost-{kept or 'none'}")
         evidence = arm.evidence()
         rows.append({
-            "what": "cost", "arm": kept or "without", "proxies": proxies, "rules_broken": len(judge(evidence)),
+            "what": "cost", "arm": kept or "without", "proxies": proxies,
+            "rules_broken": len(check_invariants(evidence)),
             "pilot_cpu_of_a_core": round(arm.cpu_s / arm.took_s, 4),
-            "slowest_drain_ms": round(slowest_drain(evidence), 1), **(commits(arm) if kept else {}),
+            "slowest_drain_ms": round(longest_drain_ms(evidence), 1), **(commits(arm) if kept else {}),
         })  # fmt: skip
     return rows
 
--- a/quillstep/bench/streams.py
+++ b/quillstep/bench/streams.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from quillstep.config.scenario import ScenarioSettings
-from quillstep.invariants import Evidence, judge, longest_channel, slowest_drain
+from quillstep.invariants import Evidence, check_invariants, longest_drain_ms, longest_queue
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service
 
@@ -43,14 +43,14 @@
 
 def drain_times(evidence: Evidence) -> list[float]:
     """For each drain: milliseconds from the roster's word to a pilot to the last acknowledgement of its proxies."""
-    acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.sent if row["what"] == "ack"}
+    acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.channel_rows if row["what"] == "ack"}
     held: dict[str, list[tuple[str, str, float]]] = defaultdict(list)  # resource: proxy, nonce
-    for row in evidence.applied:
+    for row in evidence.applied_updates:
         for name, _ in row["changed"]:
             if "/withdrawn/" in name:
                 held[name.rpartition("/")[2]].append((row["proxy"], row["nonce"], row["at"]))
     found = []
-    for told in evidence.told:
+    for told in evidence.discovery_updates:
         if told["state"] != "terminating":
             continue
         times = [
@@ -65,7 +65,7 @@
 
 def line_costs(evidence: Evidence) -> dict[str, float]:
     """Bytes and lines of one changed slot, and of a whole table, as they went over the sockets."""
-    lines = [row for row in evidence.applied if row["type"] == "LbEndpoint"]
+    lines = [row for row in evidence.applied_updates if row["type"] == "LbEndpoint"]
     single = [row["bytes"] for row in lines if len(row["changed"]) == 1 and not row["removed"]]
     whole = [(row["bytes"], len(row["changed"])) for row in lines if len(row["changed"]) >= ENDPOINTS_A_ZONE]
     if not single or not whole:
@@ -84,18 +84,19 @@
     arm = play_arm(day, folder / f"{proxies}")
     evidence = arm.evidence()
     drains = drain_times(evidence)
-    served = service(day.fleet, evidence.exchanges)
-    sent = [row for row in evidence.sent if row["what"] == "send"]
+    violations = check_invariants(evidence)
+    served = service(day.fleet, evidence.requests)
+    sent = [row for row in evidence.channel_rows if row["what"] == "send"]
     return {
         "proxies": proxies, "pilots": pilots, "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
-        "exchanges_per_s": round(len(evidence.exchanges) / seconds, 1), "service": served["service"],
-        "rules_broken": len(judge(evidence)), "breaks": [found._asdict() for found in judge(evidence)[:5]],
+        "exchanges_per_s": round(len(evidence.requests) / seconds, 1), "service": served["service"],
+        "rules_broken": len(violations), "breaks": [violation.to_row() for violation in violations[:5]],
         "drains": len(drains), "drain_to_last_ack_ms": round(max(drains, default=0.0), 1),
-        "last_try_after_drain_ms": round(slowest_drain(evidence), 1),
+        "last_try_after_drain_ms": round(longest_drain_ms(evidence), 1),
         "pilot_cpu_ms_a_proxy_a_s": round(arm.cpu_s * 1000.0 / arm.took_s / proxies, 3),
         "pilot_cpu_of_a_core": round(arm.cpu_s / arm.took_s / pilots, 3),
         "stolen": round(arm.stolen, 3),
-        "longest_channel": round(longest_channel(evidence), 1), "responses": len(sent),
+        "longest_channel": round(longest_queue(evidence), 1), "responses": len(sent),
         **line_costs(evidence),
     }  # fmt: skip
 
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -12,7 +12,7 @@
 
 from quillstep.bench.streams import day_of
 from quillstep.config.scenario import ScenarioSettings
-from quillstep.invariants import Evidence, judge
+from quillstep.invariants import Evidence, Rule, check_invariants
 from quillstep.model_checking.runner import prove
 from quillstep.testbed.scenarios.runner import Arm, play_arm
 from quillstep.testbed.scenarios.service_quality import service
@@ -59,13 +59,17 @@
 
 def judged(evidence: Evidence) -> dict[str, Any]:
     """The verdicts against what the proxies wrote down: lost ones found, and told though not lost."""
-    lost = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.lost}
+    lost = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.lost_responses}
     ends: dict[str, list[float]] = defaultdict(list)
-    for row in evidence.streams:
+    for row in evidence.stream_changes:
         if not row["up"]:
             ends[row["proxy"]].append(row["at"])
-    told = Counter(row["kind"] for row in evidence.sent if row["what"] == "verdict")
-    named = {(r["proxy"], r["nonce"]): r["at"] for r in evidence.sent if r["what"] == "verdict" and r["kind"] == "lost"}
+    told = Counter(row["kind"] for row in evidence.channel_rows if row["what"] == "verdict")
+    named = {
+        (r["proxy"], r["nonce"]): r["at"]
+        for r in evidence.channel_rows
+        if r["what"] == "verdict" and r["kind"] == "lost"
+    }
     late = [at - lost[key] for key, at in named.items() if key in lost]
     over = 0
     for key, at in lost.items():
@@ -80,7 +84,7 @@
 
 def took(evidence: Evidence, part: float) -> float:
     """A quantile of the times of answered exchanges, milliseconds."""
-    times = sorted(row["end"] - row["at"] for row in evidence.exchanges if row["outcome"] == "ok")
+    times = sorted(row["end"] - row["at"] for row in evidence.requests if row["outcome"] == "ok")
     return round(times[min(len(times) - 1, int(part * len(times)))], 1) if times else 0.0
 
 
@@ -100,14 +104,14 @@
         "arm": name, "pilot_cpu_of_a_core": round(arm.cpu_s / arm.took_s, 4), "stolen": round(arm.stolen, 3),
     }  # fmt: skip
     evidence = arm.evidence()
-    row["exchanges_per_s"] = round(len(evidence.exchanges) / day.seconds, 1)
-    row["service"] = service(day.fleet, evidence.exchanges)["service"]
+    row["exchanges_per_s"] = round(len(evidence.requests) / day.seconds, 1)
+    row["service"] = service(day.fleet, evidence.requests)["service"]
     if record:
-        breaks = judge(evidence)
+        breaks = check_invariants(evidence)
         traced = summary(lineage_of(arm.folder))
         row.update(
-            rules_broken=len(breaks), breaks=[found._asdict() for found in breaks[:5]],
-            run_twice=sum(found.rule == "twice" for found in breaks),
+            rules_broken=len(breaks), breaks=[found.to_row() for found in breaks[:5]],
+            run_twice=sum(found.rule == Rule.DUPLICATE_EFFECT for found in breaks),
             **{name: traced[name] for name in ("answers", "untraced", "rounds", "word_lost", "standing")},
             **judged(evidence),
         )  # fmt: skip
@@ -121,13 +125,13 @@
     day = slow_day(proxies, splits_updates)
     arm = play_arm(day, folder)
     evidence = arm.evidence()
-    stood = sorted(row.get("stood", 0.0) for row in evidence.applied if row["at"] >= arm.begin_ms)
-    breaks = judge(evidence)
+    stood = sorted(row.get("stood", 0.0) for row in evidence.applied_updates if row["at"] >= arm.begin_ms)
+    breaks = check_invariants(evidence)
     return {
         "arm": "spread" if splits_updates else "all at once", "rules_broken": len(breaks),
-        "breaks": [found._asdict() for found in breaks[:5]],
+        "breaks": [found.to_row() for found in breaks[:5]],
         "stood_still_most_ms": round(stood[-1], 1), "stood_still_p99_ms": round(stood[int(0.99 * len(stood))], 1),
-        "exchange_p99_ms": took(evidence, 0.99), "service": service(day.fleet, evidence.exchanges)["service"],
+        "exchange_p99_ms": took(evidence, 0.99), "service": service(day.fleet, evidence.requests)["service"],
     }  # fmt: skip
 
 
--- a/quillstep/invariants/__init__.py
+++ b/quillstep/invariants/__init__.py
@@ -1,6 +1,17 @@
-"""The five rules, read from what passed on the sockets, apart from what any pilot believes."""
+"""Invariants of a scenario, checked from what passed on the sockets and independent of any controller's state."""
 
-from quillstep.invariants.checks import Break, judge, longest_channel, slowest_drain
+from quillstep.invariants.channel import longest_queue
+from quillstep.invariants.checks import check_invariants
+from quillstep.invariants.draining import longest_drain_ms
 from quillstep.invariants.evidence import Evidence, read_evidence
+from quillstep.invariants.violation import Rule, Violation
 
-__all__ = ["Break", "Evidence", "judge", "longest_channel", "read_evidence", "slowest_drain"]
+__all__ = [
+    "Evidence",
+    "Rule",
+    "Violation",
+    "check_invariants",
+    "longest_drain_ms",
+    "longest_queue",
+    "read_evidence",
+]
--- a/quillstep/invariants/evidence.py
+++ b/quillstep/invariants/evidence.py
@@ -1,113 +1,242 @@
-"""The record of a day as the checker reads it: JSON lines of endpoints, proxies, roster and pilots' sockets.
+"""The record of a scenario: JSON lines of endpoints, proxies, discovery and controllers' sockets.
 
-All times are milliseconds of the machine's monotonic clock, the same in all processes.
+All times are milliseconds of the machine's monotonic clock, which is the same in all processes.  Rows keep the
+names under which they were written; this module is where they get the names of the field.
 """
 
 from bisect import bisect_right
 from collections import defaultdict
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple, TypeAlias
 
 import msgspec
 
 from quillstep.config.fleet import FleetSettings
 
+Row: TypeAlias = dict[str, Any]  # one decoded line of the record
+
+IN_SERVICE = "in_service"
+HOLD_UP_COMMANDS = ("stall", "reads_nothing", "refuse")
+# Where a row goes by its `what`, whoever wrote it; requests and controllers' rows go by their writer.
+FIELD_OF_ROW = {
+    "told": "discovery_updates",
+    "stream": "stream_changes",
+    "bare": "unroutable",
+    "applied": "applied_updates",
+    "refused": "rejected_updates",
+    "lost": "lost_responses",
+    "command": "commands",
+    "start": "endpoint_starts",
+}
+
+
+class Interval(NamedTuple):
+    """A span of time."""
+
+    begin_ms: float
+    end_ms: float
+
+
+class StreamSpan(NamedTuple):
+    """A time during which a proxy's stream to a controller was open."""
+
+    begin_ms: float
+    end_ms: float
+    controller: str
+
+    def contains(self, at_ms: float) -> bool:
+        """Whether the stream was open at a time."""
+        return self.begin_ms <= at_ms < self.end_ms
+
+
+class Attempt(NamedTuple):
+    """One attempt of a proxy at an endpoint; the order of the fields is the record's."""
+
+    address: str
+    sent_ms: float
+    ended_ms: float
+    result: str
+    version: str
+
+    @classmethod
+    def all_of(cls, request: Row) -> Iterator["Attempt"]:
+        """The attempts of a request's row, in the order in which they were sent."""
+        for attempt in request["tries"]:
+            yield cls(*attempt)
+
+
+class EndpointStatus(NamedTuple):
+    """What a controller knew of an endpoint at a time."""
+
+    state: str
+    started_ms: float  # the endpoint's last start; 0: it has run since before the scenario
+    since_ms: float  # since when it has been listed in service, or not in service
+
+    @property
+    def in_service(self) -> bool:
+        """Whether the endpoint is listed for use."""
+        return self.state == IN_SERVICE
+
+
+class EndpointHistory:
+    """The states of one endpoint as one controller was notified of them."""
+
+    def __init__(self) -> None:
+        self._times_ms: list[float] = []
+        self._states: list[str] = []
+        self._starts_ms: list[float] = []
+
+    def add(self, at_ms: float, state: str, started_ms: float) -> None:
+        """Appends a notification, which is not earlier than the last one."""
+        self._times_ms.append(at_ms)
+        self._states.append(state)
+        self._starts_ms.append(started_ms)
+
+    def status_at(self, at_ms: float) -> EndpointStatus | None:
+        """What the controller knew at a time; None before the first notification."""
+        last = bisect_right(self._times_ms, at_ms) - 1
+        if last < 0:
+            return None
+        state = self._states[last]
+        first = last
+        while first and (self._states[first - 1] == IN_SERVICE) == (state == IN_SERVICE):
+            first -= 1
+        return EndpointStatus(state, self._starts_ms[last], self._times_ms[first])
+
+    def first_start_notice_ms(self, started_ms: float) -> float | None:
+        """When the controller was first notified of a start at `started_ms` or later; None if it never was."""
+        for at_ms, start_ms in zip(self._times_ms, self._starts_ms, strict=True):
+            if start_ms >= started_ms:
+                return at_ms
+        return None
+
 
 @dataclass(slots=True)
 class Evidence:
-    """Rows as they were written, by who wrote them; `pilots` names the address each pilot listened on."""
+    """The record's rows as they were written, by kind, and what is known of the fleet.
+
+    Attributes:
+        fleet: Settings of the classes, the rules and the channel.
+        endpoints_by_address: Endpoint numbers by `host:port`.
+        endpoint_zones: Zones by endpoint.
+        endpoint_capacities: Cores times speed by endpoint.
+        proxy_zones: Zones by proxy.
+        controllers: Names of controllers by the address (or folder) that proxies follow.
+        requests: Requests as proxies saw them, with their attempts.
+        served_requests: Requests as endpoints saw them.
+        endpoint_starts: Starts of endpoints.
+        discovery_updates: Endpoint states that discovery sent to controllers.
+        stream_changes: Streams of proxies that opened or ended.
+        unroutable: Proxies that had no endpoint to choose for a class, or have one again.
+        applied_updates: Updates that proxies applied.
+        rejected_updates: Updates that proxies refused.
+        lost_responses: Responses that proxies dropped unread.
+        commands: Faults as they were injected.
+        channel_rows: What controllers' sockets carried: responses, acks, nacks and streams.
+        retry_policy_changes: Proxies for which a tighter retry policy came into force, or did not.
+        end_ms: The time of the last row.
+    """
 
     fleet: FleetSettings
-    addresses: dict[str, int] = field(default_factory=dict)  # host:port to endpoint
-    zones: dict[int, str] = field(default_factory=dict)  # of endpoints
-    sizes: dict[int, float] = field(default_factory=dict)  # cores x speed of endpoints
-    homes: dict[str, str] = field(default_factory=dict)  # zones of proxies
-    pilots: dict[str, str] = field(default_factory=dict)  # address to name
-    exchanges: list[dict[str, Any]] = field(default_factory=list)  # from proxies
-    served: list[dict[str, Any]] = field(default_factory=list)  # from endpoints
-    starts: list[dict[str, Any]] = field(default_factory=list)  # from endpoints
-    told: list[dict[str, Any]] = field(default_factory=list)  # from the roster
-    streams: list[dict[str, Any]] = field(default_factory=list)  # from proxies
-    bare: list[dict[str, Any]] = field(default_factory=list)  # from proxies
-    applied: list[dict[str, Any]] = field(default_factory=list)  # from proxies
-    refused: list[dict[str, Any]] = field(default_factory=list)  # from proxies
-    lost: list[dict[str, Any]] = field(default_factory=list)  # from proxies: responses that they dropped unread
-    commands: list[dict[str, Any]] = field(default_factory=list)  # troubles as they struck
-    sent: list[dict[str, Any]] = field(default_factory=list)  # from pilots' sockets, and acks, joins
-    ways: list[dict[str, Any]] = field(default_factory=list)  # from pilots: whether a tighter way is in force
+    endpoints_by_address: dict[str, int] = field(default_factory=dict)
+    endpoint_zones: dict[int, str] = field(default_factory=dict)
+    endpoint_capacities: dict[int, float] = field(default_factory=dict)
+    proxy_zones: dict[str, str] = field(default_factory=dict)
+    controllers: dict[str, str] = field(default_factory=dict)
+    requests: list[Row] = field(default_factory=list)
+    served_requests: list[Row] = field(default_factory=list)
+    endpoint_starts: list[Row] = field(default_factory=list)
+    discovery_updates: list[Row] = field(default_factory=list)
+    stream_changes: list[Row] = field(default_factory=list)
+    unroutable: list[Row] = field(default_factory=list)
+    applied_updates: list[Row] = field(default_factory=list)
+    rejected_updates: list[Row] = field(default_factory=list)
+    lost_responses: list[Row] = field(default_factory=list)
+    commands: list[Row] = field(default_factory=list)
+    channel_rows: list[Row] = field(default_factory=list)
+    retry_policy_changes: list[Row] = field(default_factory=list)
     end_ms: float = 0.0
 
+    def add(self, writer: str, row: Row) -> None:
+        """Files a row under its kind; rows of no interest here are dropped.
+
+        Args:
+            writer: Kind of the process that wrote the row, as its file is named: pilot, endpoints, proxies or roster.
+            row: One decoded line of the record.
+        """
+        what = row["what"]
+        if writer == "pilot":
+            (self.retry_policy_changes if what == "way" else self.channel_rows).append(row)
+        elif what == "exchange":
+            (self.served_requests if writer == "endpoints" else self.requests).append(row)
+        elif what in FIELD_OF_ROW:
+            getattr(self, FIELD_OF_ROW[what]).append(row)
+
     def sort(self) -> "Evidence":
-        for rows in (self.exchanges, self.served, self.starts, self.told, self.streams, self.bare,
-                     self.applied, self.refused, self.lost, self.commands, self.sent, self.ways):  # fmt: skip
+        """Orders the rows of each kind by time, finds the record's end, and returns the evidence itself."""
+        for rows in (
+            self.requests,
+            self.served_requests,
+            self.endpoint_starts,
+            self.discovery_updates,
+            self.stream_changes,
+            self.unroutable,
+            self.applied_updates,
+            self.rejected_updates,
+            self.lost_responses,
+            self.commands,
+            self.channel_rows,
+            self.retry_policy_changes,
+        ):
             rows.sort(key=lambda row: row["at"])
             if rows:
                 self.end_ms = max(self.end_ms, rows[-1]["at"])
         return self
 
-    def joined(self) -> dict[str, list[tuple[float, float, str]]]:
-        """For each proxy when it was joined to which pilot: from, to, name."""
-        spans: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
-        up: dict[str, tuple[float, str]] = {}
-        for row in self.streams:
+    def stream_spans(self) -> dict[str, list[StreamSpan]]:
+        """When each proxy was connected to which controller; a stream that did not end includes the record's end."""
+        spans: dict[str, list[StreamSpan]] = defaultdict(list)
+        opened: dict[str, tuple[float, str]] = {}
+        for row in self.stream_changes:
+            proxy = row["proxy"]
             if row["up"]:
-                up[row["proxy"]] = (row["at"], self.pilots.get(row["pilot"], row["pilot"]))
-            elif row["proxy"] in up:
-                since, pilot = up.pop(row["proxy"])
-                spans[row["proxy"]].append((since, row["at"], pilot))
-        for proxy, (since, pilot) in up.items():
-            spans[proxy].append((since, self.end_ms + 1.0, pilot))
+                address: str = row["pilot"]
+                opened[proxy] = (row["at"], self.controllers.get(address, address))
+            elif proxy in opened:
+                begin_ms, controller = opened.pop(proxy)
+                spans[proxy].append(StreamSpan(begin_ms, row["at"], controller))
+        for proxy, (begin_ms, controller) in opened.items():
+            spans[proxy].append(StreamSpan(begin_ms, self.end_ms + 1.0, controller))
         return spans
 
-    def listed(self) -> dict[tuple[str, int], "History"]:
-        """What each pilot was told of each endpoint, and when."""
-        found: dict[tuple[str, int], History] = defaultdict(History)
-        for row in self.told:
-            found[row["pilot"], row["endpoint"]].add(row["at"], row["state"], row.get("started", 0.0))
-        return found
+    def endpoint_histories(self) -> dict[tuple[str, int], EndpointHistory]:
+        """What each controller was notified of each endpoint, by controller and endpoint."""
+        histories: dict[tuple[str, int], EndpointHistory] = defaultdict(EndpointHistory)
+        for row in self.discovery_updates:
+            histories[row["pilot"], row["endpoint"]].add(row["at"], row["state"], row.get("started", 0.0))
+        return histories
 
-    def excused(self) -> dict[str, list[tuple[float, float]]]:
-        """When the script held a proxy up itself: it can't follow an order that it was kept from reading."""
-        spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
+    def held_up_proxies(self) -> dict[str, list[Interval]]:
+        """When the scenario itself kept proxies from reading: they cannot follow an update meanwhile."""
+        intervals: dict[str, list[Interval]] = defaultdict(list)
         for row in self.commands:
-            if "proxy" in row and row["do"] in ("stall", "reads_nothing", "refuse"):
-                spans[row["proxy"]].append((row["at"], row["until"]))
-        return spans
-
-
-class History:
-    """States over time."""
-
-    def __init__(self) -> None:
-        self.times: list[float] = []
-        self.rows: list[tuple[str, float]] = []  # state, and when it last started
-
-    def add(self, at: float, state: str, started: float) -> None:
-        self.times.append(at)
-        self.rows.append((state, started))
-
-    def at(self, at: float) -> tuple[str, float, float] | None:
-        """The state then, when it last started, and since when this is said."""
-        place = bisect_right(self.times, at) - 1
-        if place < 0:
-            return None
-        state, started = self.rows[place]
-        while place and (self.rows[place - 1][0] == "in_service") == (state == "in_service"):
-            place -= 1
-        return state, started, self.times[place]
+            if "proxy" in row and row["do"] in HOLD_UP_COMMANDS:
+                intervals[row["proxy"]].append(Interval(row["at"], row["until"]))
+        return intervals
 
 
-PLACES = {
-    "change": None, "told": "told", "stream": "streams", "bare": "bare", "applied": "applied",
-    "refused": "refused", "lost": "lost", "command": "commands", "start": "starts",
-}  # fmt: skip
+def read_evidence(folder: Path, evidence: Evidence) -> Evidence:
+    """Adds all rows of a folder's JSON lines to the evidence and sorts it.
 
+    A process that is killed may leave its last line torn; such a line is left out.
 
-def read_evidence(folder: Path, evidence: Evidence) -> Evidence:
-    """All JSON lines of a folder; the last line of a process that was killed may be torn and is left out."""
+    Raises:
+        msgspec.DecodeError: A whole line is not JSON.
+    """
     for path in sorted(folder.glob("*.jsonl")):
-        side = path.name.partition("-")[0]
+        writer = path.name.partition("-")[0]
         with path.open("rb") as lines:
             for line in lines:
                 try:
@@ -116,14 +245,5 @@
                     if line.endswith(b"\n"):
                         raise
                     continue
-                put(evidence, side, row)
+                evidence.add(writer, row)
     return evidence.sort()
-
-
-def put(evidence: Evidence, side: str, row: dict[str, Any]) -> None:
-    if side == "pilot":
-        (evidence.ways if row["what"] == "way" else evidence.sent).append(row)
-    elif row["what"] == "exchange":
-        (evidence.served if side == "endpoints" else evidence.exchanges).append(row)
-    elif place := PLACES.get(row["what"]):
-        getattr(evidence, place).append(row)
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -16,7 +16,7 @@
 from quillstep.config.loading import changed
 from quillstep.controller.core import ControllerCore
 from quillstep.controller.decision_loop import DecisionLoop
-from quillstep.invariants import Evidence, judge
+from quillstep.invariants import Evidence, check_invariants
 from quillstep.load_reports.validation import LoadReport
 from quillstep.planner.messages import EndpointEntry
 from quillstep.replay.inference import Inferred, held_out_error, infer, tries_of
@@ -206,7 +206,7 @@
     evidence = evidence_of(book, day, pilots)
     return {
         "service": service(day.fleet, day.exchanges),
-        "breaks": judge(evidence),
+        "breaks": check_invariants(evidence),
         "exchanges": day.exchanges,
         "digest": xxhash.xxh3_128_hexdigest(msgspec.msgpack.encode(day.exchanges)),
         "rounds": sum(pilot.core.rounds for pilot in pilots),
@@ -217,32 +217,35 @@
     """What the rule checker reads, from the modelled day."""
     made = Evidence(
         day.fleet,
-        addresses={address: endpoint.number for address, endpoint in day.by_address.items()},
-        zones={number: row["zone"] for number, row in book.endpoints.items()},
-        sizes={n: e.speed * len(e.free) for n, e in day.endpoints.items()},
-        homes={name: proxy.zone for name, proxy in day.proxies.items()},
+        endpoints_by_address={address: endpoint.number for address, endpoint in day.by_address.items()},
+        endpoint_zones={number: row["zone"] for number, row in book.endpoints.items()},
+        endpoint_capacities={n: e.speed * len(e.free) for n, e in day.endpoints.items()},
+        proxy_zones={name: proxy.zone for name, proxy in day.proxies.items()},
     )
-    made.exchanges = day.exchanges
+    made.requests = day.exchanges
     for number, at, kind, proxy, exchange in day.served:
-        made.served.append({"what": "exchange", "at": at, "endpoint": number, "exchange": exchange, "class": kind.name,
-                            "proxy": proxy, "work": kind.work_ms, "effect": kind.semantics == "unsafe",
-                            "outcome": "run"})  # fmt: skip
+        made.served_requests.append({
+            "what": "exchange", "at": at, "endpoint": number, "exchange": exchange, "class": kind.name, "proxy": proxy,
+            "work": kind.work_ms, "effect": kind.semantics == "unsafe", "outcome": "run",
+        })  # fmt: skip
     starts: dict[tuple[int, float], None] = {}
     for pilot in pilots:
         life = pilot.life
         name = life.record.name
-        made.sent += pilot.taps
+        made.channel_rows += pilot.taps
         for at, _, entries, _ in life.roster:
             for endpoint, zone, state, _, started in entries:
-                made.told.append({"at": at, "pilot": name, "endpoint": endpoint, "state": state, "started": started})
+                made.discovery_updates.append(
+                    {"at": at, "pilot": name, "endpoint": endpoint, "state": state, "started": started}
+                )
                 if started:
                     starts[endpoint, started] = None
-                made.zones.setdefault(endpoint, zone)
+                made.endpoint_zones.setdefault(endpoint, zone)
         for at, what, proxy, _ in life.streams:
-            made.streams.append({"at": at, "proxy": proxy, "up": what == "join", "pilot": name})
+            made.stream_changes.append({"at": at, "proxy": proxy, "up": what == "join", "pilot": name})
         for proxy in {row[2] for row in life.streams}:
-            made.streams.append({"at": life.last_ms, "proxy": proxy, "up": False, "pilot": name})
-    made.starts = [{"at": at, "endpoint": endpoint, "cold": True} for endpoint, at in starts]
+            made.stream_changes.append({"at": life.last_ms, "proxy": proxy, "up": False, "pilot": name})
+    made.endpoint_starts = [{"at": at, "endpoint": endpoint, "cold": True} for endpoint, at in starts]
     return made.sort()
 
 
@@ -285,7 +288,7 @@
                           **{run: causes(fleet, rows[0]["exchanges"]) for run, rows in runs.items()}},
         "changed_fate": fates(fleet, base[0]["exchanges"], other[0]["exchanges"]),
         "rules_broken": {run: max(len(row["breaks"]) for row in rows) for run, rows in runs.items()},
-        "breaks": [found._asdict() for found in other[0]["breaks"][:5]],
+        "breaks": [found.to_row() for found in other[0]["breaks"][:5]],
         "digests": {run: [row["digest"] for row in rows] for run, rows in runs.items()},
     }  # fmt: skip
 
--- a/quillstep/testbed/scenarios/runner.py
+++ b/quillstep/testbed/scenarios/runner.py
@@ -15,7 +15,7 @@
 from quillstep.config.controller import ControllerSettings, StoreSettings
 from quillstep.config.fleet import FleetSettings
 from quillstep.config.scenario import ScenarioSettings
-from quillstep.invariants import Evidence, judge, longest_channel, read_evidence, slowest_drain
+from quillstep.invariants import Evidence, check_invariants, longest_drain_ms, longest_queue, read_evidence
 from quillstep.testbed.scenarios.child_processes import Child
 from quillstep.testbed.scenarios.plan import Plan, plan
 from quillstep.testbed.scenarios.service_quality import service
@@ -272,11 +272,11 @@
         rows = self.made.endpoints
         found = Evidence(
             self.day.fleet,
-            addresses={f"127.0.0.1:{self.ports[row['id']]}": row["id"] for row in rows},
-            zones={row["id"]: row["zone"] for row in rows},
-            sizes={row["id"]: row["cores"] * row["speed"] for row in rows},
-            homes={row["name"]: row["zone"] for row in self.made.proxies},
-            pilots={
+            endpoints_by_address={f"127.0.0.1:{self.ports[row['id']]}": row["id"] for row in rows},
+            endpoint_zones={row["id"]: row["zone"] for row in rows},
+            endpoint_capacities={row["id"]: row["cores"] * row["speed"] for row in rows},
+            proxy_zones={row["name"]: row["zone"] for row in self.made.proxies},
+            controllers={
                 where: f"pilot-{at}" for at, address in enumerate(self.addresses) for where in (address, self.root(at))
             },
         )
@@ -330,21 +330,21 @@
 def result(day: ScenarioSettings, found: dict[str, Evidence]) -> dict[str, Any]:
     """Rules and service of the pilots under test, service of the baselines."""
     main = found["learnt"] if "learnt" in found else next(iter(found.values()))
-    breaks = judge(main)
-    kinds = [row["what"] for row in main.sent]
-    served = service(day.fleet, main.exchanges)
-    baselines = {name: service(day.fleet, e.exchanges)["service"] for name, e in found.items() if e is not main}
+    breaks = check_invariants(main)
+    kinds = [row["what"] for row in main.channel_rows]
+    served = service(day.fleet, main.requests)
+    baselines = {name: service(day.fleet, e.requests)["service"] for name, e in found.items() if e is not main}
     return {
         "day": day.name,
         "rules_broken": len(breaks),
-        "breaks": [found._asdict() for found in breaks[:20]],
+        "breaks": [found.to_row() for found in breaks[:20]],
         **served,
         "baselines": baselines,
         "versions": {
             "sent": kinds.count("send"), "acknowledged": kinds.count("ack"), "refused": kinds.count("nack"),
-            "lines": sum(row["lines"] for row in main.sent if row["what"] == "send"),
-            "bytes": sum(row["bytes"] for row in main.sent if row["what"] == "send"),
+            "lines": sum(row["lines"] for row in main.channel_rows if row["what"] == "send"),
+            "bytes": sum(row["bytes"] for row in main.channel_rows if row["what"] == "send"),
         },
-        "longest_channel": round(longest_channel(main), 1),
-        "slowest_drain_ms": round(slowest_drain(main), 1),
+        "longest_channel": round(longest_queue(main), 1),
+        "slowest_drain_ms": round(longest_drain_ms(main), 1),
     }  # fmt: skip
--- a/quillstep/tracing/chain.py
+++ b/quillstep/tracing/chain.py
@@ -55,15 +55,15 @@
 
     def __init__(self, evidence: Evidence) -> None:
         self.evidence = evidence
-        self.exchanges = {row["exchange"]: row for row in evidence.exchanges}
+        self.exchanges = {row["exchange"]: row for row in evidence.requests}
         self.applied: dict[tuple[str, str], list[tuple[float, str, dict[str, Any]]]] = defaultdict(list)
-        for row in evidence.applied:
+        for row in evidence.applied_updates:
             for name, version in row["changed"]:
                 self.applied[row["proxy"], version].append((row["at"], name, row))
         self.sent: dict[tuple[str, str], dict[str, Any]] = {}
         self.acks: dict[tuple[str, str], float] = {}
         self.ends: dict[str, float] = {}  # when each life of a pilot was last heard of
-        for row in evidence.sent:
+        for row in evidence.channel_rows:
             key = (row["proxy"], row.get("nonce", ""))
             if row["what"] == "send":
                 self.sent.setdefault(key, row)
@@ -72,7 +72,7 @@
             if nonce := row.get("nonce", ""):
                 self.ends[nonce.rpartition(".")[0]] = row["at"]
         self.left: dict[str, list[float]] = defaultdict(list)  # when streams of a proxy ended
-        for row in evidence.streams:
+        for row in evidence.stream_changes:
             if not row["up"]:
                 self.left[row["proxy"]].append(row["at"])
 
--- a/tests/routing/test_ack_latency.py
+++ b/tests/routing/test_ack_latency.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from memory_fleet import MemoryPilot, order, small_day
 
-from quillstep.invariants import judge
+from quillstep.invariants import Rule, check_invariants
 from quillstep.planner.messages import EndpointEntry
 from quillstep.routing.ack_latency import IN_TIME, LATE, LOST, STALLED, AckLatency, LineCostEstimate
 from quillstep.routing.resources import EJECTED, WEIGHT, table_number_offset
@@ -331,15 +331,15 @@
 
 def test_no_repeat_runs_where_endpoints_forget_only_once_the_tighter_way_is_in_force(tmp_path):
     evidence = play_arm(tight_day(), tmp_path / "learnt").evidence()
-    assert judge(evidence) == []
+    assert check_invariants(evidence) == []
     forgot = [row for row in evidence.commands if row["do"] == "tighten"]
     assert forgot, "the pilots said so in time"
-    assert {row["kind"] for row in evidence.ways} >= {"save", "issue"}
+    assert {row["kind"] for row in evidence.retry_policy_changes} >= {"save", "issue"}
     repeated = [
-        row["tries"] for row in evidence.exchanges
+        row["tries"] for row in evidence.requests
         if row["class"] == "save" and len(row["tries"]) > 1 and row["tries"][0][3] != "no connection"
     ]  # fmt: skip
     assert repeated, "the older way was gone by"
     for row in forgot:  # the broken twin: endpoints that forget before they are told
         row["at"] = repeated[-1][1][1] - 1.0
-    assert {found.rule for found in judge(evidence)} == {"twice"}
+    assert {found.rule for found in check_invariants(evidence)} == {Rule.DUPLICATE_EFFECT}
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -15,7 +15,7 @@
 from quillstep.bench import crash
 from quillstep.cli.main import cli
 from quillstep.config.controller import RolloutGateSettings, StoreSettings
-from quillstep.invariants import judge
+from quillstep.invariants import check_invariants
 from quillstep.routing.recovery import RecoveredTable, recovery_trust_ms
 from quillstep.routing.resources import EJECTED, WEIGHT, make_resource
 from quillstep.routing.rollout_gate import (
@@ -650,7 +650,7 @@
 def lines_held(arm):
     """Each delta proxy's lines of table 0, by what it wrote down."""
     found = {}
-    for each in arm.evidence().applied:
+    for each in arm.evidence().applied_updates:
         if each["type"] == "LbEndpoint":
             held = found.setdefault(each["proxy"], {})
             held.update({n: v for n, v in each["changed"] if "/table-0/" in n})
@@ -687,12 +687,12 @@
     assert len(held) == 6 and {row["life"] for row in held} == {held[0]["life"]} and min(r["order"] for r in held) > 0
     played.pilots[0].kill()
     played.start_pilot(0)
-    mark = len(played.evidence().applied)
-    until(lambda: sum(r["what"] == "join" for r in played.evidence().sent) >= 10)
+    mark = len(played.evidence().applied_updates)
+    until(lambda: sum(r["what"] == "join" for r in played.evidence().channel_rows) >= 10)
     assert [str(each) for each in said(played, "log")["pins"][0]] == ["0", "feed0001"]
     assert said(played, "release", "--all")["taken"]
     until(lambda: any(held != wanted for held in lines_held(played).values()))
-    assert len(played.evidence().applied) > mark and judge(played.evidence()) == []
+    assert len(played.evidence().applied_updates) > mark and check_invariants(played.evidence()) == []
     assert said(played, "diff", "0", "feed0001", "~0")["from"] == "feed0001"
 
 
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -11,7 +11,7 @@
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
 from quillstep.controller.health_checker import parse_load_report
-from quillstep.invariants import judge
+from quillstep.invariants import check_invariants
 from quillstep.testbed.scenarios.child_processes import Child
 from quillstep.testbed.scenarios.plan import plan
 from quillstep.testbed.scenarios.runner import play_arm
@@ -52,51 +52,53 @@
 
 def test_a_rough_day_keeps_the_rules(rough):
     _, evidence = rough
-    assert judge(evidence) == []
-    assert len(evidence.exchanges) > 300
+    assert check_invariants(evidence) == []
+    assert len(evidence.requests) > 300
 
 
 def test_what_may_have_run_is_never_sent_again_unless_its_class_allows_it(rough):
     _, evidence = rough
-    lost = [row for row in evidence.exchanges if any(try_[3] in ("reset", "time-out") for try_ in row["tries"])]
+    lost = [row for row in evidence.requests if any(try_[3] in ("reset", "time-out") for try_ in row["tries"])]
     assert {row["class"] for row in lost} >= {"lookup", "issue"}  # the script did lose answers of both
     for row in lost:
         if row["class"] == "issue":
             assert row["tries"][-1][3] in ("reset", "time-out") or all(
                 try_[3] == "no connection" for try_ in row["tries"][:-1]
             )
-    effects = [row["exchange"] for row in evidence.served if row["effect"] and row["class"] in ("issue", "save")]
+    effects = [
+        row["exchange"] for row in evidence.served_requests if row["effect"] and row["class"] in ("issue", "save")
+    ]
     assert len(effects) == len(set(effects))
 
 
 def test_a_killed_pilots_proxies_keep_what_they_hold_and_dial_the_other(rough):
     arm, evidence = rough
     killed = next(step[2]["pilot"] for step in arm.made.steps if step[2].get("do") == "pilot_kill")
-    spans = evidence.joined()
+    spans = evidence.stream_spans()
     moved = [name for name, rows in spans.items() if {row[2] for row in rows} == {"pilot-0", "pilot-1"}]
     assert moved
     down = {name: [b[0] - a[1] for a, b in zip(spans[name], spans[name][1:], strict=False)] for name in moved}
     for name in moved:
-        assert down[name] and not any(row["proxy"] == name for row in evidence.bare)
-    epochs = {row["nonce"].rpartition(".")[0] for row in evidence.sent if row["what"] == "send"}
+        assert down[name] and not any(row["proxy"] == name for row in evidence.unroutable)
+    epochs = {row["nonce"].rpartition(".")[0] for row in evidence.channel_rows if row["what"] == "send"}
     assert sum(epoch.startswith(f"pilot-{killed}-") for epoch in epochs) <= 2 and len(epochs) >= 2
 
 
 def test_a_zone_that_came_back_cold_is_used_again_without_a_fall(rough):
     _, evidence = rough
-    cold = {row["endpoint"] for row in evidence.starts if row["cold"]}
-    assert len(cold) == 3 and not any(row["outcome"] == "fell" for row in evidence.served)
+    cold = {row["endpoint"] for row in evidence.endpoint_starts if row["cold"]}
+    assert len(cold) == 3 and not any(row["outcome"] == "fell" for row in evidence.served_requests)
 
 
 def test_every_answer_went_by_a_line_that_its_proxy_had_acknowledged(rough):
     _, evidence = rough
-    acknowledged = {(row["proxy"], row["nonce"]) for row in evidence.sent if row["what"] == "ack"}
+    acknowledged = {(row["proxy"], row["nonce"]) for row in evidence.channel_rows if row["what"] == "ack"}
     applied = {}
-    for row in evidence.applied:
+    for row in evidence.applied_updates:
         for _, version in row["changed"]:
             applied.setdefault((row["proxy"], version), []).append(row["nonce"])
     traced = 0
-    for row in evidence.exchanges:
+    for row in evidence.requests:
         for _, sent, _, result, version in row["tries"]:
             if result == "ok" and version != "standing":
                 nonces = applied[row["proxy"], version]
@@ -116,12 +118,12 @@
     ]
     rows = {"endpoints": [{"each_zone": 3}], "proxies": 6, "pilots": 2, "file_proxies": 0.5}
     arm, evidence = played(small_day(seconds=6.0, troubles=troubles, **rows), tmp_path)
-    assert judge(evidence) == []
-    by_files = {row["proxy"] for row in evidence.applied if row["type"] == "files"}
-    by_streams = {row["proxy"] for row in evidence.applied if row["type"] != "files"}
+    assert check_invariants(evidence) == []
+    by_files = {row["proxy"] for row in evidence.applied_updates if row["type"] == "files"}
+    by_streams = {row["proxy"] for row in evidence.applied_updates if row["type"] != "files"}
     moved = {step[2]["proxy"] for step in arm.made.steps if step[2].get("do") == "moves"}
     assert moved <= by_files & by_streams and by_files - moved and by_streams - moved
-    assert not evidence.bare and all(row["outcome"] != "bare" for row in evidence.exchanges)
+    assert not evidence.unroutable and all(row["outcome"] != "bare" for row in evidence.requests)
 
 
 def test_endpoints_drop_keyed_repeats_within_the_window_and_not_after(tmp_path):
--- a/tests/tracing/test_tracing.py
+++ b/tests/tracing/test_tracing.py
@@ -6,7 +6,7 @@
 from memory_fleet import fleet, small_day
 
 from quillstep.cli.main import cli
-from quillstep.invariants import Evidence, judge
+from quillstep.invariants import Evidence, check_invariants
 from quillstep.testbed.scenarios.plan import plan
 from quillstep.testbed.scenarios.runner import Arm
 from quillstep.tracing.causes import concerns, why
@@ -33,7 +33,9 @@
 def made(rows, words, version="v1", streams=()):
     exchange = {"exchange": "x", "proxy": "p", "class": "lookup", "at": 2000.0, "end": 2050.0, "outcome": "ok",
                 "tries": [["127.0.0.1:9", 2001.0, 2050.0, "ok", version]], "routes": ""}  # fmt: skip
-    evidence = Evidence(fleet(), exchanges=[exchange], applied=rows, sent=words, streams=list(streams))
+    evidence = Evidence(
+        fleet(), requests=[exchange], applied_updates=rows, channel_rows=words, stream_changes=list(streams)
+    )
     return Lineage(evidence.sort())
 
 
@@ -152,7 +154,7 @@
 
 
 def test_every_answer_of_a_rough_day_traces(rough):
-    assert judge(rough.evidence()) == []
+    assert check_invariants(rough.evidence()) == []
     found = summary(lineage_of(rough.folder))
     assert found["untraced"] == 0, found["gaps"]
     assert found["answers"] > 600 and found["rounds"] > 3
@@ -161,7 +163,7 @@
 def test_the_command_tells_of_one_and_of_all_and_of_none(rough):
     run = CliRunner().invoke
     lineage = lineage_of(rough.folder)
-    answered = [row["exchange"] for row in rough.evidence().exchanges if row["outcome"] == "ok"]
+    answered = [row["exchange"] for row in rough.evidence().requests if row["outcome"] == "ok"]
     named = next(e for e in answered if all(link.round for link in lineage.trace(e).links))
     one = run(cli, ["--log-level", "error", "trace", str(rough.folder), named])
     told = msgspec.json.decode(one.stdout.splitlines()[-1])
