--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -17,8 +17,8 @@
 from quillstep.controller.update_channel import UpdateChannel
 from quillstep.load_reports.aggregator import ReportAggregator
 from quillstep.load_reports.collector import DRAIN_INTERVAL_PERIODS, ReportCollector
-from quillstep.load_reports.connections import log_warnings
 from quillstep.load_reports.messages import AddEndpoints, MembershipChange, ProxyJoined, ProxyLeft, ReportRequest
+from quillstep.load_reports.readers.connections import log_warnings
 from quillstep.load_reports.summary import ReportSummary
 from quillstep.load_reports.validation import LoadReport, ReportAccount
 from quillstep.planner.messages import (
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -16,8 +16,8 @@
 from quillstep.controller.event_codec import EventCodec
 from quillstep.controller.event_queue import EventQueue
 from quillstep.controller.health_checker import HealthChecker
-from quillstep.load_reports.reader_pool import ReaderPool
-from quillstep.load_reports.reader_thread import ReaderThread
+from quillstep.load_reports.readers.pool import ReaderPool
+from quillstep.load_reports.readers.thread import ReaderThread
 from quillstep.planner.messages import HealthCheckResult
 from quillstep.recording.writer import RecordingWriter
 from quillstep.store import Store
--- a/quillstep/load_reports/connections.py
+++ b/quillstep/load_reports/readers/connections.py
@@ -5,7 +5,7 @@
 import structlog
 
 from quillstep.load_reports.aggregator import ReportWarning
-from quillstep.load_reports.reader_session import MessageToSend, StreamToEnd
+from quillstep.load_reports.readers.session import MessageToSend, StreamToEnd
 from quillstep.xds.http2 import GrpcPeer
 
 
--- a/quillstep/load_reports/reader_pool.py
+++ b/quillstep/load_reports/readers/pool.py
@@ -16,7 +16,6 @@
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.errors import QuillstepError
-from quillstep.load_reports.framing import FrameBuffer, decode_from_reader, encode_frame
 from quillstep.load_reports.messages import (
     AddEndpoints,
     Configuration,
@@ -30,7 +29,8 @@
     StreamOpened,
     WindowDrained,
 )
-from quillstep.load_reports.ownership import ReaderCommand, ReportOwnership
+from quillstep.load_reports.readers.framing import FrameBuffer, decode_from_reader, encode_frame
+from quillstep.load_reports.readers.ownership import ReaderCommand, ReportOwnership
 
 READ_BYTES = 256 * 1024  # of one read
 START_TIMEOUT_S = 30.0
@@ -111,7 +111,7 @@
     def _run_process(self, reader: int, ready: threading.Event) -> None:
         """Starts a process and reads its output until it ends."""
         child = subprocess.Popen(
-            [sys.executable, "-m", "quillstep.load_reports.reader_process"],
+            [sys.executable, "-m", "quillstep.load_reports.readers.process"],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
--- a/quillstep/load_reports/reader_process.py
+++ b/quillstep/load_reports/readers/process.py
@@ -1,4 +1,4 @@
-"""A process that only reads load reports: `python -m quillstep.load_reports.reader_process`.
+"""A process that only reads load reports: `python -m quillstep.load_reports.readers.process`.
 
 One thread polls all its streams, and none is read while its earlier messages wait: that is how back-pressure reaches a
 proxy.  The controller's messages come on standard input, summaries of windows leave on standard output; the process
@@ -15,8 +15,6 @@
 from quillstep.config.controller import LimitSettings, LoadReportSettings
 from quillstep.config.fleet import FleetSettings
 from quillstep.load_reports.aggregator import ReportAggregator
-from quillstep.load_reports.connections import StreamKey, finish_stream, log_warnings, send_messages
-from quillstep.load_reports.framing import FrameBuffer, decode_configuration, decode_to_reader, encode_frame
 from quillstep.load_reports.messages import (
     AddEndpoints,
     AddProxy,
@@ -30,7 +28,9 @@
     StreamOpened,
     WindowDrained,
 )
-from quillstep.load_reports.reader_session import PendingActions, ReaderSession
+from quillstep.load_reports.readers.connections import StreamKey, finish_stream, log_warnings, send_messages
+from quillstep.load_reports.readers.framing import FrameBuffer, decode_configuration, decode_to_reader, encode_frame
+from quillstep.load_reports.readers.session import PendingActions, ReaderSession
 from quillstep.load_reports.validation import ReportAccount
 from quillstep.logging import configure_logging
 from quillstep.net.clock import now_ms
--- a/quillstep/load_reports/reader_thread.py
+++ b/quillstep/load_reports/readers/thread.py
@@ -11,9 +11,9 @@
 from quillstep.config.controller import LoadReportSettings
 from quillstep.config.fleet import FleetSettings
 from quillstep.load_reports.aggregator import ReportAggregator
-from quillstep.load_reports.connections import StreamKey, finish_stream, log_warnings, send_messages
 from quillstep.load_reports.messages import AddEndpoints, MembershipChange, ProxyJoined, ProxyLeft, ReportRequest
-from quillstep.load_reports.reader_session import ReaderSession
+from quillstep.load_reports.readers.connections import StreamKey, finish_stream, log_warnings, send_messages
+from quillstep.load_reports.readers.session import ReaderSession
 from quillstep.load_reports.validation import ReportAccount
 from quillstep.net.clock import now_ms
 from quillstep.xds.http2 import GrpcPeer
--- a/quillstep/net/connection.py
+++ b/quillstep/net/connection.py
@@ -4,14 +4,11 @@
 import socket
 import threading
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, Generic, Protocol, TypeVar
+from typing import Any, Generic, Protocol, TypeVar
 
 from quillstep.net.clock import now_ms
 from quillstep.net.codec import Codec
 
-if TYPE_CHECKING:
-    from quillstep.net.poller import Poller
-
 CodecT = TypeVar("CodecT", bound=Codec[Any])
 
 
@@ -51,6 +48,15 @@
         """How long a registered peer may be silent before it is pinged."""
 
 
+class Scheduler(Protocol):
+    """The poller, as its connections see it."""
+
+    limits: Limits
+
+    def schedule(self, connection: Any, /) -> None:
+        """Have the poller's thread write, pause or close this connection as it now stands."""
+
+
 class Connection(Generic[CodecT]):
     """One accepted connection.
 
@@ -58,7 +64,7 @@
     rest belongs to the poller's thread.  `lock` guards the codec and `is_closed`.
     """
 
-    def __init__(self, poller: "Poller[CodecT, Any]", sock: socket.socket, codec: CodecT, accept_number: int) -> None:
+    def __init__(self, poller: Scheduler, sock: socket.socket, codec: CodecT, accept_number: int) -> None:
         self.poller, self.sock, self.codec = poller, sock, codec
         self.accept_number = accept_number  # of two connections, the higher one was accepted later
         self.lock = threading.Lock()
--- a/tests/load_reports/test_framing.py
+++ b/tests/load_reports/readers/test_framing.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quillstep.load_reports.framing import FrameBuffer, encode_frame
+from quillstep.load_reports.readers.framing import FrameBuffer, encode_frame
 
 
 @given(st.lists(st.lists(st.integers(), max_size=4), max_size=6), st.integers(1, 7))
--- a/tests/load_reports/test_ownership.py
+++ b/tests/load_reports/readers/test_ownership.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from quillstep.load_reports.messages import AddProxy, ProxyJoined, ReleaseProxy
-from quillstep.load_reports.ownership import ReportOwnership
+from quillstep.load_reports.readers.ownership import ReportOwnership
 
 JOINED = ProxyJoined("p", 3, "a", "x")
 
--- a/tests/load_reports/test_reader_session.py
+++ b/tests/load_reports/readers/test_session.py
@@ -7,7 +7,7 @@
 
 from quillstep.load_reports.collector import ReportCollector
 from quillstep.load_reports.messages import ReportRequest
-from quillstep.load_reports.reader_session import ReaderSession
+from quillstep.load_reports.readers.session import ReaderSession
 from quillstep.load_reports.summary import LatencyRow, ReportSummary
 from quillstep.load_reports.upstream_stats import ClassArrivals, ClassLatency
 from quillstep.load_reports.validation import ReportAccount
