--- a/quillstep/platform/configuration.py
+++ b/quillstep/platform/configuration.py
@@ -47,8 +47,11 @@
     sockets: Annotated[int, msgspec.Meta(ge=64)] = 1024
 
 
-class KnownEndpoints(msgspec.Struct, frozen=True):
-    """An endpoint list as discovery sends it; its entries are checked one by one (`endpoint_list.py`)."""
+class InitialEndpointList(msgspec.Struct, frozen=True):
+    """What was known of the endpoints when the file was written, as discovery sends it.
+
+    Its entries are checked one by one, in `endpoint_list.py`.
+    """
 
     members: list[Any]
     revision: Count
@@ -64,7 +67,7 @@
     settings: dict[str, Any]
     seed: NonEmptyText
     limits: MachineLimits = MachineLimits()
-    known: KnownEndpoints = KnownEndpoints([], 0)
+    initial_list: InitialEndpointList = msgspec.field(name="known", default=InitialEndpointList([], 0))
 
 
 class ControllerConfig(msgspec.Struct, frozen=True):
--- a/quillstep/platform/endpoint_registry.py
+++ b/quillstep/platform/endpoint_registry.py
@@ -21,16 +21,16 @@
 
     def apply(self, update: DiscoveryUpdate, now_ms: float) -> None:
         """Take a list, or changes of it."""
-        listed = {entry.endpoint for entry in update.entries if entry.state != "terminated"}
-        removed = {entry.endpoint for entry in update.entries} - listed
+        current = {entry.endpoint for entry in update.entries if entry.state != "terminated"}
+        removed = {entry.endpoint for entry in update.entries} - current
         if update.kind == "complete":
-            removed |= self.addresses.keys() - listed
+            removed |= self.addresses.keys() - current
         for endpoint in removed:
             if self.addresses.pop(endpoint, None):
                 self.removed_ms[endpoint] = now_ms
-        self.addresses.update({endpoint: update.addresses[endpoint] for endpoint in listed})
+        self.addresses.update({endpoint: update.addresses[endpoint] for endpoint in current})
         self.removed_ms = {
             endpoint: removed_ms
             for endpoint, removed_ms in self.removed_ms.items()
-            if now_ms - removed_ms < self.retention_ms and endpoint not in listed
+            if now_ms - removed_ms < self.retention_ms and endpoint not in current
         }
--- a/quillstep/platform/protocol/validation.py
+++ b/quillstep/platform/protocol/validation.py
@@ -42,20 +42,6 @@
     is_fresh: bool  # it holds nothing from earlier updates
 
 
-class Ack(NamedTuple):
-    """A proxy's acknowledgement of an update."""
-
-    proxy: int
-    serial: int
-
-
-class ZoneStats(NamedTuple):
-    """What the proxies of one zone met at an endpoint."""
-
-    zone: str
-    stats: UpstreamStats
-
-
 def message_kind(message: Message) -> str:
     """Return the kind that a message gives; empty where it is no text."""
     kind = message.get(names.KIND)
@@ -86,18 +72,18 @@
     return zone
 
 
-def parse_ack(message: Message, deployment: Deployment) -> Ack:
-    """Return a proxy's acknowledgement.
+def parse_ack(message: Message, deployment: Deployment) -> tuple[int, int]:
+    """Return a proxy, and the serial of the update that it acknowledges.
 
     Raises:
         InvalidMessageError: A field is missing or invalid.
     """
     _field(message, names.APPLY_DURATION, _is_figure)
-    return Ack(_parse_proxy(message, deployment), _field(message, names.ACK_SERIAL, _is_ack_serial))
+    return _parse_proxy(message, deployment), _field(message, names.ACK_SERIAL, _is_ack_serial)
 
 
-def parse_upstream_stats(message: Message, deployment: Deployment) -> ZoneStats:
-    """Return what the proxies of a zone met at an endpoint.
+def parse_upstream_stats(message: Message, deployment: Deployment) -> tuple[str, UpstreamStats]:
+    """Return a zone, and what its proxies met at an endpoint.
 
     Raises:
         InvalidMessageError: A field is missing or invalid.
@@ -112,7 +98,7 @@
     endpoint = _field(message, names.ENDPOINT, _is_text)
     load = _parse_load_report(message.get(names.LOAD_REPORT))
     stats = UpstreamStats(endpoint, attempts, failures, float(mean_ms), float(window_ms), load)
-    return ZoneStats(parse_zone(message, deployment), stats)
+    return parse_zone(message, deployment), stats
 
 
 def parse_downstream_stats(message: Message, deployment: Deployment) -> DownstreamStats:
--- a/quillstep/platform/service.py
+++ b/quillstep/platform/service.py
@@ -31,7 +31,7 @@
     parse_seed,
 )
 from quillstep.platform.discovery_watch import DiscoveryWatch
-from quillstep.platform.endpoint_list import parse_endpoint_list
+from quillstep.platform.endpoint_list import DiscoveryUpdate, parse_endpoint_list
 from quillstep.platform.endpoint_registry import EndpointRegistry
 from quillstep.platform.event_handler import ControllerEvent, EventHandler
 from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
@@ -60,6 +60,13 @@
     return ConnectionLimits(max_connections=free, max_unregistered=free)
 
 
+def parse_initial_list(configuration: PlatformConfiguration, clock_offset_ms: float) -> DiscoveryUpdate:
+    """Return the configuration's endpoint list; see `parse_endpoint_list`."""
+    initial = configuration.initial_list
+    document = {"revision": initial.revision, "complete": True, "members": initial.members}
+    return parse_endpoint_list(document, clock_offset_ms, "persisted")
+
+
 class PlatformController:
     """One controller; `run` is the deciding thread.
 
@@ -89,15 +96,14 @@
         self.connections = ConnectionManager(
             configuration.listen, connection_limits(configuration), config.deployment, self.publish
         )
-        known = {"revision": configuration.known.revision, "complete": True, "members": configuration.known.members}
         clock_offset_ms = now_ms() - time.time() * 1000.0
-        self.known_list = parse_endpoint_list(known, clock_offset_ms, "persisted")
+        self.initial_update = parse_initial_list(configuration, clock_offset_ms)
         self.watch = DiscoveryWatch(
             configuration.discovery,
-            configuration.known.revision,
+            self.initial_update.revision,
             clock_offset_ms,
             self.publish,
-            has_missing_entries=bool(self.known_list.rejected),
+            has_missing_entries=bool(self.initial_update.rejected),
         )
         self.health_checker = HealthChecker(
             HEALTH_CHECK_WORKERS, config.health_check_timeout_ms, self.publish, config.health_check_path
@@ -116,7 +122,7 @@
 
         The threads that this starts are daemons and not joined: each may wait for a peer, and a stop must not.
         """
-        self.handler.handle(self.known_list)
+        self.handler.handle(self.initial_update)
         self.intervals.record_arrival(now_ms() - self.config.batch_window_ms)
         threading.Thread(target=self.connections.poller.run, name="connections", daemon=True).start()
         self.watch.start()
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -328,7 +328,7 @@
         facts = configuration.controller_config(found, str(path))
     except configuration.ConfigurationError as trouble:
         return str(trouble).replace(f"{path.parent}/", "")
-    known = {"revision": found.known.revision, "complete": True, "members": found.known.members}
+    known = {"revision": found.initial_list.revision, "complete": True, "members": found.initial_list.members}
     first = endpoint_list.parse_endpoint_list(known, 5000.0, "persisted")
     return plain({
         "start": list(dataclasses.astuple(facts.planner)),
--- a/tests/platform/test_event_handler.py
+++ b/tests/platform/test_event_handler.py
@@ -17,7 +17,7 @@
     path = write_configuration(tmp_path, "127.0.0.1:1", [member("s0"), member("s1", locality="b")])
     configuration = read_configuration({"BALANCER_CONFIG": str(path)})
     controller = PlatformController(configuration, controller_config(configuration, str(path)))
-    controller.handler.handle(controller.known_list)
+    controller.handler.handle(controller.initial_update)
     controller.steps = SteppedConnections()
     controller.steps.manager.publish = controller.publish
     yield controller
--- a/tests/platform/test_validation.py
+++ b/tests/platform/test_validation.py
@@ -57,7 +57,7 @@
 def test_attempts_that_all_failed_need_no_mean_and_more_requests_may_be_unanswered_than_arrived():
     message = {**VALID_MESSAGES["upstream_stats"], "fail": 9}
     del message["mean"]
-    assert validation.parse_upstream_stats(message, DEPLOYMENT).stats == UpstreamStats(
+    assert validation.parse_upstream_stats(message, DEPLOYMENT)[1] == UpstreamStats(
         "s", 9, 9, 0.0, 1000.0, {"util": 0.6}
     )
     stats = validation.parse_downstream_stats({**VALID_MESSAGES["client_stats"], "count": 1, "fail": 4}, DEPLOYMENT)
