--- a/quillstep/testbed/discovery_server.py
+++ b/quillstep/testbed/discovery_server.py
@@ -15,7 +15,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 
 from quillstep.config.controller import LimitSettings
-from quillstep.testbed.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
+from quillstep.testbed.process import STACK_BYTES, EventLog, answer, now_ms, read_setup, serve
 from quillstep.xds.resources import LEDS
 from quillstep.xds.server import DELTA, Peer, Server
 
@@ -33,14 +33,14 @@
         self.nonce = 0
 
 
-class Roster:
+class DiscoveryServer:
     """The list, its subscribers and the news under way."""
 
     def __init__(self, setup: dict[str, Any]) -> None:
         threading.stack_size(STACK_BYTES)
         self.late_ms = setup["late_ms"]
         self.draw = random.Random(setup["seed"]).uniform
-        self.record = Record(setup["record"])
+        self.record = EventLog(setup["record"])
         self.list: dict[int, dict[str, Any]] = {row["id"]: dict(row, version=1) for row in setup["endpoints"]}
         self.subscribers: dict[tuple[Peer, int], Subscriber] = {}
         self.later: list[tuple[float, int, Subscriber, list[int]]] = []
@@ -125,12 +125,12 @@
 
 
 def main() -> None:
-    roster = Roster(first_command())
+    roster = DiscoveryServer(read_setup())
     threading.Thread(target=roster.run, daemon=True).start()
     serve(lambda command: roster.inbox.put(("change", command)), roster.record)
 
 
-__all__ = ["DELTA", "Roster", "main"]
+__all__ = ["DELTA", "DiscoveryServer", "main"]
 
 if __name__ == "__main__":
     main()
--- a/quillstep/testbed/endpoints.py
+++ b/quillstep/testbed/endpoints.py
@@ -15,7 +15,7 @@
 from collections import deque
 from typing import Any
 
-from quillstep.testbed.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
+from quillstep.testbed.process import STACK_BYTES, EventLog, answer, now_ms, read_setup, serve
 
 LOAD_SPAN_MS = 500.0
 HEAD_MOST = 16 * 1024
@@ -241,7 +241,7 @@
         self.rules = setup["rules"]
         self.classes = {row["name"]: row for row in setup["classes"]}
         self.answers_tell = setup["answers_tell"]
-        self.record = Record(setup["record"])
+        self.record = EventLog(setup["record"])
         self.seen: dict[tuple, float] = {}
         self.lock = threading.Lock()
         self.endpoints = {row["id"]: Endpoint(row, self) for row in setup["endpoints"]}
@@ -287,7 +287,7 @@
 
 
 def main() -> None:
-    host = Host(first_command())
+    host = Host(read_setup())
     serve(host.take, host.record)
 
 
--- a/quillstep/testbed/file_subscriber.py
+++ b/quillstep/testbed/file_subscriber.py
@@ -9,7 +9,7 @@
 import threading
 import time
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 import xxhash
@@ -19,15 +19,13 @@
 from quillstep.files.disk import safe_name
 from quillstep.files.generation_files import MANIFEST, Manifest, decode
 from quillstep.testbed.process import now_ms
-from quillstep.testbed.xds_subscriber import MESSAGES, drops_of, line_of, routes_of
+from quillstep.testbed.proxy_interface import ProxyInterface
+from quillstep.testbed.xds_subscriber import MESSAGES, drop_shares_of, line_of, routes_of
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LEDS, RDS
 
-if TYPE_CHECKING:
-    from quillstep.testbed.proxies import Proxy
-
-LOOK_S = 0.03
-ALIVE_EVERY = 8  # looks between two at its pilot's sign of life
-DEAD_MS = 1500.0  # a pilot without a sign of life for so long is left
+POLL_INTERVAL_S = 0.03
+POLLS_PER_LIVENESS_CHECK = 8  # looks between two at its pilot's sign of life
+LIVENESS_TIMEOUT_MS = 1500.0  # a pilot without a sign of life for so long is left
 GONE = (health_check_pb2.DRAINING, health_check_pb2.UNHEALTHY)
 
 
@@ -53,10 +51,10 @@
         put(self.folder / f"{time.time_ns():020d}-{self.count % 1000:03d}.pb", data)
 
 
-class FileFollower:
+class FileSubscriber:
     """One proxy's way with files; `roots` are its pilots' roots in the sequence of dialling."""
 
-    def __init__(self, proxy: "Proxy", roots: list[str]) -> None:
+    def __init__(self, proxy: ProxyInterface, roots: list[str]) -> None:
         self.proxy, self.roots = proxy, roots
         self.held = proxy.held
         self.stalled_ms = self.refuses_ms = 0.0
@@ -89,7 +87,7 @@
     @staticmethod
     def alive(root: str) -> bool:
         try:
-            return time.time() - os.stat(f"{root}/.alive").st_mtime < DEAD_MS / 1000.0
+            return time.time() - os.stat(f"{root}/.alive").st_mtime < LIVENESS_TIMEOUT_MS / 1000.0
         except OSError:
             return False
 
@@ -107,7 +105,7 @@
         self.load_stream = ReportFiles(here / "load")
         link = f"{here}/current"
         for look in itertools.count():
-            if self.ended.wait(LOOK_S) or (look % ALIVE_EVERY == 0 and not self.alive(root)):
+            if self.ended.wait(POLL_INTERVAL_S) or (look % POLLS_PER_LIVENESS_CHECK == 0 and not self.alive(root)):
                 break
             if (left := self.stalled_ms - now_ms()) > 0:
                 self.ended.wait(left / 1000.0)
@@ -177,7 +175,7 @@
         for url, name, version, message in resources:
             group, _, _ = name.removeprefix(COLLECTION).partition("/")
             if url == EDS:
-                drops[name] = drops_of(message)
+                drops[name] = drop_shares_of(message)
             elif url == RDS:
                 routes, routes_version = routes_of(message), version
             elif url == LEDS and group == "withdrawn" and message.health_status in GONE:
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -8,24 +8,22 @@
 import contextlib
 import socket
 import zlib
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
 from quillstep.testbed.process import now_ms
+from quillstep.testbed.proxy_interface import ProxyInterface
 from quillstep.xds.client import MESSAGE_MOST
 from quillstep.xds.http2 import GrpcConnection, ProtocolError
 from quillstep.xds.load_stats import LATENCY_BUCKET_PREFIX
 from quillstep.xds.peer import dial
 from quillstep.xds.server import LOAD
 
-if TYPE_CHECKING:
-    from quillstep.testbed.proxies import Proxy
-
-DIAL_MS = 250.0
-UNSENT_MOST = 32 * 1024  # beyond it sums stay here and add up
-HELD_MOST = 64  # reports that are held back
+CONNECT_TIMEOUT_MS = 250.0
+MAX_UNSENT_BYTES = 32 * 1024  # beyond it sums stay here and add up
+MAX_DELAYED_REPORTS = 64  # reports that are held back
 BUCKETS_MS = [5.0 * 2.0**at for at in range(12)]
 TOOK_NAMES = [f"{LATENCY_BUCKET_PREFIX}{bound:g}" for bound in BUCKETS_MS]
 
@@ -34,12 +32,12 @@
     return next((at for at, bound in enumerate(BUCKETS_MS) if took_ms <= bound), len(BUCKETS_MS) - 1)
 
 
-class OwnStream:
+class DedicatedReportStream:
     """A load report stream on a connection of its own, without threads: all calls come from the reporting thread."""
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.sock = dial(address, DIAL_MS)
+        self.sock = dial(address, CONNECT_TIMEOUT_MS)
         self.sock.settimeout(None)  # it blocks, but for what says it must not
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.http2 = GrpcConnection(True, MESSAGE_MOST)
@@ -81,10 +79,10 @@
         self.sock.close()
 
 
-class Reporter:
+class LoadReporter:
     """One proxy's reports."""
 
-    def __init__(self, proxy: "Proxy") -> None:
+    def __init__(self, proxy: ProxyInterface) -> None:
         self.proxy = proxy
         self.usual_ms = self.period_ms = proxy.host.proxies["report_every_ms"]
         self.full = True
@@ -92,7 +90,7 @@
         self.late_until = self.late_ms = self.heavy_until = self.cut_until = 0.0
         self.held: list[tuple[float, lrs_pb2.LoadStatsRequest]] = []  # when to send what
         self.last: lrs_pb2.LoadStatsRequest | None = None
-        self.own: OwnStream | None = None
+        self.own: DedicatedReportStream | None = None
         self.said_to: Any = None  # the stream that the node was named on
         self.padding = b""
         self.padded = 0
@@ -119,14 +117,14 @@
 
     def attend(self, stream: Any, now: float) -> None:
         try:
-            if isinstance(stream, OwnStream):
+            if isinstance(stream, DedicatedReportStream):
                 for data in stream.messages():
                     self.asked(data)
             if stream is not self.said_to:
                 self.greet(stream)
-            if stream.unsent() > UNSENT_MOST:
+            if stream.unsent() > MAX_UNSENT_BYTES:
                 return
-            if len(self.held) < HELD_MOST:
+            if len(self.held) < MAX_DELAYED_REPORTS:
                 late = self.late_ms if self.late_until > now else 0.0
                 self.held.append((now + late, self.make(now)))
             for due, request in list(self.held):
@@ -158,19 +156,19 @@
     def stream(self) -> Any:
         """The stream to report on now; None while there is none."""
         proxy = self.proxy
-        follower = proxy.follower
-        if follower is None or follower.stalled_ms > now_ms() or self.cut_until > now_ms():
+        subscriber = proxy.subscriber
+        if subscriber is None or subscriber.stalled_ms > now_ms() or self.cut_until > now_ms():
             self.drop()
             return None
-        address = follower.report_address()
+        address = subscriber.report_address()
         if address is None:
             self.drop()
-            return follower.load_stream
+            return subscriber.load_stream
         if self.own and self.own.address != address:
             self.drop()
         if self.own is None:
             with contextlib.suppress(OSError):
-                self.own = OwnStream(address)
+                self.own = DedicatedReportStream(address)
         return self.own
 
     def drop(self) -> None:
--- a/quillstep/testbed/process.py
+++ b/quillstep/testbed/process.py
@@ -1,4 +1,4 @@
-"""What stand-in processes share: commands on standard input, answers on standard output, a record on disk.
+"""What stand-in processes share: commands on standard input, answers on standard output, an event log on disk.
 
 A stand-in ends when its standard input does, so that no child outlives its parent.
 """
@@ -13,56 +13,59 @@
 import msgspec
 
 STACK_BYTES = 256 * 1024
-FLUSH_S = 0.2
+FLUSH_INTERVAL_S = 0.2
 
 
 def now_ms() -> float:
-    """The machine's monotonic clock, the same in all processes."""
+    """Return the machine's monotonic clock in milliseconds, the same in all processes."""
     return time.monotonic() * 1000.0
 
 
-class Record:
-    """Appends JSON lines to a file from any thread; a thread of its own writes them out."""
+class EventLog:
+    """Appends JSON lines to a file from any thread; a daemon thread of its own writes them out until the end."""
 
     def __init__(self, path: str) -> None:
         self.file = open(path, "ab", buffering=0)  # noqa: SIM115 (held for the life of the process)
         self.encode = msgspec.json.Encoder().encode
         self.lines: list[bytes] = []
-        threading.Thread(target=self.run, daemon=True).start()
+        threading.Thread(target=self._run, name="event-log", daemon=True).start()
 
     def put(self, **fields: Any) -> None:
+        """Append a line; `what` names the event."""
         self.lines.append(self.encode(fields))
 
     def flush(self) -> None:
+        """Write out what was appended so far."""
         lines, self.lines = self.lines, []
         if lines:
             self.file.write(b"\n".join(lines) + b"\n")
 
     def close(self) -> None:
-        """Write out what is left; the process ends."""
+        """Write out what is left, before the process ends."""
         self.flush()
 
-    def run(self) -> None:
+    def _run(self) -> None:
         while True:
-            time.sleep(FLUSH_S)
+            time.sleep(FLUSH_INTERVAL_S)
             self.flush()
 
 
 def answer(**fields: Any) -> None:
-    """Say something to the parent."""
+    """Send the parent an answer."""
     sys.stdout.buffer.write(msgspec.json.encode(fields) + b"\n")
     sys.stdout.buffer.flush()
 
 
-def first_command() -> dict[str, Any]:
-    """What the parent says first: how the stand-in is set up."""
-    return msgspec.json.decode(sys.stdin.buffer.readline())
+def read_setup() -> dict[str, Any]:
+    """Return the parent's first message, which says how the stand-in is set up."""
+    setup: dict[str, Any] = msgspec.json.decode(sys.stdin.buffer.readline())
+    return setup
 
 
-def serve(take: Callable[[dict[str, Any]], None], record: Record) -> None:
-    """Hand commands over until the input ends, then end the process."""
+def serve(handle_command: Callable[[dict[str, Any]], None], record: EventLog) -> None:
+    """Handle commands until the input ends, then end the process."""
     for line in sys.stdin.buffer:
         if line.strip():
-            take(msgspec.json.decode(line))
+            handle_command(msgspec.json.decode(line))
     record.close()
     os._exit(0)
--- a/quillstep/testbed/proxies.py
+++ b/quillstep/testbed/proxies.py
@@ -16,14 +16,14 @@
 import time
 from typing import Any
 
-from quillstep.testbed.file_subscriber import FileFollower
-from quillstep.testbed.load_reporting import Reporter, bucket
-from quillstep.testbed.process import STACK_BYTES, Record, answer, first_command, now_ms, serve
-from quillstep.testbed.xds_subscriber import DeltaFollower, Follower, Held, Route, SotwFollower
+from quillstep.testbed.file_subscriber import FileSubscriber
+from quillstep.testbed.load_reporting import LoadReporter, bucket
+from quillstep.testbed.process import STACK_BYTES, EventLog, answer, now_ms, read_setup, serve
+from quillstep.testbed.proxy_interface import Address, HeldTables, Route
+from quillstep.testbed.xds_subscriber import DeltaSubscriber, SotwSubscriber, XdsSubscriber
 
-WORKERS_MOST = 600
+MAX_WORKERS = 600
 STANDING = "standing"  # the table that a proxy starts with, and the version of its lines
-Address = tuple[str, int]
 
 
 class Bucket:
@@ -77,7 +77,7 @@
                     sock.close()
 
 
-class Met:
+class ClassCounts:
     """What one class met at a proxy since its last report: arrived, unanswered, refused; times by bucket."""
 
     __slots__ = ("counts", "took")
@@ -103,7 +103,7 @@
         self.standing: dict[str, tuple[Address, float, str]] = {
             str(number): (("127.0.0.1", port), 1.0, STANDING) for number, port in row["standing"]
         }
-        self.held = Held()
+        self.held = HeldTables()
         self.turns: dict[str, dict[str, float]] = {}  # smooth weighted turns, by table and line
         self.fails: dict[Address, int] = {}
         self.avoids: dict[Address, float] = {}
@@ -112,27 +112,27 @@
         self.connections = Connections(host.proxies["idle_ms"], host.proxies["connect_ms"])
         self.stalled_ms = 0.0
         self.sums: dict[Address, list] = {}  # good, failed, good_ms, load sums by name
-        self.came: dict[str, Met] = {}
+        self.came: dict[str, ClassCounts] = {}
         self.reported_ms = now_ms()
         self.row = row
         self.life = f"{self.name}.{os.getpid()}.{self.draw():.6f}"
-        self.reporter = Reporter(self)
+        self.reporter = LoadReporter(self)
         self.by_files = bool(row.get("files"))
-        self.follower: Follower | FileFollower | None = self.follow() if row["pilots"] else None
+        self.subscriber: XdsSubscriber | FileSubscriber | None = self.follow() if row["pilots"] else None
 
-    def follow(self) -> "Follower | FileFollower":
+    def follow(self) -> XdsSubscriber | FileSubscriber:
         """How it follows its pilots now: by files, by deltas, by whole states."""
         if self.by_files:
-            return FileFollower(self, self.row["roots"])
-        return (SotwFollower if self.row["sotw"] else DeltaFollower)(self, self.row["pilots"])
+            return FileSubscriber(self, self.row["roots"])
+        return (SotwSubscriber if self.row["sotw"] else DeltaSubscriber)(self, self.row["pilots"])
 
     def move(self) -> None:
         """Leave one front for the other, with all that it holds."""
-        if self.follower:
-            self.follower.end()
+        if self.subscriber:
+            self.subscriber.end()
             self.by_files = not self.by_files
-            self.follower = self.follow()
-            self.follower.start()
+            self.subscriber = self.follow()
+            self.subscriber.start()
 
     def describe(self, node: Any) -> None:
         """Who this is, in a first request."""
@@ -140,9 +140,9 @@
         node.metadata.fields["usual"].number_value = self.usual
         node.metadata.fields["life"].string_value = self.life
 
-    def met(self, name: str) -> Met:
+    def met(self, name: str) -> ClassCounts:
         """A class's sums; under the lock."""
-        return self.came.setdefault(name, Met())
+        return self.came.setdefault(name, ClassCounts())
 
     # tables
 
@@ -313,7 +313,7 @@
                 held[0] += 1
                 held[1] += value
 
-    def hand_over(self) -> tuple[dict[Address, list], dict[str, Met], float]:
+    def hand_over(self) -> tuple[dict[Address, list], dict[str, ClassCounts], float]:
         """The sums since the last report, which start anew."""
         with self.lock:
             sums, came, since = self.sums, self.came, self.reported_ms
@@ -355,7 +355,7 @@
         return heapq.merge(*(self.of(proxy) for proxy in self.drawers))
 
 
-class SpannedRecord(Record):
+class SpannedRecord(EventLog):
     """A record whose applications and exchanges are told as spans too."""
 
     def __init__(self, path: str, spans: dict[str, Any]) -> None:
@@ -385,15 +385,15 @@
         self.proxies = setup["knobs"]
         self.default_retry_policy = self.proxies["base_tries"]
         self.rates = self.proxies["admission"] == "rate"
-        self.record = SpannedRecord(setup["record"], setup["spans"]) if setup["spans"] else Record(setup["record"])
+        self.record = SpannedRecord(setup["record"], setup["spans"]) if setup["spans"] else EventLog(setup["record"])
         self.script = Script(setup)
         self.all = {row["name"]: Proxy(row, self) for row in setup["proxies"]}
         self.work: queue.SimpleQueue[tuple] = queue.SimpleQueue()
         self.idle = 0
         self.workers = 0
         for proxy in self.all.values():
-            if proxy.follower:
-                proxy.follower.start()
+            if proxy.subscriber:
+                proxy.subscriber.start()
         threading.Thread(target=self.report, daemon=True).start()
         answer(ready=len(self.all))
 
@@ -421,7 +421,7 @@
             if wait > 0:
                 time.sleep(wait / 1000.0)
             self.work.put((proxy, at, name, exchange))
-            if self.idle <= self.work.qsize() and self.workers < WORKERS_MOST:
+            if self.idle <= self.work.qsize() and self.workers < MAX_WORKERS:
                 self.workers += 1
                 threading.Thread(target=self.worker, daemon=True).start()
         time.sleep(max(row["cut_off_ms"] for row in self.classes.values()) / 1000.0)
@@ -452,28 +452,28 @@
             proxy.reporter.heavy_until = until
         elif do == "reports_cut":
             proxy.reporter.cut_until = until
-        elif proxy.follower:
+        elif proxy.subscriber:
             if do == "cut":
-                proxy.follower.cut(until)
+                proxy.subscriber.cut(until)
                 proxy.reporter.cut_until = until
             elif do == "refuse":
-                proxy.follower.refuses_ms = until
+                proxy.subscriber.refuses_ms = until
             elif do in ("reads_nothing", "stall"):
-                proxy.follower.stalled_ms = until
-            elif isinstance(proxy.follower, FileFollower):
+                proxy.subscriber.stalled_ms = until
+            elif isinstance(proxy.subscriber, FileSubscriber):
                 pass  # the rest is about words on a stream
             elif do == "slow_lines":
-                proxy.follower.slow_until, proxy.follower.line_ms = until, command["factor"]
+                proxy.subscriber.slow_until, proxy.subscriber.line_ms = until, command["factor"]
             elif do == "late_words":
-                proxy.follower.late_until, proxy.follower.late_ms = until, 1000.0 * command["factor"]
+                proxy.subscriber.late_until, proxy.subscriber.late_ms = until, 1000.0 * command["factor"]
             elif do == "loses":
-                proxy.follower.loses = int(command["factor"])
+                proxy.subscriber.loses = int(command["factor"])
         self.record.put(what="command", at=now_ms(), proxy=proxy.name, do=do, until=until)
         answer(done=do, proxy=proxy.name)
 
 
 def main() -> None:
-    host = Host(first_command())
+    host = Host(read_setup())
     serve(host.take, host.record)
 
 
--- a/quillstep/testbed/scenarios/runner.py
+++ b/quillstep/testbed/scenarios/runner.py
@@ -22,7 +22,7 @@
 
 SETTLE_S = 60.0
 SPANS_PER_S = 200.0  # of one process
-LOOK_S = 0.02  # between two looks at what pilots have written down
+POLL_INTERVAL_S = 0.02  # between two looks at what pilots have written down
 
 
 def now_ms() -> float:
@@ -232,7 +232,7 @@
                 pilot.kill()
                 self.start_pilot(at)
         while now_ms() < until and not self.in_force(kind, begun):
-            time.sleep(LOOK_S)
+            time.sleep(POLL_INTERVAL_S)
         if now_ms() < until:
             for host in set(self.hosts.values()):
                 host.say(do="tighten", kind=kind)
--- a/quillstep/testbed/xds_subscriber.py
+++ b/quillstep/testbed/xds_subscriber.py
@@ -5,8 +5,7 @@
 
 import threading
 import time
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from envoy.config.cluster.v3 import cluster_pb2
 from envoy.config.core.v3 import health_check_pb2
@@ -18,41 +17,13 @@
 from google.protobuf.message import DecodeError
 
 from quillstep.testbed.process import now_ms
+from quillstep.testbed.proxy_interface import Line, ProxyInterface, Route
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RATE_FILTER, RDS, WITHDRAWN
 from quillstep.xds.server import DELTA, LOAD, SOTW
 
-if TYPE_CHECKING:
-    from quillstep.testbed.proxies import Proxy
-
-SILENT_MS = 12000.0
-CUT_SPREAD_MS = 1000.0  # over which proxies that were cut off come back
-Line = tuple[tuple[str, int], float, str]  # address, weight, version
-
-
-@dataclass(slots=True)
-class Route:
-    """What one class goes by."""
-
-    table: str
-    tries: int = 0
-    per_try_ms: float = 0.0
-    rate: float | None = None
-    burst: float = 1.0
-    closed: bool = False
-
-
-@dataclass(slots=True)
-class Held:
-    """What a proxy holds: it stays when its stream breaks."""
-
-    tables: dict[str, dict[str, Line]] = field(default_factory=dict)  # lines by table and name
-    out: set[tuple[str, int]] = field(default_factory=set)
-    outs: dict[str, tuple[str, int]] = field(default_factory=dict)  # withdrawals by resource name
-    drops: dict[str, dict[str, float]] = field(default_factory=dict)
-    routes: dict[str, Route] = field(default_factory=dict)
-    routes_version: str = ""
-    versions: dict[str, dict[str, str]] = field(default_factory=dict)  # by type and resource name
+IDLE_TIMEOUT_MS = 12000.0
+RECONNECT_SPREAD_MS = 1000.0  # over which proxies that were cut off come back
 
 
 def routes_of(routes: route_pb2.RouteConfiguration) -> dict[str, Route]:
@@ -82,13 +53,13 @@
     return (address.address, address.port_value), float(line.load_balancing_weight.value), version
 
 
-def drops_of(assignment: endpoint_pb2.ClusterLoadAssignment) -> dict[str, float]:
+def drop_shares_of(assignment: endpoint_pb2.ClusterLoadAssignment) -> dict[str, float]:
     rows = assignment.policy.drop_overloads
     return {row.category: row.drop_percentage.numerator / (100, 10000, 1e6)[row.drop_percentage.denominator]
             for row in rows}  # fmt: skip
 
 
-class SharedStream:
+class SharedReportStream:
     """A load report stream on the connection that the tables come by."""
 
     def __init__(self, client: GrpcClient) -> None:
@@ -101,17 +72,17 @@
         self.client.send(self.number, data)
 
 
-class Follower:
+class XdsSubscriber:
     """What both kinds share: dialling, standing still, refusing, where load reports go."""
 
     path = DELTA
 
-    def __init__(self, proxy: "Proxy", pilots: list[str]) -> None:
+    def __init__(self, proxy: ProxyInterface, pilots: list[str]) -> None:
         self.proxy, self.pilots = proxy, pilots
         self.held = proxy.held
         self.client: GrpcClient | None = None
         self.stream = 0
-        self.load_stream: SharedStream | None = None
+        self.load_stream: SharedReportStream | None = None
         self.pilot = ""
         self.stalled_ms = self.refuses_ms = self.cut_ms = 0.0
         self.slow_until, self.line_ms = 0.0, 0.0  # a line takes this long until then
@@ -135,12 +106,12 @@
         dial_ms = self.proxy.host.proxies["dial_ms"]
         while not self.ended.is_set():
             if (left := self.cut_ms - now_ms()) > 0:
-                self.ended.wait((left + CUT_SPREAD_MS * self.proxy.draw()) / 1000.0)
+                self.ended.wait((left + RECONNECT_SPREAD_MS * self.proxy.draw()) / 1000.0)
                 continue
             pilot = self.pilots[self.dials % len(self.pilots)]
             reason = ""
             try:
-                self.client = GrpcClient(pilot, 1000.0, SILENT_MS)
+                self.client = GrpcClient(pilot, 1000.0, IDLE_TIMEOUT_MS)
                 self.client.inbox.maxsize = 8  # what it does not take stays with its pilot
                 self.record(what="stream", up=True, pilot=pilot)
                 self.pilot = pilot
@@ -163,7 +134,7 @@
         self.stream = client.open(self.path)
         self.begin(client)
         if self.report_address() is None:
-            self.load_stream = SharedStream(client)
+            self.load_stream = SharedReportStream(client)
         for event in client.events():
             self.wait()
             if event[0] == "message" and event[1] == self.stream:
@@ -217,7 +188,7 @@
             client.send(self.stream, word.SerializeToString())
 
 
-class DeltaFollower(Follower):
+class DeltaSubscriber(XdsSubscriber):
     """Follows by deltas: subscribes to what its tables name, keeps versions over a broken stream."""
 
     def begin(self, client: GrpcClient) -> None:
@@ -294,7 +265,7 @@
                 self.drop(name)
         elif url == EDS:
             for name, _, message in unpacked:
-                held.drops[name] = drops_of(message)
+                held.drops[name] = drop_shares_of(message)
                 if name not in versions:
                     opened += [g.leds_cluster_locality_config.leds_collection_name for g in message.endpoints]
         elif url == LEDS:
@@ -348,12 +319,12 @@
         return tables[group]
 
 
-class SotwFollower(Follower):
+class SotwSubscriber(XdsSubscriber):
     """Follows by whole states: each response is all there is of its type."""
 
     path = SOTW
 
-    def __init__(self, proxy: "Proxy", pilots: list[str]) -> None:
+    def __init__(self, proxy: ProxyInterface, pilots: list[str]) -> None:
         super().__init__(proxy, pilots)
         self.newest: dict[str, tuple[str, str]] = {}  # version and nonce by type
 
@@ -438,7 +409,7 @@
                 if row.health_status in (health_check_pb2.DRAINING, health_check_pb2.UNHEALTHY):
                     out.add(line[0])
             tables[message.cluster_name] = lines
-            held.drops[message.cluster_name] = drops_of(message)
+            held.drops[message.cluster_name] = drop_shares_of(message)
         held.tables, held.out = tables, out
 
 
