--- a/quillstep/routing/in_flight.py
+++ b/quillstep/routing/in_flight.py
@@ -48,7 +48,8 @@
         for key, resource in changes:
             version = resource.version if resource else None
             self.in_flight[key] = InFlightVersion(version, nonce, self.pending.pop(key, revision))
-            self.must_resend.discard(key)
+            if self.must_resend:
+                self.must_resend.discard(key)
 
     def end_in_flight(self, nonce: str, now_ms: float) -> InFlightUpdate | None:
         """Removes and returns an update that was acknowledged or rejected; None: this nonce is not in flight.
--- a/quillstep/routing/proxy_state.py
+++ b/quillstep/routing/proxy_state.py
@@ -213,8 +213,9 @@
                     self.routed_tables = frozenset(entry[1] for entry in resource.content)
             else:
                 self.acknowledged.pop(key, None)
-            self.nacked.pop(key, None)
-            self.nack_counts.pop(key, None)
+            if self.nacked or self.nack_counts:
+                self.nacked.pop(key, None)
+                self.nack_counts.pop(key, None)
             in_flight = self.in_flight.get(key)
             if in_flight and in_flight.nonce == nonce:
                 del self.in_flight[key]
--- /dev/null
+++ b/tests/store/test_writer.py
@@ -0,0 +1,93 @@
+"""The store's thread: what is durable, operators' commands, a store that fails."""
+
+import threading
+
+from memory_fleet import MemoryPilot, pilot_record
+
+from quillstep.config.controller import StoreSettings
+from quillstep.routing.versions import TableVersion, version_from_row
+from quillstep.store.records import (
+    INCARNATIONS,
+    JOURNAL,
+    OPERATOR_COMMANDS,
+    PINS,
+    Entry,
+    OperatorCommand,
+    PinRow,
+    number_key,
+)
+from quillstep.store.writer import StoreWriter, opened
+from quillstep.xds.resources import LEDS
+
+
+def test_the_writer_reports_what_is_durable_and_hands_over_a_command_once(tmp_path):
+    record = StoreSettings(folder=str(tmp_path / "s"), operator_poll_interval_ms=5.0)
+    news, woken = [], threading.Event()
+
+    def put(each):
+        news.append(each)
+        if each[1] == "wish":
+            woken.set()
+
+    keeper = StoreWriter(record, opened(record), "e", put)
+    thread = threading.Thread(target=keeper.run)
+    thread.start()
+    version = TableVersion("v1", 0, "", "module", "", 0.0, 1, {1: 10.0}, {0: (5.0, 1)})
+    pin = keeper.pinned(version._replace(cause="rollback", operator="op"), 7.0)
+    keeper.hand_over(1, [keeper.version(version, 7.0), pin])
+    keeper.store.write([Entry(OPERATOR_COMMANDS, number_key(9), OperatorCommand("rollback", [(0, "v1")], "op", 7.0))])
+    assert woken.wait(20.0)
+    keeper.hand_over(2, [keeper.done(number_key(9).hex())])
+    keeper.stop()
+    thread.join(20.0)
+    assert ("store", "stored", 1, []) in news and ("store", "stored", 2, []) in news
+    (wish,) = [each for each in news if each[1] == "wish"]
+    assert version_from_row(wish[3][1][0][1]).weights == {1: 10.0}
+    fresh = StoreWriter(record, opened(record), "f", put)
+    assert fresh.store.rows(OPERATOR_COMMANDS) == [] and fresh.store.rows(INCARNATIONS)[0][1].ended_ms > 0
+    kind, what, versions, pins = fresh.start_news()
+    assert (kind, what, len(versions[1])) == ("store", "opened", 1) and pins[0][1:] == ["rollback", "op"]
+
+
+def test_a_pin_whose_version_is_gone_is_skipped_with_a_log_line(tmp_path, capsys):
+    record = StoreSettings(folder=str(tmp_path / "s"))
+    store = opened(record)
+    store.write([Entry(PINS, number_key(0), PinRow(0, "gone", "op", 5.0))])
+    assert StoreWriter(record, store, "e", print).start_news()[3] == []
+    assert "pin passed over" in "".join(capsys.readouterr())
+
+
+def test_a_store_that_fills_up_is_closed_and_the_controller_goes_on(tmp_path):
+    record = StoreSettings(folder=str(tmp_path / "s"), max_size_bytes=2**20, operator_poll_interval_ms=5.0)
+    news = []
+    keeper = StoreWriter(record, opened(record), "e", news.append)
+    for at in range(200):
+        keeper.hand_over(at, [Entry(JOURNAL, number_key(at + 1), ["e", at, 0.0, ["x" * 20000]])])
+    keeper.run()
+    assert news[-1][1] == "lost" and "full" in keeper.failed or "no room" in keeper.failed
+
+
+def test_an_update_waits_to_be_durable_unless_it_ejects_or_the_disk_is_late():
+    pilot = MemoryPilot(record=pilot_record(store=StoreSettings(folder="x", max_durability_wait_ms=500.0)))
+    proxy, core = pilot.join("p0"), pilot.core
+    core.from_store("stored", 10**9, [])
+    pilot.run(4000)
+    core.durable = core.tables.revision
+    module_wrote = core.tables.revision
+    core.look(pilot.now)
+    core.tables.begin()
+    core.book.set_weight(0, 3, 14.0)
+    core.book.flush()
+    core.channel.put(core.tables.commit(), pilot.now)
+    number = core.tables.revision
+    pilot.run(100)
+    assert core.tables.proxies[0].released_revision <= module_wrote
+    core.from_store("stored", number, [])
+    pilot.run(20)
+    assert core.tables.proxies[0].released_revision >= number
+    core.durable = 0.0
+    pilot.roster("partial", [4], "terminating")
+    pilot.run(200)
+    assert any("withdrawn/4" in each for each in proxy.held(LEDS))
+    core.from_store("lost", "no disk", [])
+    assert core.durable == float("inf")
