--- a/quillstep/load_reports/reader_pool.py
+++ b/quillstep/load_reports/reader_pool.py
@@ -27,7 +27,7 @@
     ProxyReleased,
     ReaderReady,
     ReportRequest,
-    StreamOpened,
+    ReportStreamOpened,
     WindowDrained,
 )
 from quillstep.load_reports.ownership import ReaderCommand, ReportOwnership
@@ -154,7 +154,7 @@
             case ReaderReady(address):
                 self.addresses[reader] = address
                 ready.set()
-            case StreamOpened(name):
+            case ReportStreamOpened(name):
                 with self.lock:
                     self._send(self.ownership.stream_opened(reader, name))
             case ProxyReleased(name, account):
--- a/quillstep/testbed/xds_subscriber.py
+++ b/quillstep/testbed/xds_subscriber.py
@@ -19,7 +19,8 @@
 
 from quillstep.testbed.process import now_ms
 from quillstep.xds.client import GrpcClient
-from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RATE_FILTER, RDS, WITHDRAWN
+from quillstep.xds.http2 import MessageReceived, StreamEnded
+from quillstep.xds.resources import CDS, COLLECTION, EDS, EJECTED_COLLECTION, LDS, LEDS, RATE_FILTER, RDS
 from quillstep.xds.server import DELTA, LOAD, SOTW
 
 if TYPE_CHECKING:
@@ -95,7 +96,7 @@
         self.client, self.number = client, client.open(LOAD)
 
     def unsent(self) -> int:
-        return self.client.peer.unsent()
+        return self.client.connection.unsent_bytes()
 
     def send(self, data: bytes) -> None:
         self.client.send(self.number, data)
@@ -141,7 +142,7 @@
             reason = ""
             try:
                 self.client = GrpcClient(pilot, 1000.0, SILENT_MS)
-                self.client.inbox.maxsize = 8  # what it does not take stays with its pilot
+                self.client.queue.maxsize = 8  # what it does not take stays with its pilot
                 self.record(what="stream", up=True, pilot=pilot)
                 self.pilot = pilot
                 self.follow(self.client)
@@ -166,12 +167,12 @@
             self.load_stream = SharedStream(client)
         for event in client.events():
             self.wait()
-            if event[0] == "message" and event[1] == self.stream:
-                self.message(client, event[2])
-            elif event[0] == "message":
-                self.proxy.reporter.asked(event[2])
-            elif event[0] == "end" and event[1] == self.stream:
-                raise OSError(event[3] or "the pilot ended the stream")
+            if isinstance(event, MessageReceived) and event.stream == self.stream:
+                self.message(client, event.data)
+            elif isinstance(event, MessageReceived):
+                self.proxy.reporter.asked(event.data)
+            elif isinstance(event, StreamEnded) and event.stream == self.stream:
+                raise OSError(event.reason or "the pilot ended the stream")
 
     def wait(self) -> None:
         while (left := self.stalled_ms - now_ms()) > 0:
@@ -226,7 +227,7 @@
         self.proxy.describe(first.node)
         first.initial_resource_versions.update(versions.get(CDS, {}))
         tables = list(versions.get(CDS, {}))
-        out = [WITHDRAWN, *(f"{COLLECTION}{table}/*" for table in tables)]
+        out = [EJECTED_COLLECTION, *(f"{COLLECTION}{table}/*" for table in tables)]
         others = [(LEDS, out), (LDS, []), (RDS, ["exchanges"]), *([(EDS, tables)] if tables else [])]
         client.send(self.stream, first.SerializeToString())
         for url, names in others:
