--- a/quillstep/cli/controller.py
+++ b/quillstep/cli/controller.py
@@ -41,10 +41,10 @@
 def _open_store(record: ControllerSettings, path: str) -> tuple["Store | None", ControllerSettings]:
     """The store, and the settings to go by: a store that cannot be used is left out, with a log line."""
     from quillstep.store import StoreError, StoreSchemaTooNewError
-    from quillstep.store.writer import opened
+    from quillstep.store.writer import open_store
 
     try:
-        return (opened(record.store) if record.store.folder else None), record
+        return (open_store(record.store) if record.store.folder else None), record
     except StoreSchemaTooNewError as error:
         fail(f"{path}: store.folder: {error}")
     except StoreError as error:
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -139,24 +139,24 @@
     def keep(self, keeper: StoreWriter, now: float) -> None:
         """Hand the store what this turn brought: versions, pins, the order; once a while what proxies hold."""
         wall_ms = time.time() * 1000.0
-        entries = [keeper.version(version, wall_ms) for version in self.core.versions]
+        entries = [keeper.version_entry(version, wall_ms) for version in self.core.versions]
         self.core.versions.clear()
         for key, kind, versions in self.core.granted:
             for version in versions:
                 release = kind == "release"
-                entries.append(keeper.released(version.table) if release else keeper.pinned(version, wall_ms))
-            entries.append(keeper.done(key))
+                entries.append(keeper.release_entry(version.table) if release else keeper.pin_entry(version, wall_ms))
+            entries.append(keeper.command_done_entry(key))
         self.core.granted = []
         number = self.core.tables.revision
         if number != self.kept_number:
-            entries += keeper.orders(number, wall_ms, self.core.orders or [])
+            entries += keeper.journal_entries(number, wall_ms, self.core.orders or [])
         if self.holds and now - self.holds_ms > HOLDS_MS:
             self.holds_ms = now
-            entries += [keeper.hold(node, order, wall_ms) for node, order in self.holds.items()]
+            entries += [keeper.acknowledged_entry(node, order, wall_ms) for node, order in self.holds.items()]
             self.holds = {}
         if entries or number != self.kept_number:
             self.kept_number = number
-            keeper.hand_over(number, entries)
+            keeper.submit(number, entries)
 
     def run(self) -> None:
         """Decide until `stop`; one round's failure is logged with its cause and ends the process."""
--- a/quillstep/store/writer.py
+++ b/quillstep/store/writer.py
@@ -1,7 +1,7 @@
-"""The store's thread in a pilot: commits what the deciding thread hands over, by groups, and tells what is durable.
+"""The store's thread in a controller: commits what the deciding thread submits, in groups, and reports what is durable.
 
-The deciding thread never waits for the disk: its pushes wait, up to a time.  A store that fails is left with a line in
-the log, and the pilot goes on without.
+The deciding thread never waits for the disk: its updates wait, up to a time.  Where the store fails, that is logged,
+and the controller goes on without it.
 """
 
 import contextlib
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import structlog
 
@@ -33,184 +33,219 @@
 )
 from quillstep.store.store import Store, ignore_step, set_aside
 
-GROUP_MOST = 256  # hand-overs in one commit
-WAITING_MOST = 4096  # hand-overs that may wait; beyond it the journal is left out
-RETAIN_S = 60.0
-LIFE = number_key(0)
+MAX_GROUP = 256  # submissions in one commit
+MAX_WAITING = 4096  # submissions, beyond which journal rows are left out
+MAX_NODE_KEY_BYTES = 400  # LMDB's keys have at most 511
+RETENTION_INTERVAL_S = 60.0
+MS_PER_HOUR = 3_600_000.0
+INCARNATION_KEY = number_key(0)
 
 
-def opened(record: StoreSettings, step: Callable[[str], None] = ignore_step) -> Store:
-    """The store of these settings; one that is bad is set aside and begun anew.  Raises StoreTrouble for all else."""
-    log = structlog.get_logger("store")
+def open_store(settings: StoreSettings, on_step: Callable[[str], None] = ignore_step) -> Store:
+    """Opens the configured store; a corrupt one is set aside and a new one begun.
+
+    Raises:
+        StoreError: It cannot be used for another reason.
+    """
     try:
-        store = Store(record.folder, record.max_size_bytes, record.fsync, on_step=step)
+        store = Store(settings.folder, settings.max_size_bytes, settings.fsync, on_step=on_step)
         for part in (PINS, OPERATOR_COMMANDS, INCARNATIONS):
             store.rows(part)
-        return store
-    except StoreCorruptError as trouble:
-        aside = set_aside(Path(record.folder))
-        log.error("store set aside", reason=str(trouble), now=str(aside))
-        return Store(record.folder, record.max_size_bytes, record.fsync, on_step=step)
+    except StoreCorruptError as error:
+        aside = set_aside(Path(settings.folder))
+        structlog.get_logger("store").error("store set aside", reason=str(error), now=str(aside))
+        return Store(settings.folder, settings.max_size_bytes, settings.fsync, on_step=on_step)
+    return store
 
 
-class StoreWriter:
-    """One pilot's store.  `put` is where news for the deciding thread goes; it may block this thread alone."""
+class Submission(NamedTuple):
+    """Entries to write, and the revision that is durable once they are."""
+
+    revision: int
+    entries: list[Entry]
 
-    def __init__(self, record: StoreSettings, store: Store, life: str, put: Callable[[tuple], None]) -> None:
-        self.record, self.store, self.life, self.put = record, store, life, put
-        self.jobs: queue.Queue[tuple[int, list[Entry]]] = queue.Queue()
-        self.numbers: dict[int, int] = {}
-        self.journal = store.last_number(JOURNAL, b"")
+
+class StoreWriter:
+    """One controller's store.
+
+    The deciding thread makes entries and submits them; `run` is the store's thread, which alone writes.  What both use
+    is the queue of submissions.  `put` takes events for the deciding thread; it may block the store's thread.
+    """
+
+    def __init__(
+        self, settings: StoreSettings, store: Store, incarnation: str, put: Callable[[tuple[Any, ...]], None]
+    ) -> None:
+        self.settings, self.store, self.incarnation, self.put = settings, store, incarnation, put
+        self.submissions: queue.Queue[Submission] = queue.Queue()
+        self.version_numbers: dict[int, int] = {}  # the last, by table
+        self.journal_number = store.last_number(JOURNAL, b"")
         self.stopping = threading.Event()
-        self.failed = ""
-        self.asked: set[bytes] = set()  # wishes that have been handed over
-        self.commits, self.commit_ms, self.worst_ms, self.left_out = 0, 0.0, 0.0, 0
+        self.failure = ""  # why the store is no longer written; empty: it is
+        self.delivered_commands: set[bytes] = set()  # keys of operators' commands that the deciding thread has
+        self.commits, self.commit_ms, self.max_commit_ms, self.skipped_journal_rows = 0, 0.0, 0.0, 0
         self.log = structlog.get_logger("store")
 
     # in the deciding thread
 
-    def start_news(self) -> tuple:
-        """What the last life left: the newest versions of each table, and its pins."""
+    def start_news(self) -> tuple[Any, ...]:
+        """Returns what the last incarnation left: the newest versions of each table, and its pins."""
         tables: dict[int, list[VersionRow]] = {}
         for _, row in self.store.rows(VERSIONS):
             tables.setdefault(row.table, []).append(row)
-        pins = [pin for _, pin in self.store.rows(PINS)]
-        versions = [row for rows in tables.values() for row in rows[-self.record.recovered_versions :]]
-        names = {(row.table, row.name): row for rows in tables.values() for row in rows}
-        pinned = [
-            [told(names[pin.table, pin.name]), pin.cause, pin.operator]
-            for pin in pins
-            if (pin.table, pin.name) in names
-        ]
-        for pin in pins:
-            if (pin.table, pin.name) not in names:
-                self.log.error("pin passed over", table=pin.table, version=pin.name, reason="its version is not kept")
-        return ("store", "opened", [time.time() * 1000.0, [told(row) for row in versions]], pinned)
-
-    def version(self, version: TableVersion, wall_ms: float) -> Entry:
-        """A version as a row of its table."""
+        recovered = [row for rows in tables.values() for row in rows[-self.settings.recovered_versions :]]
+        by_name = {(row.table, row.name): row for rows in tables.values() for row in rows}
+        pinned = []
+        for _, pin in self.store.rows(PINS):
+            if row := by_name.get((pin.table, pin.name)):
+                pinned.append([version_values(row), pin.cause, pin.operator])
+            else:
+                reason = "its version is not kept"
+                self.log.error("pin passed over", table=pin.table, version=pin.name, reason=reason)
+        return ("store", "opened", [time.time() * 1000.0, [version_values(row) for row in recovered]], pinned)
+
+    def version_entry(self, version: TableVersion, wall_ms: float) -> Entry:
+        """Returns a version as the next row of its table."""
         table = version.table
-        if table not in self.numbers:
-            self.numbers[table] = self.store.last_number(VERSIONS, number_key(table))
-        self.numbers[table] += 1
+        if table not in self.version_numbers:
+            self.version_numbers[table] = self.store.last_number(VERSIONS, number_key(table))
+        self.version_numbers[table] += 1
         row = VersionRow(
-            version.name, table, version.parent, version.cause, version.operator, wall_ms, self.life, version.revision,
-            sorted(version.weights.items()), sorted((place, *level) for place, level in version.admission.items()),
-        )  # fmt: skip
-        return Entry(VERSIONS, number_key(table, self.numbers[table]), row)
-
-    def hold(self, node: str, order: int, wall_ms: float) -> Entry:
-        return Entry(ACKNOWLEDGED_UPDATES, node.encode()[:400], AcknowledgedUpdate(node, self.life, order, wall_ms))
-
-    def orders(self, order: int, wall_ms: float, orders: list[Any]) -> list[Entry]:
-        """An order's journal row, unless the disk is behind."""
-        if self.jobs.qsize() > WAITING_MOST:
-            self.left_out += 1
+            name=version.name,
+            table=table,
+            parent=version.parent,
+            cause=version.cause,
+            operator=version.operator,
+            wall_ms=wall_ms,
+            incarnation=self.incarnation,
+            revision=version.revision,
+            weights=sorted(version.weights.items()),
+            admission=sorted((class_index, *limit) for class_index, limit in version.admission.items()),
+        )
+        return Entry(VERSIONS, number_key(table, self.version_numbers[table]), row)
+
+    def acknowledged_entry(self, node: str, revision: int, wall_ms: float) -> Entry:
+        """Returns the newest revision that a proxy has acknowledged."""
+        row = AcknowledgedUpdate(node, self.incarnation, revision, wall_ms)
+        return Entry(ACKNOWLEDGED_UPDATES, node.encode()[:MAX_NODE_KEY_BYTES], row)
+
+    def journal_entries(self, revision: int, wall_ms: float, orders: list[Any]) -> list[Entry]:
+        """Returns the journal row of what the planner wrote in an update; none while the disk is behind."""
+        if self.submissions.qsize() > MAX_WAITING:
+            self.skipped_journal_rows += 1
             return []
-        self.journal += 1
-        return [Entry(JOURNAL, number_key(self.journal), [self.life, order, wall_ms, orders])]
+        self.journal_number += 1
+        return [Entry(JOURNAL, number_key(self.journal_number), [self.incarnation, revision, wall_ms, orders])]
 
     @staticmethod
-    def pinned(version: TableVersion, wall_ms: float) -> Entry:
+    def pin_entry(version: TableVersion, wall_ms: float) -> Entry:
+        """Returns the pin of a table to a version."""
         row = PinRow(version.table, version.name, version.operator, wall_ms, version.cause)
         return Entry(PINS, number_key(version.table), row)
 
     @staticmethod
-    def released(table: int) -> Entry:
+    def release_entry(table: int) -> Entry:
+        """Returns the removal of a table's pin."""
         return Entry(PINS, number_key(table), None)
 
     @staticmethod
-    def done(key: str) -> Entry:
-        """A wish that has been granted."""
+    def command_done_entry(key: str) -> Entry:
+        """Returns the removal of an operator's command that was carried out."""
         return Entry(OPERATOR_COMMANDS, bytes.fromhex(key), None)
 
-    def hand_over(self, order: int, entries: list[Entry]) -> None:
-        """To be durable; `order` is told as stored once it is."""
-        if not self.failed:
-            self.jobs.put((order, entries))
+    def submit(self, revision: int, entries: list[Entry]) -> None:
+        """Submits entries to be written; the revision is reported as durable once they are."""
+        if not self.failure:
+            self.submissions.put(Submission(revision, entries))
 
-    # its thread
+    # in the store's thread
 
     def run(self) -> None:
-        """Commit groups, look for wishes, drop what is kept no longer."""
-        looked = retained = 0.0
+        """Writes submissions, delivers operators' commands and applies the retention until `stop`; closes the store."""
         try:
-            life = IncarnationRow(self.life, time.time() * 1000.0)
-            self.store.write([Entry(INCARNATIONS, LIFE, life)])
-            while True:
-                group = self.group()
-                if group:
-                    self.commit(group)
-                now = time.monotonic()
-                if now - looked > self.record.operator_poll_interval_ms / 1000.0:
-                    looked = now
-                    self.look()
-                if now - retained > RETAIN_S:
-                    retained = now
-                    self.retain()
-                if self.stopping.is_set() and self.jobs.empty():
-                    break
-            life.ended_ms = time.time() * 1000.0
-            self.store.write([Entry(INCARNATIONS, LIFE, life)])
-        except StoreError as trouble:
-            self.fail(trouble)
+            incarnation = IncarnationRow(self.incarnation, time.time() * 1000.0)
+            self.store.write([Entry(INCARNATIONS, INCARNATION_KEY, incarnation)])
+            self._serve()
+            incarnation.ended_ms = time.time() * 1000.0
+            self.store.write([Entry(INCARNATIONS, INCARNATION_KEY, incarnation)])
+        except StoreError as error:
+            self._fail(error)
         finally:
             with contextlib.suppress(Exception):
                 self.store.close()
 
-    def group(self) -> list[tuple[int, list[Entry]]]:
-        """What waits, as one commit; waits itself for the first."""
+    def _serve(self) -> None:
+        polled_s = retained_s = 0.0
+        while True:
+            group = self._next_group()
+            if group:
+                self._commit(group)
+            now_s = time.monotonic()
+            if now_s - polled_s > self.settings.operator_poll_interval_ms / 1000.0:
+                polled_s = now_s
+                self._deliver_commands()
+            if now_s - retained_s > RETENTION_INTERVAL_S:
+                retained_s = now_s
+                self._apply_retention()
+            if self.stopping.is_set() and self.submissions.empty():
+                return
+
+    def _next_group(self) -> list[Submission]:
+        """Returns what has been submitted, for one commit; waits a while for the first."""
         try:
-            group = [self.jobs.get(timeout=self.record.operator_poll_interval_ms / 1000.0)]
+            group = [self.submissions.get(timeout=self.settings.operator_poll_interval_ms / 1000.0)]
         except queue.Empty:
             return []
-        while len(group) < GROUP_MOST and not self.jobs.empty():
-            group.append(self.jobs.get())
+        while len(group) < MAX_GROUP and not self.submissions.empty():
+            group.append(self.submissions.get())
         return group
 
-    def commit(self, group: list[tuple[int, list[Entry]]]) -> None:
-        begun = time.monotonic()
-        self.store.write([entry for _, entries in group for entry in entries])
-        took_ms = (time.monotonic() - begun) * 1000.0
+    def _commit(self, group: list[Submission]) -> None:
+        begun_s = time.monotonic()
+        self.store.write([entry for submission in group for entry in submission.entries])
+        took_ms = (time.monotonic() - begun_s) * 1000.0
         self.commits, self.commit_ms = self.commits + 1, self.commit_ms + took_ms
-        self.worst_ms = max(self.worst_ms, took_ms)
-        self.put(("store", "stored", max(order for order, _ in group), []))
-
-    def look(self) -> None:
-        """Hand over the operators' wishes, with the versions that they name."""
-        wishes = self.store.rows(OPERATOR_COMMANDS)
-        self.asked &= {key for key, _ in wishes}
-        for key, wish in wishes:
-            if key in self.asked:
+        self.max_commit_ms = max(self.max_commit_ms, took_ms)
+        self.put(("store", "stored", max(submission.revision for submission in group), []))
+
+    def _deliver_commands(self) -> None:
+        """Delivers each operator's command once, with the versions that it names."""
+        commands = self.store.rows(OPERATOR_COMMANDS)
+        self.delivered_commands &= {key for key, _ in commands}
+        for key, command in commands:
+            if key in self.delivered_commands:
                 continue
-            self.asked.add(key)
-            found = []
-            for table, name in wish.targets:
+            self.delivered_commands.add(key)
+            targets = []
+            for table, name in command.targets:
                 rows = [row for row in self.store.versions(table) if row.name == name]
-                found.append([table, told(rows[-1]) if rows else []])
-            self.put(("store", "wish", key.hex(), [wish.kind, found, wish.operator]))
+                targets.append([table, version_values(rows[-1]) if rows else []])
+            self.put(("store", "wish", key.hex(), [command.kind, targets, command.operator]))
+
+    def _apply_retention(self) -> None:
+        settings = self.settings
+        max_age_ms = settings.keep_hours * MS_PER_HOUR
+        self.store.apply_retention(time.time() * 1000.0, settings.keep_versions, max_age_ms, settings.keep_orders)
 
-    def retain(self) -> None:
-        record = self.record
-        age_ms = record.keep_hours * 3_600_000.0
-        self.store.apply_retention(time.time() * 1000.0, record.keep_versions, age_ms, record.keep_orders)
+    def _fail(self, error: StoreError) -> None:
+        """Goes on without a store: no update waits for it any more."""
+        self.failure = str(error)
+        self.log.error("store lost", kind=error.reason, reason=str(error))
+        self.put(("store", "lost", str(error), []))
 
-    def fail(self, trouble: StoreError) -> None:
-        """Go on without a store: no push waits for it any more."""
-        self.failed = str(trouble)
-        self.log.error("store lost", kind=trouble.reason, reason=str(trouble))
-        self.put(("store", "lost", str(trouble), []))
+    # for both
 
     def stop(self) -> None:
+        """Asks the store's thread to write what was submitted and to end; does not wait for it."""
         self.stopping.set()
 
     def figures(self) -> dict[str, float]:
-        """Commits so far, their mean and worst time."""
-        mean = self.commit_ms / self.commits if self.commits else 0.0
-        return {"commits": self.commits, "mean_ms": round(mean, 3), "worst_ms": round(self.worst_ms, 3)}
+        """Returns the commits so far, their mean and worst time in milliseconds, for the log."""
+        mean_ms = self.commit_ms / self.commits if self.commits else 0.0
+        return {"commits": self.commits, "mean_ms": round(mean_ms, 3), "worst_ms": round(self.max_commit_ms, 3)}
 
 
-def told(row: VersionRow) -> list[Any]:
-    """A version as plain values, for the deciding thread and its capture."""
-    return [row.name, row.table, row.parent, row.cause, row.operator, row.wall_ms, [list(line) for line in row.weights],
-            [list(level) for level in row.admission]]  # fmt: skip
+def version_values(row: VersionRow) -> list[Any]:
+    """Returns a version as plain values, as the deciding thread and its recording take it."""
+    weights = [list(weight) for weight in row.weights]
+    admission = [list(limit) for limit in row.admission]
+    return [row.name, row.table, row.parent, row.cause, row.operator, row.wall_ms, weights, admission]
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -30,7 +30,7 @@
     pack,
 )
 from quillstep.store.store import SCHEMA_KEY, set_aside
-from quillstep.store.writer import opened
+from quillstep.store.writer import open_store
 
 
 def row(number, table=0, weight=10.0, wall_ms=1000.0):
@@ -80,7 +80,7 @@
     spoilt(folder)
     assert "checksum" in Store(folder, write=False).check()["bad"][0]
     record = StoreSettings(folder=str(folder))
-    fresh = opened(record)
+    fresh = open_store(record)
     assert fresh.rows(PINS) == [] and len(list(tmp_path.glob("s.aside-*"))) == 1
 
 
@@ -117,7 +117,7 @@
 def test_a_store_of_a_newer_schema_is_neither_opened_nor_set_aside(tmp_path):
     Store(tmp_path / "s").write([Entry(META, SCHEMA_KEY, SCHEMA + 1)])
     with pytest.raises(StoreError, match=f"schema {SCHEMA + 1}"):
-        opened(StoreSettings(folder=str(tmp_path / "s")))
+        open_store(StoreSettings(folder=str(tmp_path / "s")))
     assert not list(tmp_path.glob("s.aside-*"))
     assert set_aside(tmp_path / "s").exists() and not (tmp_path / "s").exists()
 
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -16,34 +16,34 @@
     PinRow,
     number_key,
 )
-from quillstep.store.writer import StoreWriter, opened
+from quillstep.store.writer import StoreWriter, open_store
 from quillstep.xds.resources import LEDS
 
 
 def test_the_writer_reports_what_is_durable_and_hands_over_a_command_once(tmp_path):
     record = StoreSettings(folder=str(tmp_path / "s"), operator_poll_interval_ms=5.0)
-    news, woken = [], threading.Event()
+    events, woken = [], threading.Event()
 
     def put(each):
-        news.append(each)
+        events.append(each)
         if each[1] == "wish":
             woken.set()
 
-    keeper = StoreWriter(record, opened(record), "e", put)
-    thread = threading.Thread(target=keeper.run)
+    writer = StoreWriter(record, open_store(record), "e", put)
+    thread = threading.Thread(target=writer.run)
     thread.start()
     version = TableVersion("v1", 0, "", "module", "", 0.0, 1, {1: 10.0}, {0: (5.0, 1)})
-    pin = keeper.pinned(version._replace(cause="rollback", operator="op"), 7.0)
-    keeper.hand_over(1, [keeper.version(version, 7.0), pin])
-    keeper.store.write([Entry(OPERATOR_COMMANDS, number_key(9), OperatorCommand("rollback", [(0, "v1")], "op", 7.0))])
+    pin = writer.pin_entry(version._replace(cause="rollback", operator="op"), 7.0)
+    writer.submit(1, [writer.version_entry(version, 7.0), pin])
+    writer.store.write([Entry(OPERATOR_COMMANDS, number_key(9), OperatorCommand("rollback", [(0, "v1")], "op", 7.0))])
     assert woken.wait(20.0)
-    keeper.hand_over(2, [keeper.done(number_key(9).hex())])
-    keeper.stop()
+    writer.submit(2, [writer.command_done_entry(number_key(9).hex())])
+    writer.stop()
     thread.join(20.0)
-    assert ("store", "stored", 1, []) in news and ("store", "stored", 2, []) in news
-    (wish,) = [each for each in news if each[1] == "wish"]
+    assert ("store", "stored", 1, []) in events and ("store", "stored", 2, []) in events
+    (wish,) = [each for each in events if each[1] == "wish"]
     assert version_from_row(wish[3][1][0][1]).weights == {1: 10.0}
-    fresh = StoreWriter(record, opened(record), "f", put)
+    fresh = StoreWriter(record, open_store(record), "f", put)
     assert fresh.store.rows(OPERATOR_COMMANDS) == [] and fresh.store.rows(INCARNATIONS)[0][1].ended_ms > 0
     kind, what, versions, pins = fresh.start_news()
     assert (kind, what, len(versions[1])) == ("store", "opened", 1) and pins[0][1:] == ["rollback", "op"]
@@ -51,7 +51,7 @@
 
 def test_a_pin_whose_version_is_gone_is_skipped_with_a_log_line(tmp_path, capsys):
     record = StoreSettings(folder=str(tmp_path / "s"))
-    store = opened(record)
+    store = open_store(record)
     store.write([Entry(PINS, number_key(0), PinRow(0, "gone", "op", 5.0))])
     assert StoreWriter(record, store, "e", print).start_news()[3] == []
     assert "pin passed over" in "".join(capsys.readouterr())
@@ -59,12 +59,12 @@
 
 def test_a_store_that_fills_up_is_closed_and_the_controller_goes_on(tmp_path):
     record = StoreSettings(folder=str(tmp_path / "s"), max_size_bytes=2**20, operator_poll_interval_ms=5.0)
-    news = []
-    keeper = StoreWriter(record, opened(record), "e", news.append)
+    events = []
+    writer = StoreWriter(record, open_store(record), "e", events.append)
     for at in range(200):
-        keeper.hand_over(at, [Entry(JOURNAL, number_key(at + 1), ["e", at, 0.0, ["x" * 20000]])])
-    keeper.run()
-    assert news[-1][1] == "lost" and "full" in keeper.failed or "no room" in keeper.failed
+        writer.submit(at, [Entry(JOURNAL, number_key(at + 1), ["e", at, 0.0, ["x" * 20000]])])
+    writer.run()
+    assert events[-1][1] == "lost" and "full" in writer.failure or "no room" in writer.failure
 
 
 def test_an_update_waits_to_be_durable_unless_it_ejects_or_the_disk_is_late():
