--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -13,7 +13,7 @@
 from quillstep.bench.streams import day_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, Rule, check_invariants
-from quillstep.model_checking.runner import prove
+from quillstep.model_checking.runner import check_all
 from quillstep.testbed.scenarios.runner import Arm, play_arm
 from quillstep.testbed.scenarios.service_quality import service
 from quillstep.tracing.report import lineage_of, summary
@@ -141,7 +141,7 @@
     rows = [measure(day, name, folder / f"lineage-{name}-{turn}") for turn in range(turns) for name in ARMS]
     cpu = {name: sum(row["pilot_cpu_of_a_core"] for row in rows if row["arm"] == name) / turns for name in ARMS}
     slow = [spread(max(8, proxies // 8), way, folder / f"slow-{way}") for way in (True, False)]
-    model = prove(depth)
+    model = check_all(depth)
     traced = [row for row in rows if "untraced" in row]
     return {
         "bench": "lineage", "machine": f"{platform.machine()}, Python {platform.python_version()}",
--- a/quillstep/cli/model_checking.py
+++ b/quillstep/cli/model_checking.py
@@ -19,9 +19,9 @@
 
     The last line of standard output is one JSON object; status 1 if anything is wrong or a mutant is not found.
     """
-    from quillstep.model_checking.runner import prove
+    from quillstep.model_checking.runner import check_all
 
-    result = prove(depth)
+    result = check_all(depth)
     table = Table(title="the stream protocol, within bounds")
     for name in (*COLUMNS, "run"):
         table.add_column(name, justify="right" if name in NUMERIC_COLUMNS else "left")
--- a/quillstep/model_checking/__init__.py
+++ b/quillstep/model_checking/__init__.py
@@ -1,4 +1,4 @@
-"""The stream protocol proved within bounds: a bounded model for z3, and all states of the real tables nearby.
+"""Model checking of the stream protocol: bounded models for z3, and all states of the real tables nearby.
 
-See docs/lineage.md.  Each property has broken twins that the same search must find.
+See docs/lineage.md.  Each property has mutants that the same search must find.
 """
--- a/quillstep/model_checking/bounded_model.py
+++ b/quillstep/model_checking/bounded_model.py
@@ -1,7 +1,8 @@
 """A bounded model checker: named variables, steps that each set some of them, unrolled for z3.  No I/O.
 
-A state is a row of bit vectors; a step has a condition and the values that it gives, all others stay.  `search` asks z3
-for a run of at most so many steps that ends in a bad state; no answer means that there is none within the bound.
+A state is a row of bit vectors; a step has a condition and the values that it sets, all other variables stay.  `search`
+asks z3 for a run of at most so many steps that ends in a bad state; no answer means that there is none within the
+bound.
 """
 
 import time
@@ -11,30 +12,37 @@
 
 import z3
 
-BITS = 4  # of a variable: enough for versions, nonces and clocks of a bounded run
-Row = Mapping[str, Any]  # variable to value
+from quillstep.errors import QuillstepError
+
+VARIABLE_BITS = 4  # enough for versions, nonces and clocks of a bounded run
+STEP_BITS = 8
+State = Mapping[str, Any]  # value, or expression, by variable
+
+
+class SearchError(QuillstepError):
+    """The solver gave up on a search."""
 
 
 class Step(NamedTuple):
-    """What may happen in a state: its name, when it may, and what it changes."""
+    """What may happen in a state: its name, under which condition, and the variables that it sets."""
 
     name: str
-    may: Any
-    sets: Row
+    condition: Any
+    sets: State
 
 
 @dataclass(slots=True)
 class Model:
-    """Variables with the values they start with, the steps of a state, and what must never be, by name."""
+    """Variables with their first values, the steps of a state, and the bad states by name."""
 
     first: dict[str, int]
-    steps: Callable[[Row], list[Step]]
-    bad: Mapping[str, Callable[[Row], Any]]
+    steps: Callable[[State], list[Step]]
+    bad: Mapping[str, Callable[[State], Any]]
 
 
 @dataclass(slots=True)
 class Found:
-    """What a search came to: the run to a bad state, empty if there is none within `depth` steps."""
+    """The result of a search: the run to a bad state, empty if there is none within `depth` steps."""
 
     name: str
     depth: int
@@ -43,51 +51,60 @@
 
 
 def value(number: int) -> Any:
-    return z3.BitVecVal(number, BITS)
+    """Returns a number as a value of a variable."""
+    return z3.BitVecVal(number, VARIABLE_BITS)
 
 
 def search(model: Model, name: str, depth: int) -> Found:
-    """The shortest run to a state that is bad by this name."""
-    begun = time.monotonic()
+    """Returns the shortest run to a state that is bad by this name.
+
+    Raises:
+        SearchError: The solver gave up.
+    """
+    begun_s = time.monotonic()
     solver = z3.SolverFor("QF_BV")
     names = list(model.first)
-    rows = [row(names, 0)]
-    solver.add([rows[0][each] == model.first[each] for each in names])
+    states = [state_at(names, 0)]
+    solver.add([states[0][each] == model.first[each] for each in names])
     chosen: list[Any] = []
     for at in range(depth + 1):
         solver.push()
-        solver.add(model.bad[name](rows[at]))
-        found = solver.check()
-        if found == z3.sat:
+        solver.add(model.bad[name](states[at]))
+        result = solver.check()
+        if result == z3.sat:
             answer = solver.model()
-            labels = [step.name for step in model.steps(rows[0])]
+            labels = [step.name for step in model.steps(states[0])]
             run = [labels[answer.eval(each, model_completion=True).as_long()] for each in chosen]
-            return Found(name, at, run, round(time.monotonic() - begun, 2))
-        if found != z3.unsat:
-            raise RuntimeError(f"z3 gave up on {name} at depth {at}: {solver.reason_unknown()}")
+            return Found(name, at, run, round(time.monotonic() - begun_s, 2))
+        if result != z3.unsat:
+            raise SearchError(f"z3 gave up on {name} at depth {at}: {solver.reason_unknown()}")
         solver.pop()
         if at == depth:
             break
-        solver.add(z3.Not(model.bad[name](rows[at])))
-        rows.append(row(names, at + 1))
-        chosen.append(z3.BitVec(f"step.{at}", 8))
-        solver.add(goes(model.steps(rows[at]), rows[at], rows[at + 1], chosen[at]))
-    return Found(name, depth, [], round(time.monotonic() - begun, 2))
+        solver.add(z3.Not(model.bad[name](states[at])))
+        states.append(state_at(names, at + 1))
+        chosen.append(z3.BitVec(f"step.{at}", STEP_BITS))
+        solver.add(transition(model.steps(states[at]), states[at], states[at + 1], chosen[at]))
+    return Found(name, depth, [], round(time.monotonic() - begun_s, 2))
+
 
+def state_at(names: list[str], at: int) -> State:
+    """Returns the variables of the state after so many steps."""
+    return {name: z3.BitVec(f"{name}.{at}", VARIABLE_BITS) for name in names}
 
-def row(names: list[str], at: int) -> Row:
-    return {name: z3.BitVec(f"{name}.{at}", BITS) for name in names}
 
+def transition(steps: list[Step], before: State, after: State, chosen: Any) -> Any:
+    """Returns the condition that one of the steps leads from a state to the next; `chosen` is its index.
 
-def goes(steps: list[Step], before: Row, after: Row, chosen: Any) -> Any:
-    """One of the steps leads from a state to the next; `chosen` is its place among them."""
+    Raises:
+        KeyError: A step sets a variable that the model does not have.
+    """
     for step in steps:
         unknown = set(step.sets) - set(before)
         if unknown:
             raise KeyError(f"step {step.name} sets what there is not: {sorted(unknown)}")
-    return z3.Or([
-        z3.And(
-            chosen == place, step.may, *[after[name] == step.sets.get(name, before[name]) for name in before]
-        )
-        for place, step in enumerate(steps)
-    ])  # fmt: skip
+    options = []
+    for index, step in enumerate(steps):
+        sets = [after[name] == step.sets.get(name, before[name]) for name in before]
+        options.append(z3.And(chosen == index, step.condition, *sets))
+    return z3.Or(options)
--- a/quillstep/model_checking/fuzz.py
+++ b/quillstep/model_checking/fuzz.py
@@ -1,4 +1,4 @@
-"""What reads bytes from peers, as targets for a fuzzer: each takes any bytes and may raise only what it says.
+"""Readers of bytes from peers as targets for a fuzzer: each takes any bytes and raises only what it states.
 
     pip install -r requirements-fuzz.txt
     python -m quillstep.model_checking.fuzz TARGET [options of libFuzzer, e.g. -max_total_time=60]
@@ -26,21 +26,21 @@
 from quillstep.xds.sotw import SotwStream
 from quillstep.xds.stream import StreamError
 
-MESSAGE_MOST = 4096
-FOLLOWED = ("quillstep", "h2", "hpack", "hyperframe")  # packages whose branches a fuzzer follows
+MAX_MESSAGE_BYTES = 4096
+INSTRUMENTED = ("quillstep", "h2", "hpack", "hyperframe")  # packages whose branches a fuzzer follows
 ENCODER = Encoder(CLASSES, 0.8)
 
 
 def frames(data: bytes) -> None:
-    """gRPC's framing: cut anywhere, the messages are the same."""
+    """Checks the framing of gRPC: cut anywhere, the messages are the same."""
 
     def cut(size: int) -> list[bytes] | int:
-        unframer, found = Unframer(MESSAGE_MOST), []
+        unframer, found = Unframer(MAX_MESSAGE_BYTES), []
         try:
             for at in range(0, len(data), size):
                 found += unframer.feed(data[at : at + size])
-        except FramingError as trouble:
-            return trouble.status
+        except FramingError as error:
+            return error.status
         return found
 
     size = 1 + (data[0] if data else 0) % 16
@@ -48,9 +48,9 @@
 
 
 def connection(data: bytes) -> None:
-    """HTTP/2 from a peer: nothing but ConnectionBroken, and what we owe it stays bounded."""
-    server = GrpcConnection(False, MESSAGE_MOST)
-    client = GrpcConnection(True, MESSAGE_MOST)
+    """Feeds an HTTP/2 connection: it raises nothing but ProtocolError, and what is to be sent stays bounded."""
+    server = GrpcConnection(False, MAX_MESSAGE_BYTES)
+    client = GrpcConnection(True, MAX_MESSAGE_BYTES)
     client.open("/m", "a")
     server.receive(client.pump())
     try:
@@ -61,18 +61,18 @@
 
 
 def requests(data: bytes) -> None:
-    """A row of requests, a byte of length before each, to both kinds of streams that stand."""
+    """Feeds requests, each after a byte with its length, to both kinds of open streams."""
     kinds: list[tuple[Any, Any]] = [
         (DeltaStream, discovery_pb2.DeltaDiscoveryRequest), (SotwStream, discovery_pb2.DiscoveryRequest)
     ]  # fmt: skip
     for kind, request in kinds:
-        pilot = ModelController(ENCODER, Tables)
-        pilot.begin()
-        stream = kind(pilot.tables, ENCODER, LIMITS, "e", ordered_ms)
-        pilot.tables.add_proxy(0, "a", {})
-        pilot.ways.add_proxy(0, True, 0)
+        controller = ModelController(ENCODER, Tables)
+        controller.begin()
+        stream = kind(controller.tables, ENCODER, LIMITS, "e", ordered_ms)
+        controller.tables.add_proxy(0, "a", {})
+        controller.retry_policies.add_proxy(0, True, 0)
         stream.proxy = 0
-        pilot.joined()
+        controller.assign()
         at, now_ms = 0, 0.0
         while at < len(data):
             size = data[at]
@@ -83,11 +83,11 @@
                 pass
             at, now_ms = at + 1 + size, now_ms + 100.0
             stream.pump(now_ms)
-        assert len(pilot.tables.proxies[0].in_flight_updates) <= LIMITS.max_in_flight + 5
+        assert len(controller.tables.proxies[0].in_flight_updates) <= LIMITS.max_in_flight + 5
 
 
 def report(data: bytes) -> None:
-    """A load report: whatever reads as one becomes plain values."""
+    """Reads a load report: whatever parses as one becomes plain values."""
     try:
         request = lrs_pb2.LoadStatsRequest.FromString(data)
     except DecodeError:
@@ -96,7 +96,7 @@
 
 
 def names(data: bytes) -> None:
-    """A resource's name: what is ours comes back as it was, all else stays what it is."""
+    """Converts a resource name to a key and back."""
     text = data.decode("utf-8", "replace")
     url, _, named = text.partition(" ")
     key = key_of(url, named)
@@ -104,7 +104,7 @@
 
 
 def acknowledgement(data: bytes) -> None:
-    """A proxy's word on a generation of files."""
+    """Reads a proxy's acknowledgement of a generation of files."""
     try:
         number, reason = read_ack(data)
     except ValueError:
@@ -119,15 +119,15 @@
 
 
 def main() -> None:
-    """As libFuzzer's driver."""
+    """Runs libFuzzer on the target that the first argument names."""
     import atheris
 
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     if name not in TARGETS:
         sys.exit(f"name one of {', '.join(TARGETS)}")
-    for module in [each for each in sys.modules if each.partition(".")[0] in FOLLOWED]:
-        del sys.modules[module]  # they come again, with their branches counted
-    with atheris.instrument_imports(include=list(FOLLOWED)):
+    for module in [each for each in sys.modules if each.partition(".")[0] in INSTRUMENTED]:
+        del sys.modules[module]  # imported again below, instrumented
+    with atheris.instrument_imports(include=list(INSTRUMENTED)):
         target = importlib.import_module("quillstep.model_checking.fuzz").TARGETS[name]
     atheris.Setup([sys.argv[0], *sys.argv[2:]], target)
     atheris.Fuzz()
--- a/quillstep/model_checking/mutants.py
+++ b/quillstep/model_checking/mutants.py
@@ -1,93 +1,104 @@
-"""Broken twins of the real tables: each breaks one thing that `explore` must find."""
+"""Mutants of the real tables: each breaks one thing, which `explore` must find.
 
-from collections.abc import Callable
+The keys of `MUTANTS` are shown in reports.
+"""
+
+from collections.abc import Callable, Mapping
 from typing import Any
 
 from quillstep.routing import Change, Key, Nack, ProxyState, Tables
 from quillstep.routing.changes import InFlightUpdate
 
 
-class HeldAtSending(Tables):
-    """What has been sent counts as held."""
+class AcknowledgesWhenSent(Tables):
+    """What has been sent counts as acknowledged."""
 
-    def record_sent(self, proxy: int, nonce: str, changes: list[Change], now_ms: float, lane: str = "") -> None:
-        super().record_sent(proxy, nonce, changes, now_ms, lane)
-        for key, want in changes:
-            if want:
-                self.proxies[proxy].acknowledged[key] = want.version
+    def record_sent(self, proxy: int, nonce: str, changes: list[Change], now_ms: float, type_url: str = "") -> None:
+        """Records the changes as acknowledged, too."""
+        super().record_sent(proxy, nonce, changes, now_ms, type_url)
+        for key, resource in changes:
+            if resource:
+                self.proxies[proxy].acknowledged[key] = resource.version
 
 
-class OldWordOnNew(Tables):
-    """A word counts for the newest that was sent, whichever it is on."""
+class AcknowledgesNewest(Tables):
+    """An acknowledgement counts for the newest version in flight, whichever it is for."""
 
     def record_ack(self, proxy: int, nonce: str, now_ms: float = 0.0) -> list[Change]:
+        """Records the newest versions of the acknowledged keys."""
         found = super().record_ack(proxy, nonce, now_ms)
-        ledger = self.proxies[proxy]
+        state = self.proxies[proxy]
         for key, _ in found:
-            if (newest := ledger.in_flight.pop(key, None)) and newest.version:
-                ledger.acknowledged[key] = newest.version
+            if (newest := state.in_flight.pop(key, None)) and newest.version:
+                state.acknowledged[key] = newest.version
         return found
 
 
-class Forgiving(ProxyState):
-    """A response that has no word, and never will, is not missed."""
+class ForgetsLostUpdates(ProxyState):
+    """An update that was overtaken by the acknowledgement of a later one is not sent again."""
 
     def end_in_flight(self, nonce: str, now_ms: float) -> InFlightUpdate | None:
+        """Leaves earlier updates in flight."""
         return self.in_flight_updates.pop(nonce, None)
 
 
-class LostAndNotMissed(Tables):
-    """See Forgiving."""
+class TablesForgetLostUpdates(Tables):
+    """See ForgetsLostUpdates."""
 
-    proxy_state_type = Forgiving
+    proxy_state_type = ForgetsLostUpdates
 
 
-class RefusedForGood(Tables):
-    """A withdrawal that was refused is set apart like anything else."""
+class NeverRetriesNacked(Tables):
+    """A rejected ejection is held back like anything else."""
 
     def record_nack(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Nack | None:
+        """Drops the retries."""
         found = super().record_nack(proxy, nonce, reason, now_ms, whole)
         self.proxies[proxy].nack_retries_ms.clear()
         return found
 
 
-class Hasty(ProxyState):
-    """Nothing waits for anything."""
+class NeverWaits(ProxyState):
+    """No change waits for another: break before make."""
 
-    def must_wait(self, change: Change, wants: Callable[[Key], bool]) -> bool:
+    def must_wait(self, change: Change, subscribed: Callable[[Key], bool]) -> bool:
+        """Returns False for all changes."""
         return False
 
 
-class NobodyWaits(Tables):
-    """See Hasty."""
+class TablesNeverWait(Tables):
+    """See NeverWaits."""
 
-    proxy_state_type = Hasty
+    proxy_state_type = NeverWaits
 
 
 class TrustsItsMemory(Tables):
-    """A proxy that comes back is taken to hold what it held here last, whatever it says."""
+    """A proxy that comes back is taken to hold what it held here last, whatever it reports."""
 
-    def __init__(self, *facts: Any, **more: Any) -> None:
-        super().__init__(*facts, **more)
+    def __init__(self, *arguments: Any, **options: Any) -> None:
+        super().__init__(*arguments, **options)
         self.last: dict[Key, str] = {}
 
-    def add_proxy(self, proxy: int, zone: str, held: Any) -> ProxyState:
-        return super().add_proxy(proxy, zone, self.last or held)
+    def add_proxy(self, proxy: int, zone: str, reported: Mapping[Key, str]) -> ProxyState:
+        """Adds a proxy with what it held last."""
+        return super().add_proxy(proxy, zone, self.last or reported)
 
-    def add_reported(self, proxy: int, held: Any) -> None:
-        super().add_reported(proxy, {} if self.last else held)
+    def add_reported(self, proxy: int, reported: Mapping[Key, str]) -> None:
+        """Ignores what a proxy reports where it was here before."""
+        super().add_reported(proxy, {} if self.last else reported)
 
     def remove_proxy(self, proxy: int) -> None:
+        """Remembers what a proxy holds."""
         if proxy in self.proxies:
             self.last = dict(self.proxies[proxy].acknowledged)
         super().remove_proxy(proxy)
 
 
-TWINS: dict[str, type[Tables]] = {
-    "held at sending": HeldAtSending,
-    "old word on new": OldWordOnNew,
-    "lost and not missed": LostAndNotMissed,
-    "refused for good": RefusedForGood,
-    "nobody waits": NobodyWaits,
+MUTANTS: dict[str, type[Tables]] = {
+    "held at sending": AcknowledgesWhenSent,
+    "old word on new": AcknowledgesNewest,
+    "lost and not missed": TablesForgetLostUpdates,
+    "refused for good": NeverRetriesNacked,
+    "nobody waits": TablesNeverWait,
     "trusts its memory": TrustsItsMemory,
 }
--- a/quillstep/model_checking/runner.py
+++ b/quillstep/model_checking/runner.py
@@ -1,10 +1,13 @@
-"""All that is proved, and all twins: what `quillstep prove` runs, on all cores."""
+"""All searches and mutants that `quillstep check-model` runs, on all cores.
+
+The values of `by`, `what` and `twin`, and the names of the fields, are those of earlier reports.
+"""
 
 import os
 from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
-from typing import Any
+from typing import Any, NamedTuple
 
 from quillstep.model_checking import message_limit_model, mutants, rollback_model, stream_model
 from quillstep.model_checking.bounded_model import search
@@ -12,46 +15,67 @@
 from quillstep.routing import Tables
 
 MODELS: dict[str, Any] = {"stream": stream_model, "way back": rollback_model}
-TWIN_DEPTH = 9  # steps within which each twin of the model is looked for
-STATES_MOST = 60_000  # of one exploration
-MESSAGES, GAP, JOINS = 20, 1.2, 2  # the settings' limit; the module's gap between orders, in parts of its even share
-
-
-def task(name: str, what: str, twin: str, depth: int) -> dict[str, Any]:
-    """One search; a twin's must find something."""
-    row: dict[str, Any] = {"by": name, "what": what, "twin": twin}
-    if name in MODELS:
-        run = search(MODELS[name].model(twin), what, depth)
-        return {**row, "depth": run.depth, "run": run.run, "took_s": run.took_s}
-    found = explore(depth, STATES_MOST, mutants.TWINS[twin] if twin else Tables)
-    told = found.run + [found.wrong] if found.wrong else []
-    return {**row, "depth": found.depth, "run": told, "took_s": found.took_s, "states": found.states}
-
-
-def tasks(depth: int) -> Iterator[tuple[str, str, str, int]]:
-    """`depth`: steps of the model; the real code is explored half as deep."""
-    for name, one in MODELS.items():
-        for what in one.BAD:
-            yield name, what, "", depth
-    yield "code", "all", "", depth // 2
-    for name, one in MODELS.items():
-        for twin, what in one.TWINS.items():
-            yield name, what, twin, TWIN_DEPTH
-    for twin in mutants.TWINS:
-        yield "code", "all", twin, 7
-
-
-def prove(depth: int) -> dict[str, Any]:
-    """Rows of all searches; `wrong` counts runs to a bad state in what must have none, `twins_found` the others."""
+REAL_CODE = "code"  # the search that explores the real tables
+MUTANT_DEPTH = 9  # steps within which each mutant of a model is found
+REAL_MUTANT_DEPTH = 7  # and of the real tables
+MAX_STATES = 60_000  # of one exploration
+MAX_MESSAGES = 20  # the default limit of messages to one proxy
+UPDATE_INTERVAL = 1.2  # the planner's, in units of the limit's window / MAX_MESSAGES
+MAX_JOINS = 2
+
+
+class Search(NamedTuple):
+    """One search: what is searched, for which bad state, with which mutant (empty: none), how many steps deep."""
+
+    by: str
+    what: str
+    mutant: str
+    depth: int
+
+
+def run_search(task: Search) -> dict[str, Any]:
+    """Returns the result of one search as a row; one with a mutant must find a run."""
+    row: dict[str, Any] = {"by": task.by, "what": task.what, "twin": task.mutant}
+    if task.by in MODELS:
+        found = search(MODELS[task.by].model(task.mutant), task.what, task.depth)
+        return {**row, "depth": found.depth, "run": found.run, "took_s": found.took_s}
+    explored = explore(task.depth, MAX_STATES, mutants.MUTANTS[task.mutant] if task.mutant else Tables)
+    run = [*explored.run, explored.wrong] if explored.wrong else []
+    return {**row, "depth": explored.depth, "run": run, "took_s": explored.took_s, "states": explored.states}
+
+
+def searches(depth: int) -> Iterator[Search]:
+    """Yields all searches; the real code is explored half as deep as the models."""
+    for name, module in MODELS.items():
+        for what in module.BAD_STATES:
+            yield Search(name, what, "", depth)
+    yield Search(REAL_CODE, "all", "", depth // 2)
+    for name, module in MODELS.items():
+        for mutant, what in module.MUTANTS.items():
+            yield Search(name, what, mutant, MUTANT_DEPTH)
+    for mutant in mutants.MUTANTS:
+        yield Search(REAL_CODE, "all", mutant, REAL_MUTANT_DEPTH)
+
+
+def check_all(depth: int) -> dict[str, Any]:
+    """Runs all searches, each in a process of its own.
+
+    `wrong` counts the runs to a bad state where there must be none, `twins_found` the mutants that were found.
+    """
     with ProcessPoolExecutor(os.cpu_count(), mp_context=get_context("spawn")) as pool:
-        rows = list(pool.map(task, *zip(*tasks(depth), strict=True)))
-    limit = {joins: message_limit_model.safe_delay(MESSAGES, GAP / MESSAGES, joins) for joins in range(JOINS + 1)}
-    whole = [row for row in rows if not row["twin"]]
-    broken = [row for row in rows if row["twin"]]
+        rows = list(pool.map(run_search, searches(depth)))
+    delays = {
+        str(joins): message_limit_model.max_safe_delay(MAX_MESSAGES, UPDATE_INTERVAL / MAX_MESSAGES, joins)
+        for joins in range(MAX_JOINS + 1)
+    }
+    originals = [row for row in rows if not row["twin"]]
+    mutated = [row for row in rows if row["twin"]]
     return {
-        "rows": rows, "states": sum(row.get("states", 0) for row in whole),
+        "rows": rows,
+        "states": sum(row.get("states", 0) for row in originals),
         "took_s": round(max(row["took_s"] for row in rows), 1),
-        "gap_alone_suffices_to_delay": {str(joins): part for joins, part in limit.items()},
-        "wrong": sum(bool(row["run"]) for row in whole),
-        "twins": len(broken), "twins_found": sum(bool(row["run"]) for row in broken),
-    }  # fmt: skip
+        "gap_alone_suffices_to_delay": delays,
+        "wrong": sum(bool(row["run"]) for row in originals),
+        "twins": len(mutated),
+        "twins_found": sum(bool(row["run"]) for row in mutated),
+    }
--- a/tests/routing/test_retry_policies.py
+++ b/tests/routing/test_retry_policies.py
@@ -12,64 +12,64 @@
 SAFE, KEYED, UNSAFE = (max_retry_policy(each) for each in ("safe", "keyed", "unsafe"))
 
 
-def loose(ways, now):
-    return {row.class_index: row.proxies for row in ways.excesses(now)}
+def exceeding_proxies(policies, now):
+    return {row.class_index: row.proxies for row in policies.excesses(now)}
 
 
 def test_a_lower_policy_is_in_effect_when_acknowledged_and_the_last_request_is_over():
-    ways = RetryPolicies([UNSAFE], [1000.0])
-    ways.add_proxy(1, True, 0)
-    ways.allowed = [2]
-    ways.record_sent(1, "a", {0: 2})
-    ways.record_ack(1, "a", 100.0)
-    ways.allowed = [UNSAFE]  # as new settings would have it
-    ways.has_changed = True
-    assert loose(ways, 200.0) == {0: [1]}
-    ways.record_sent(1, "b", {0: 1})
-    assert loose(ways, 300.0) == {0: [1]}  # sent is not held
-    ways.record_ack(1, "b", 400.0)
-    assert [(told.exceeding, told.compliant) for told in ways.changes(1350.0)] == [([1], [])]
-    assert loose(ways, 1399.0) == {0: [1]} and loose(ways, 1401.0) == {}
-    assert ways.next_expiry_ms == 1400.0
-    assert [(told.exceeding, told.compliant) for told in ways.changes(1400.1)] == [([], [1])]
+    policies = RetryPolicies([UNSAFE], [1000.0])
+    policies.add_proxy(1, True, 0)
+    policies.allowed = [2]
+    policies.record_sent(1, "a", {0: 2})
+    policies.record_ack(1, "a", 100.0)
+    policies.allowed = [UNSAFE]  # as new settings would have it
+    policies.has_changed = True
+    assert exceeding_proxies(policies, 200.0) == {0: [1]}
+    policies.record_sent(1, "b", {0: 1})
+    assert exceeding_proxies(policies, 300.0) == {0: [1]}  # sent is not held
+    policies.record_ack(1, "b", 400.0)
+    assert [(change.exceeding, change.compliant) for change in policies.changes(1350.0)] == [([1], [])]
+    assert exceeding_proxies(policies, 1399.0) == {0: [1]} and exceeding_proxies(policies, 1401.0) == {}
+    assert policies.next_expiry_ms == 1400.0
+    assert [(change.exceeding, change.compliant) for change in policies.changes(1400.1)] == [([], [1])]
 
 
 @pytest.mark.parametrize("steps", [["refuse"], ["rejoin"], ["leave"], ["unknown"]])
 def test_a_policy_that_is_not_known_counts_as_the_highest(steps):
-    ways = RetryPolicies([UNSAFE], [1000.0])
-    ways.add_proxy(1, "unknown" not in steps, 0)
-    ways.record_sent(1, "a", {0: 2})
+    policies = RetryPolicies([UNSAFE], [1000.0])
+    policies.add_proxy(1, "unknown" not in steps, 0)
+    policies.record_sent(1, "a", {0: 2})
     if "refuse" in steps:
-        ways.record_ack(1, "a", 0.0)
-        ways.record_sent(1, "b", {0: 1})
-        ways.record_nack(1, "b")
+        policies.record_ack(1, "a", 0.0)
+        policies.record_sent(1, "b", {0: 1})
+        policies.record_nack(1, "b")
     if "rejoin" in steps:  # it may have applied what its old stream brought
-        ways.record_sent(1, "b", {0: 1})
-        ways.add_proxy(1, False, 0)
-    assert loose(ways, 5000.0) == {0: [1]}
+        policies.record_sent(1, "b", {0: 1})
+        policies.add_proxy(1, False, 0)
+    assert exceeding_proxies(policies, 5000.0) == {0: [1]}
 
 
 def test_a_higher_policy_counts_from_its_sending_on():
-    ways = RetryPolicies([KEYED], [1000.0])
-    ways.add_proxy(1, True, 0)
-    ways.record_sent(1, "a", {0: MAX_RETRY_POLICY})
-    assert ways.highest_in_effect(1, 0, 0.0) == MAX_RETRY_POLICY
-    ways.record_sent(1, "b", {0: 1})
-    ways.record_ack(1, "b", 10.0)  # the first was overtaken: it may have been held for a while
-    assert ways.highest_in_effect(1, 0, 20.0) == MAX_RETRY_POLICY and ways.highest_in_effect(1, 0, 1011.0) == 1
+    policies = RetryPolicies([KEYED], [1000.0])
+    policies.add_proxy(1, True, 0)
+    policies.record_sent(1, "a", {0: MAX_RETRY_POLICY})
+    assert policies.highest_in_effect(1, 0, 0.0) == MAX_RETRY_POLICY
+    policies.record_sent(1, "b", {0: 1})
+    policies.record_ack(1, "b", 10.0)  # the first was overtaken: it may have been held for a while
+    assert policies.highest_in_effect(1, 0, 20.0) == MAX_RETRY_POLICY and policies.highest_in_effect(1, 0, 1011.0) == 1
 
 
 @given(st.lists(st.sampled_from(["loosen", "tighten", "ack", "nack", "apply", "begin", "rejoin", "wait"]), max_size=30))
 def test_no_request_is_retried_by_a_policy_that_is_not_counted(steps):
     """A proxy on its own side of the stream: whatever it goes by, the pilot has counted."""
-    ways, now, nonce = RetryPolicies([UNSAFE], [100.0]), 0.0, 0
-    ways.add_proxy(1, True, 0)
+    policies, now, nonce = RetryPolicies([UNSAFE], [100.0]), 0.0, 0
+    policies.add_proxy(1, True, 0)
     holds, waits, words, running = 0, [], [], []
     for step in steps:
         now += 30.0
         if step in ("loosen", "tighten"):
             nonce += 1
-            ways.record_sent(1, str(nonce), {0: 2 if step == "loosen" else 1})
+            policies.record_sent(1, str(nonce), {0: 2 if step == "loosen" else 1})
             waits.append((str(nonce), 2 if step == "loosen" else 1))
         elif step == "apply" and waits:
             name, holds = waits.pop(0)
@@ -78,32 +78,32 @@
             words.append((waits.pop(0)[0], False))
         elif step == "ack" and words:
             name, good = words.pop(0)
-            ways.record_ack(1, name, now) if good else ways.record_nack(1, name)
+            policies.record_ack(1, name, now) if good else policies.record_nack(1, name)
         elif step == "rejoin":
             waits, words = [], []
-            ways.add_proxy(1, False, 0)
+            policies.add_proxy(1, False, 0)
         elif step == "begin":
             running.append((holds, now + 100.0))
         running = [row for row in running if row[1] > now]
-        assert ways.highest_in_effect(1, 0, now) >= max([holds, *(way for way, _ in running)])
+        assert policies.highest_in_effect(1, 0, now) >= max([holds, *(way for way, _ in running)])
 
 
 TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "work_ms": 20.0}
 
 
-KINDS = [
+CLASSES = [
     {"name": "lookup", "credit": 1.0, "semantics": "safe", "share": 0.3, **TIMES},
     {"name": "save", "credit": 2.0, "semantics": "keyed", "scope": "all", "window_ms": 4000.0, "share": 0.5, **TIMES},
     {"name": "issue", "credit": 3.0, "semantics": "unsafe", "share": 0.2, **TIMES},
 ]
 
 
-def tight_day():
+def restricted_scenario():
     """A class becomes unsafe while answers are lost; one proxy is cut off, one answers late, two lose a response."""
     knobs = {"report_every_ms": 300.0, "dial_ms": 100.0, "standing": 2, "base_tries": 0}
     return small_day(
         seconds=15.0, warm_up_s=7.0, proxies=8, pilots=2, exchanges_per_s=90.0, file_proxies=0.13, sotw_proxies=0.13,
-        fleet={"zones": ["a", "b"], "classes": KINDS, "proxies": knobs},
+        fleet={"zones": ["a", "b"], "classes": CLASSES, "proxies": knobs},
         troubles=[
             {"at_s": 0.5, "for_s": 14.0, "what": "lose_answers", "count": 2, "factor": 1.5},
             {"at_s": 1.5, "for_s": 4.0, "what": "proxy_cut", "count": 2},
@@ -115,7 +115,7 @@
 
 
 def test_no_retry_is_executed_twice_where_endpoints_forget_keys_once_the_lower_policy_is_in_effect(tmp_path):
-    evidence = play_arm(tight_day(), tmp_path / "learnt").evidence()
+    evidence = play_arm(restricted_scenario(), tmp_path / "learnt").evidence()
     assert check_invariants(evidence) == []
     forgot = [row for row in evidence.commands if row["do"] == "tighten"]
     assert forgot, "the pilots said so in time"
