--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -55,7 +55,7 @@
             if self.files:
                 self.files.take(news, now_ms)
         else:
-            self.streams.take(news, now_ms)
+            self.streams.handle_event(news, now_ms)
 
     def turn(self, now_ms: float) -> None:
         """Let pushes leave, decide if a round is due, and have the fronts send."""
--- a/quillstep/controller/discovery_client.py
+++ b/quillstep/controller/discovery_client.py
@@ -11,6 +11,7 @@
 
 from quillstep.planner.messages import EndpointEntry
 from quillstep.xds.client import GrpcClient
+from quillstep.xds.http2 import MessageReceived, StreamEnded
 from quillstep.xds.resources import LEDS
 from quillstep.xds.server import DELTA
 
@@ -72,13 +73,13 @@
             request.initial_resource_versions.update(self.versions)
             client.send(stream, request.SerializeToString())
             for event in client.events():
-                if event[0] == "message":
-                    response = discovery_pb2.DeltaDiscoveryResponse.FromString(event[2])
+                if isinstance(event, MessageReceived):
+                    response = discovery_pb2.DeltaDiscoveryResponse.FromString(event.data)
                     self.take(response)
                     word = discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, response_nonce=response.nonce)
                     client.send(stream, word.SerializeToString())
-                elif event[0] == "end":
-                    raise OSError(f"the roster ended the stream: {event[3]}")
+                elif isinstance(event, StreamEnded):
+                    raise OSError(f"the roster ended the stream: {event.reason}")
             raise OSError(client.reason)
         finally:
             client.close()
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -11,7 +11,6 @@
 from typing import Any, NamedTuple
 
 import msgspec
-import structlog
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
@@ -21,8 +20,8 @@
 from quillstep.files.lane import Generation, Lane
 from quillstep.routing import Key, Resource, Tables
 from quillstep.xds import resources
-from quillstep.xds.front import warn_overdue, warn_refused
 from quillstep.xds.load_stats import Hooks, read_report
+from quillstep.xds.proxy_front import ProxyFront
 
 ALIVE_PART = 0.1  # of the time after which silence counts, between two signs of life of ours
 BATCH_MOST = 512  # generations between two syncs
@@ -62,7 +61,7 @@
     bytes: int
 
 
-class FileFront:
+class FileFront(ProxyFront):
     """All file-following proxies of one pilot.  `put` hands news to the deciding thread and blocks when it is full."""
 
     def __init__(
@@ -76,24 +75,27 @@
         put: Callable[[tuple], None],
         disk: Disk | None = None,
     ) -> None:
-        self.record, self.tables, self.hooks, self.epoch = record, tables, hooks, epoch
-        self.ordered_ms, self.tap, self.put = ordered_ms, tap, put
+        self.put = put
         self.facts = record.files
+        super().__init__(
+            record,
+            tables,
+            hooks,
+            epoch,
+            ordered_ms,
+            tap,
+            logger="files",
+            maintenance_interval_ms=0.25 * self.facts.idle_timeout_ms,
+        )
         self.disk = disk or Disk(record.files.root, record.files.fsync)
-        encoder = resources.Encoder(record.fleet.classes, record.fleet.proxies.attempt_timeout_factor)
-        self.packer = Packer(encoder, record.files.form, record.files.shards)
+        self.packer = Packer(self.encoder, record.files.form, record.files.shards)
         self.lanes: dict[str, Lane] = {}  # by directory
         self.directories: dict[int, str] = {}
         self.parked: dict[str, Parked] = {}
-        self.nodes: dict[int, str] = {}
-        self.waits: dict[int, float] = {}  # proxies to look at again, and when
         self.last: dict[str, dict[str, str]] = {}  # files of the newest generation by directory
         self.jobs: queue.SimpleQueue[Job | None] = queue.SimpleQueue()
-        self.warned: set[tuple[str, int]] = set()
-        self.tended_ms = 0.0
         self.stopping = threading.Event()
         self.swaps = 0
-        self.log = structlog.get_logger("files")
 
     def start(self) -> None:
         threading.Thread(target=self.watch, daemon=True).start()
@@ -282,10 +284,9 @@
         if parked.holds:
             lane.accepted_number = parked.holds
             lane.sets = {parked.holds: dict(parked.contents)}
-        self.lanes[directory], self.directories[proxy], self.nodes[proxy] = lane, directory, hello.node
+        self.lanes[directory], self.directories[proxy] = lane, directory
         self.last.pop(directory, None)
-        self.tap("join", now_ms, proxy=hello.node, zone=hello.zone, fresh=fresh)
-        self.log.info("proxy joined", proxy=hello.node, zone=hello.zone, fresh=fresh, holds=len(held))
+        self._record_joined(proxy, hello.node, hello.zone, fresh, len(held), now_ms)
 
     def leave(self, directory: str, reason: str, now_ms: float) -> None:
         lane = self.lanes.pop(directory)
@@ -295,10 +296,8 @@
                 hello = msgspec.structs.replace(hello, generation=lane.accepted_number, versions={})
             self.parked[directory] = Parked(hello, lane.number, lane.accepted_number, lane.accepted)
         self.directories.pop(lane.proxy, None)
-        self.waits.pop(lane.proxy, None)
-        self.tap("leave", now_ms, proxy=self.nodes[lane.proxy], reason=reason)
-        self.log.info("proxy left", proxy=self.nodes[lane.proxy], reason=reason)
-        self.hooks.leave(lane.proxy)
+        self.retry_ms.pop(lane.proxy, None)
+        self._record_left(lane.proxy, reason, now_ms)
 
     def drop(self, proxy: int, reason: str, now_ms: float) -> None:
         """Another front has this proxy now; only a new hello brings it back here."""
@@ -321,7 +320,7 @@
             self.tap("ack", now_ms, proxy=node, nonce=nonce)
         if word.refusal:
             self.tap("nack", now_ms, proxy=node, nonce=nonce)
-            warn_refused(self.log, node, word.refusal, number)
+            self._log_nack(lane.proxy, word.refusal, number)
         self.tables.pending_proxies.add(lane.proxy)
 
     def load(self, lane: Lane, data: bytes) -> None:
@@ -347,7 +346,7 @@
             )
             self.last.pop(job.directory, None)
             if here:
-                self.waits[lane.proxy] = lane.retry_ms
+                self.retry_ms[lane.proxy] = lane.retry_ms
             return
         lane.written()
         if here:
@@ -358,27 +357,19 @@
             )  # fmt: skip
             self.tables.pending_proxies.add(lane.proxy)  # what came meanwhile leaves with the next at once
 
-    def pump(self, now_ms: float, stirred: set[int]) -> None:
-        """Hand the next generation of every stirred proxy of ours to the writer."""
-        for proxy, until in list(self.waits.items()):
-            if until <= now_ms:
-                del self.waits[proxy]
-                stirred.add(proxy)
-        for proxy in sorted(stirred):
-            directory = self.directories.get(proxy)
-            lane = self.lanes.get(directory) if directory else None
-            if lane is None or directory is None:
-                continue
-            generation = lane.next(self.tables, now_ms)
-            if generation:
-                self.hand_over(directory, lane, generation)
-            elif not lane.writing and (look_ms := self.tables.proxies[proxy].next_retry_ms(now_ms)) is not None:
-                self.waits[proxy] = max(now_ms + 1.0, look_ms)
-            elif now_ms < lane.retry_ms:
-                self.waits[proxy] = lane.retry_ms
-        if now_ms - self.tended_ms > 0.25 * self.facts.idle_timeout_ms:
-            self.tended_ms = now_ms
-            self.tend(now_ms)
+    def _send_changes(self, proxy: int, now_ms: float) -> None:
+        """Hand the next generation of a proxy of ours to the writer."""
+        directory = self.directories.get(proxy)
+        lane = self.lanes.get(directory) if directory else None
+        if lane is None or directory is None:
+            return
+        generation = lane.next(self.tables, now_ms)
+        if generation:
+            self.hand_over(directory, lane, generation)
+        elif not lane.writing and (look_ms := self.tables.proxies[proxy].next_retry_ms(now_ms)) is not None:
+            self.retry_ms[proxy] = max(now_ms + 1.0, look_ms)
+        elif now_ms < lane.retry_ms:
+            self.retry_ms[proxy] = lane.retry_ms
 
     def hand_over(self, directory: str, lane: Lane, generation: Generation) -> None:
         files = self.packer.files(generation.contents)
@@ -390,18 +381,13 @@
         keep = lane.held_numbers()
         self.jobs.put(Job(directory, lane, generation, files, told, keep, changed + len(told)))
 
-    def tend(self, now_ms: float) -> None:
+    def _maintain(self, now_ms: float) -> None:
         """Proxies that give no sign of life have left; so have those that leave a generation without a word."""
         for directory, lane in list(self.lanes.items()):
-            node = self.nodes[lane.proxy]
-            warn_overdue(self.tables, lane.proxy, node, self.record, self.warned, now_ms, self.log)
+            self._log_overdue_ejections(lane.proxy, now_ms)
             oldest = self.tables.proxies[lane.proxy].oldest_sent_ms()
-            most = self.record.limits.ack_timeout_ms
+            most = self.settings.limits.ack_timeout_ms
             if now_ms - lane.heard_ms > self.facts.idle_timeout_ms:
                 self.leave(directory, f"no word from it for {self.facts.idle_timeout_ms:g} ms", now_ms)
             elif oldest is not None and not lane.writing and now_ms - oldest > most:
                 self.leave(directory, f"no acknowledgement within {most:g} ms", now_ms)
-
-    def next_ms(self) -> float:
-        waits = min(self.waits.values(), default=float("inf"))
-        return min(waits, self.tended_ms + 0.25 * self.facts.idle_timeout_ms)
--- a/quillstep/load_reports/messages.py
+++ b/quillstep/load_reports/messages.py
@@ -100,7 +100,7 @@
     address: str
 
 
-class StreamOpened(msgspec.Struct, array_like=True, tag="hello"):
+class ReportStreamOpened(msgspec.Struct, array_like=True, tag="hello"):
     """A proxy has opened a stream here."""
 
     name: str
@@ -120,4 +120,4 @@
     summary: ReportSummary
 
 
-MessageFromReader = ReaderReady | StreamOpened | ProxyReleased | WindowDrained
+MessageFromReader = ReaderReady | ReportStreamOpened | ProxyReleased | WindowDrained
--- a/quillstep/load_reports/readers/pool.py
+++ b/quillstep/load_reports/readers/pool.py
@@ -26,7 +26,7 @@
     ProxyReleased,
     ReaderReady,
     ReportRequest,
-    StreamOpened,
+    ReportStreamOpened,
     WindowDrained,
 )
 from quillstep.load_reports.readers.framing import FrameBuffer, decode_from_reader, encode_frame
@@ -154,7 +154,7 @@
             case ReaderReady(address):
                 self.addresses[reader] = address
                 ready.set()
-            case StreamOpened(name):
+            case ReportStreamOpened(name):
                 with self.lock:
                     self._send(self.ownership.stream_opened(reader, name))
             case ProxyReleased(name, account):
--- a/quillstep/load_reports/readers/process.py
+++ b/quillstep/load_reports/readers/process.py
@@ -8,7 +8,6 @@
 import contextlib
 import os
 import time
-from typing import Any
 
 import structlog
 
@@ -24,8 +23,8 @@
     ProxyReleased,
     ReaderReady,
     ReleaseProxy,
+    ReportStreamOpened,
     RequestReports,
-    StreamOpened,
     WindowDrained,
 )
 from quillstep.load_reports.readers.connections import StreamKey, finish_stream, log_warnings, send_messages
@@ -36,7 +35,7 @@
 from quillstep.net.clock import now_ms
 from quillstep.net.poller import Poller
 from quillstep.xds.grpc import UNIMPLEMENTED
-from quillstep.xds.http2 import GrpcConnection, GrpcPeer
+from quillstep.xds.http2 import Event, GrpcConnection, GrpcPeer, MessageReceived, StreamEnded, StreamOpened
 from quillstep.xds.server import LOAD
 
 INPUT_BYTES = 256 * 1024  # of one read
@@ -108,28 +107,33 @@
 
     # streams
 
-    def handle_event(self, connection: GrpcPeer, event: tuple[Any, ...]) -> None:
+    def handle_event(self, connection: GrpcPeer, event: Event) -> None:
         """One event of a connection."""
-        kind, stream = event[0], event[1]
         streams = self.streams.setdefault(connection, set())
-        key = StreamKey(connection, stream)
-        if kind == "open":
-            if event[2] != LOAD:
-                text = f"no method {event[2]} here: load reports alone"
-                connection.with_codec(lambda codec: codec.finish(stream, UNIMPLEMENTED, text))
-                return
-            connection.with_codec(lambda codec: codec.accept(stream))
-            streams.add(stream)
-            self.session.open_stream(key)
-        elif kind == "message" and stream in streams:
-            self.session.add_message(key, event[2], now_ms())
-            connection.set_paused(True)
-        elif kind == "end" and stream in streams:
-            if event[2]:
-                name = self.session.streams[key].name
-                self.log.warning("stream ended", reason=event[3], code=event[2], proxy=name)
-            streams.discard(stream)
-            self.session.end_stream(key)
+        key = StreamKey(connection, event.stream)
+        match event:
+            case StreamOpened():
+                self.handle_opened(key, event.path)
+            case MessageReceived() if event.stream in streams:
+                self.session.add_message(key, event.data, now_ms())
+                connection.set_paused(True)
+            case StreamEnded() if event.stream in streams:
+                if event.status:
+                    name = self.session.streams[key].name
+                    self.log.warning("stream ended", reason=event.reason, code=event.status, proxy=name)
+                streams.discard(event.stream)
+                self.session.end_stream(key)
+
+    def handle_opened(self, key: StreamKey, method: str) -> None:
+        """Accepts a stream of load reports, and rejects any other."""
+        connection, stream = key
+        if method != LOAD:
+            text = f"no method {method} here: load reports alone"
+            connection.with_codec(lambda codec: codec.finish(stream, UNIMPLEMENTED, text))
+            return
+        connection.with_codec(lambda codec: codec.accept(stream))
+        self.streams[connection].add(stream)
+        self.session.open_stream(key)
 
     def handle_closed(self, connection: GrpcPeer, reason: str) -> None:
         """A connection has ended."""
@@ -161,7 +165,7 @@
         for connection in {consumed.key.connection for consumed in pending.consumed}:
             connection.set_paused(self.has_buffered(connection))
         for opened in pending.opened:
-            self.send(StreamOpened(opened.name, opened.incarnation))
+            self.send(ReportStreamOpened(opened.name, opened.incarnation))
 
     def has_buffered(self, connection: GrpcPeer) -> bool:
         """Whether messages of a connection wait to be read."""
--- a/quillstep/load_reports/readers/thread.py
+++ b/quillstep/load_reports/readers/thread.py
@@ -148,4 +148,4 @@
 
 def _allow_more(connection: GrpcPeer, stream: int) -> None:
     """Has the stream's flow control let the peer send as much as was read."""
-    connection.with_codec(lambda codec: codec.taken(stream))
+    connection.with_codec(lambda codec: codec.acknowledge_message(stream))
--- a/quillstep/model_checking/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -21,7 +21,7 @@
 from quillstep.routing.retry_policies import RetryPolicies
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
-from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RDS, WITHDRAWN, Encoder
+from quillstep.xds.resources import CDS, COLLECTION, EDS, EJECTED_COLLECTION, LDS, LEDS, RDS, Encoder
 
 TICK_MS = 1000.0
 CLASSES = [
@@ -90,18 +90,18 @@
         self.owner, self.stream, self.down, self.up = pilot, stream, [], []
         first = self.request(CDS, [])
         first.node.id = "proxy"
-        told = stream.first(first)
+        told = stream.initial_versions(first)
         at.tables.add_proxy(0, "a", told)
         at.ways.add_proxy(0, not self.held.get(RDS), 0)
         stream.proxy = 0
-        stream.request(first, self.now_ms)
+        stream.handle_request(first, self.now_ms)
         tables = sorted(self.held.get(CDS, ()))
         for url, names in (
-            (LEDS, [WITHDRAWN, *(f"{COLLECTION}{table}/*" for table in tables)]), (LDS, []), (RDS, ["exchanges"]),
-            (EDS, tables),
+            (LEDS, [EJECTED_COLLECTION, *(f"{COLLECTION}{table}/*" for table in tables)]), (LDS, []),
+            (RDS, ["exchanges"]), (EDS, tables),
         ):  # fmt: skip
             if names or url == LDS:
-                stream.request(self.request(url, names), self.now_ms)
+                stream.handle_request(self.request(url, names), self.now_ms)
         at.joined()
 
     def request(self, url: str, names: list[str]) -> discovery_pb2.DeltaDiscoveryRequest:
@@ -142,7 +142,7 @@
 
     def hear(self) -> None:
         assert self.stream
-        self.stream.request(discovery_pb2.DeltaDiscoveryRequest.FromString(self.up.pop(0)), self.now_ms)
+        self.stream.handle_request(discovery_pb2.DeltaDiscoveryRequest.FromString(self.up.pop(0)), self.now_ms)
 
     # what is asked of it
 
--- a/quillstep/model_checking/fuzz.py
+++ b/quillstep/model_checking/fuzz.py
@@ -19,7 +19,7 @@
 from quillstep.model_checking.explore import CLASSES, LIMITS, ModelController, ordered_ms
 from quillstep.routing import Tables
 from quillstep.xds.delta import DeltaStream
-from quillstep.xds.grpc import FramingError, Unframer
+from quillstep.xds.grpc import FrameDecoder, FramingError
 from quillstep.xds.http2 import GrpcConnection, ProtocolError
 from quillstep.xds.load_stats import read_report
 from quillstep.xds.resources import Encoder, key_of, name, type_url
@@ -35,7 +35,7 @@
     """gRPC's framing: cut anywhere, the messages are the same."""
 
     def cut(size: int) -> list[bytes] | int:
-        unframer, found = Unframer(MESSAGE_MOST), []
+        unframer, found = FrameDecoder(MESSAGE_MOST), []
         try:
             for at in range(0, len(data), size):
                 found += unframer.feed(data[at : at + size])
@@ -78,7 +78,7 @@
             size = data[at]
             try:
                 said = request.FromString(data[at + 1 : at + 1 + size])
-                stream.request(said, now_ms)
+                stream.handle_request(said, now_ms)
             except (DecodeError, StreamError):
                 pass
             at, now_ms = at + 1 + size, now_ms + 100.0
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -15,8 +15,8 @@
 
 from quillstep.testbed.process import now_ms
 from quillstep.testbed.proxy_interface import ProxyInterface
-from quillstep.xds.client import MESSAGE_MOST
-from quillstep.xds.http2 import GrpcConnection, ProtocolError
+from quillstep.xds.client import MAX_MESSAGE_BYTES
+from quillstep.xds.http2 import GrpcConnection, MessageReceived, ProtocolError, StreamEnded
 from quillstep.xds.load_stats import LATENCY_BUCKET_PREFIX
 from quillstep.xds.peer import dial
 from quillstep.xds.server import LOAD
@@ -40,7 +40,7 @@
         self.sock = dial(address, CONNECT_TIMEOUT_MS)
         self.sock.settimeout(None)  # it blocks, but for what says it must not
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.http2 = GrpcConnection(True, MESSAGE_MOST)
+        self.http2 = GrpcConnection(True, MAX_MESSAGE_BYTES)
         self.stream = self.http2.open(LOAD, address)
         self.out = bytearray()
 
@@ -68,10 +68,10 @@
                 if not data:
                     raise ProtocolError("the pilot closed the connection")
                 for event in self.http2.receive(data):
-                    if event[0] == "message":
-                        found.append(event[2])
-                    elif event[0] == "end":
-                        raise ProtocolError(event[3] or "the pilot ended the stream")
+                    if isinstance(event, MessageReceived):
+                        found.append(event.data)
+                    elif isinstance(event, StreamEnded):
+                        raise ProtocolError(event.reason or "the pilot ended the stream")
         self.flush()
         return found
 
--- a/quillstep/testbed/xds_subscriber.py
+++ b/quillstep/testbed/xds_subscriber.py
@@ -19,7 +19,8 @@
 from quillstep.testbed.process import now_ms
 from quillstep.testbed.proxy_interface import Line, ProxyInterface, Route
 from quillstep.xds.client import GrpcClient
-from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RATE_FILTER, RDS, WITHDRAWN
+from quillstep.xds.http2 import MessageReceived, StreamEnded
+from quillstep.xds.resources import CDS, COLLECTION, EDS, EJECTED_COLLECTION, LDS, LEDS, RATE_FILTER, RDS
 from quillstep.xds.server import DELTA, LOAD, SOTW
 
 IDLE_TIMEOUT_MS = 12000.0
@@ -66,7 +67,7 @@
         self.client, self.number = client, client.open(LOAD)
 
     def unsent(self) -> int:
-        return self.client.peer.unsent()
+        return self.client.connection.unsent_bytes()
 
     def send(self, data: bytes) -> None:
         self.client.send(self.number, data)
@@ -112,7 +113,7 @@
             reason = ""
             try:
                 self.client = GrpcClient(pilot, 1000.0, IDLE_TIMEOUT_MS)
-                self.client.inbox.maxsize = 8  # what it does not take stays with its pilot
+                self.client.queue.maxsize = 8  # what it does not take stays with its pilot
                 self.record(what="stream", up=True, pilot=pilot)
                 self.pilot = pilot
                 self.follow(self.client)
@@ -137,12 +138,12 @@
             self.load_stream = SharedReportStream(client)
         for event in client.events():
             self.wait()
-            if event[0] == "message" and event[1] == self.stream:
-                self.message(client, event[2])
-            elif event[0] == "message":
-                self.proxy.reporter.asked(event[2])
-            elif event[0] == "end" and event[1] == self.stream:
-                raise OSError(event[3] or "the pilot ended the stream")
+            if isinstance(event, MessageReceived) and event.stream == self.stream:
+                self.message(client, event.data)
+            elif isinstance(event, MessageReceived):
+                self.proxy.reporter.asked(event.data)
+            elif isinstance(event, StreamEnded) and event.stream == self.stream:
+                raise OSError(event.reason or "the pilot ended the stream")
 
     def wait(self) -> None:
         while (left := self.stalled_ms - now_ms()) > 0:
@@ -197,7 +198,7 @@
         self.proxy.describe(first.node)
         first.initial_resource_versions.update(versions.get(CDS, {}))
         tables = list(versions.get(CDS, {}))
-        out = [WITHDRAWN, *(f"{COLLECTION}{table}/*" for table in tables)]
+        out = [EJECTED_COLLECTION, *(f"{COLLECTION}{table}/*" for table in tables)]
         others = [(LEDS, out), (LDS, []), (RDS, ["exchanges"]), *([(EDS, tables)] if tables else [])]
         client.send(self.stream, first.SerializeToString())
         for url, names in others:
--- a/quillstep/xds/client.py
+++ b/quillstep/xds/client.py
@@ -1,50 +1,66 @@
-"""A small gRPC client on a blocking socket: what a pilot needs to follow the roster."""
+"""A small gRPC client on a blocking socket: what a controller needs to follow endpoint discovery."""
 
 import contextlib
 import queue
 from collections.abc import Iterator
 
 from quillstep.xds.http2 import Event, GrpcConnection
-from quillstep.xds.peer import Peer, dial
+from quillstep.xds.peer import DialledConnection, dial
 
-MESSAGE_MOST = 16 * 2**20
+MAX_MESSAGE_BYTES = 16 * 2**20
+MAX_HEADER_BYTES = 64 * 1024
+MAX_UNSENT_BYTES = 4 * 2**20
+MAX_QUEUED_EVENTS = 1024
+CLOSE_TIMEOUT_S = 1.0  # for room in a full queue
 
 
 class GrpcClient:
-    """One connection as its client.  `events` gives what comes until the connection ends."""
+    """One connection as its client.  `events` gives what arrives until the connection ends."""
 
     def __init__(self, address: str, timeout_ms: float, idle_timeout_ms: float = 15000.0) -> None:
         self.address = address
         sock = dial(address, timeout_ms)
-        self.inbox: queue.Queue[Event | None] = queue.Queue(1024)
+        self.queue: queue.Queue[Event | None] = queue.Queue(MAX_QUEUED_EVENTS)
         self.reason = ""
-        connection = GrpcConnection(True, MESSAGE_MOST, 64 * 1024)
-        self.peer = Peer(
-            sock, connection, self.take, self.closed, idle_timeout_ms=idle_timeout_ms, unsent_most=4 * 2**20
+        self.connection = DialledConnection(
+            sock,
+            GrpcConnection(True, MAX_MESSAGE_BYTES, MAX_HEADER_BYTES),
+            self._on_event,
+            self._on_closed,
+            idle_timeout_ms=idle_timeout_ms,
+            max_unsent_bytes=MAX_UNSENT_BYTES,
         )
-        self.peer.start()
-
-    def take(self, peer: Peer, event: Event) -> None:
-        self.inbox.put(event)
-
-    def closed(self, peer: Peer, reason: str) -> None:
-        self.reason = reason
-        with contextlib.suppress(queue.Full):
-            self.inbox.put(None, timeout=1.0)
+        self.connection.start()
 
     def open(self, path: str) -> int:
+        """Opens a stream to a method; returns its number.
+
+        Raises:
+            ConnectionError: The connection has ended.
+        """
         opened: list[int] = []
-        self.peer.with_connection(lambda c: opened.append(c.open(path, self.address)))
+        self.connection.with_codec(lambda codec: opened.append(codec.open(path, self.address)))
         if not opened:
             raise ConnectionError(self.reason or "the connection is closed")
         return opened[0]
 
     def send(self, stream: int, message: bytes) -> bool:
-        return self.peer.send(stream, message)
+        """Queues a message; False if the connection has ended."""
+        return self.connection.send(stream, message)
 
     def events(self) -> Iterator[Event]:
-        while (event := self.inbox.get()) is not None:
+        """What arrives, until the connection ends."""
+        while (event := self.queue.get()) is not None:
             yield event
 
     def close(self) -> None:
-        self.peer.stop("closed by its owner")
+        """Ends the connection."""
+        self.connection.close("closed by its owner")
+
+    def _on_event(self, connection: DialledConnection, event: Event) -> None:
+        self.queue.put(event)
+
+    def _on_closed(self, connection: DialledConnection, reason: str) -> None:
+        self.reason = reason
+        with contextlib.suppress(queue.Full):
+            self.queue.put(None, timeout=CLOSE_TIMEOUT_S)
--- a/quillstep/xds/delta.py
+++ b/quillstep/xds/delta.py
@@ -1,31 +1,38 @@
 """One delta stream (`DeltaAggregatedResources`), without I/O: requests in, responses out, tables between them.
 
-Versions are the contents' own, nonces are the stream's.  A response is one type's changes of one order; its
-`system_version_info` is `epoch/order/ordered`, by which a record of the sockets tells which responses make one
-message of the channel, and when it was ordered (milliseconds).
+Versions are the resources' own, nonces are the stream's.  A response is the changes of one type and one revision; its
+`system_version_info` is `epoch/revision/ordered`, by which the sockets' record tells which responses make one message
+of the channel, and when that was ordered (milliseconds).
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from quillstep.routing import Change, Key, Nack
+from quillstep.routing import Change, Key
 from quillstep.routing.resources import EJECTED, FOREIGN, WEIGHT
 from quillstep.xds import resources
-from quillstep.xds.stream import Response, Stream
+from quillstep.xds.stream import RequestResult, Response, Stream
 
-KNOWN = frozenset(resources.TYPES.values())
+SERVED_TYPES = frozenset(resources.TYPES.values())
+WILDCARD_TYPES = (resources.LDS, resources.CDS)  # no names in a first request for these mean all
 
 
 @dataclass(slots=True)
 class Subscription:
-    """What a stream asks for of one type: names, globs of collections, or all."""
+    """What a stream subscribes to of one type: names, globs of collections, or all."""
 
     names: set[str] = field(default_factory=set)
     globs: set[str] = field(default_factory=set)
-    wildcard: bool = False
+    is_wildcard: bool = False
+
+    def covers(self, key: Key) -> bool:
+        """Whether a key is subscribed to."""
+        if self.is_wildcard or resources.name(key) in self.names:
+            return True
+        return bool(self.globs) and key[0] in (WEIGHT, EJECTED) and resources.collection(key) in self.globs
 
 
 class DeltaStream(Stream):
@@ -33,147 +40,157 @@
 
     def __init__(self, *shared: Any) -> None:
         super().__init__(*shared)
-        self.subscriptions: dict[str, Subscription] = {}
+        self.subscriptions: dict[str, Subscription] = {}  # by type URL
 
     # requests
 
-    def first(self, request: discovery_pb2.DeltaDiscoveryRequest) -> dict[Key, str]:
-        """What the opening words say the proxy holds."""
-        self.named(request)
-        return self.held(request)
+    def initial_versions(self, request: discovery_pb2.DeltaDiscoveryRequest) -> dict[Key, str]:
+        """What the first request says that the proxy holds.
+
+        Raises:
+            StreamError: It names no node.
+        """
+        self._check_node(request)
+        return _initial_versions(request)
 
-    def held(self, request: discovery_pb2.DeltaDiscoveryRequest) -> dict[Key, str]:
-        versions = request.initial_resource_versions
-        return {resources.key_of(request.type_url, named): version for named, version in versions.items()}
+    def handle_request(self, request: discovery_pb2.DeltaDiscoveryRequest, now_ms: float) -> RequestResult:
+        """Records a request; returns what it acknowledged or rejected.
 
-    def request(self, request: discovery_pb2.DeltaDiscoveryRequest, now_ms: float) -> tuple[list[Change], Nack | None]:
-        """Take a request in; what it acknowledged, and what it refused."""
-        url = request.type_url
-        if url not in KNOWN:
+        Raises:
+            StreamError: The stream has to end.
+        """
+        type_url = request.type_url
+        if type_url not in SERVED_TYPES:
             response = discovery_pb2.DeltaDiscoveryResponse(removed_resources=request.resource_names_subscribe)
-            self.unserved(request, list(request.resource_names_subscribe), response)
-            return [], None
-        acknowledged, refusal = self.word(request, now_ms)
-        fresh = url not in self.subscriptions
-        held = self.subscriptions.setdefault(url, Subscription())
-        if fresh:
-            self.tables.add_reported(self.proxy, self.held(request))
-            bare = not request.resource_names_subscribe
-            if bare and url in (resources.LDS, resources.CDS):
-                held.wildcard = True
-                self.ask_all(url, held)
+            self._reject_type(request, list(request.resource_names_subscribe), response)
+            return RequestResult([], None)
+        result = self._handle_ack(request, now_ms)
+        is_first = type_url not in self.subscriptions
+        subscription = self.subscriptions.setdefault(type_url, Subscription())
+        if is_first:
+            self.tables.add_reported(self.proxy, _initial_versions(request))
+            if not request.resource_names_subscribe and type_url in WILDCARD_TYPES:
+                subscription.is_wildcard = True
+                self._subscribe_covered(type_url, subscription)
         if request.resource_names_subscribe:
-            self.subscribe(url, held, request.resource_names_subscribe)
+            self._subscribe(type_url, subscription, request.resource_names_subscribe)
         if request.resource_names_unsubscribe:
-            self.unsubscribe(url, held, request.resource_names_unsubscribe)
-        return acknowledged, refusal
-
-    def subscribe(self, url: str, held: Subscription, names: Iterable[str]) -> None:
-        """Ask for names; one that is asked for again is sent again, as the protocol has it."""
-        known: list[Key] = []
-        again: list[Key] = []
-        for named in names:
-            if named == "*":
-                held.wildcard = True
-            elif named.endswith("/*"):
-                held.globs.add(named)
+            self._unsubscribe(type_url, subscription, request.resource_names_unsubscribe)
+        return result
+
+    def _subscribe(self, type_url: str, subscription: Subscription, names: Iterable[str]) -> None:
+        """Subscribes to names; one that is subscribed to again is sent again, as the protocol has it."""
+        acknowledged: list[Key] = []
+        to_send: list[Key] = []
+        for name in names:
+            if name == "*":
+                subscription.is_wildcard = True
+                self._subscribe_covered(type_url, subscription)
+            elif name.endswith("/*"):
+                subscription.globs.add(name)
+                self._subscribe_covered(type_url, subscription)
             else:
-                key = resources.key_of(url, named)
-                told = key in self.tables.proxies[self.proxy].acknowledged and named not in held.names
-                (known if told else again).append(key)
-                held.names.add(named)
-                continue
-            self.ask_all(url, held)
-        self.bounded(len(held.names) + len(held.globs))
-        self.tables.subscribe(self.proxy, known, False)
-        self.tables.subscribe(self.proxy, again, True)
-
-    def ask_all(self, url: str, held: Subscription) -> None:
-        """Mark all that a wildcard or glob covers; what is held already needs no repetition."""
-        keys = [key for key in self.tables.desired_keys(self.proxy) if resources.type_url(key) == url]
-        self.tables.subscribe(self.proxy, [key for key in keys if self.covers(held, key)], False)
-
-    def unsubscribe(self, url: str, held: Subscription, names: Iterable[str]) -> None:
-        for named in names:
-            if named == "*":
-                held.wildcard = False
-            held.names.discard(named)
-            held.globs.discard(named)
+                key = resources.key_of(type_url, name)
+                is_held = key in self.tables.proxies[self.proxy].acknowledged and name not in subscription.names
+                (acknowledged if is_held else to_send).append(key)
+                subscription.names.add(name)
+        self._check_subscriptions(len(subscription.names) + len(subscription.globs))
+        self.tables.subscribe(self.proxy, acknowledged, False)
+        self.tables.subscribe(self.proxy, to_send, True)
+
+    def _subscribe_covered(self, type_url: str, subscription: Subscription) -> None:
+        """Subscribes to all that a wildcard or glob covers; what is acknowledged already is not sent again."""
+        keys = [key for key in self.tables.desired_keys(self.proxy) if resources.type_url(key) == type_url]
+        self.tables.subscribe(self.proxy, [key for key in keys if subscription.covers(key)], False)
+
+    def _unsubscribe(self, type_url: str, subscription: Subscription, names: Iterable[str]) -> None:
+        for name in names:
+            if name == "*":
+                subscription.is_wildcard = False
+            subscription.names.discard(name)
+            subscription.globs.discard(name)
         ledger = self.tables.proxies[self.proxy]
-        gone = [k for k in ledger.acknowledged if resources.type_url(k) == url and not self.covers(held, k)]
-        under_way = [k for k in ledger.in_flight if resources.type_url(k) == url and not self.covers(held, k)]
-        ledger.unsubscribe(gone + under_way)
-
-    def covers(self, held: Subscription, key: Key) -> bool:
-        if held.wildcard or resources.name(key) in held.names:
-            return True
-        return bool(held.globs) and key[0] in (WEIGHT, EJECTED) and resources.collection(key) in held.globs
+        ledger.unsubscribe(
+            [
+                key
+                for key in [*ledger.acknowledged, *ledger.in_flight]
+                if resources.type_url(key) == type_url and not subscription.covers(key)
+            ]
+        )
 
-    def wants(self, key: Key) -> bool:
-        """Whether the proxy has asked for this key; what is not ours is only ever taken back."""
-        held = self.subscriptions.get(resources.type_url(key))
-        return held is not None and (key[0] == FOREIGN or self.covers(held, key))
+    def is_subscribed(self, key: Key) -> bool:
+        """Whether the proxy has subscribed to this key; a key that is not ours is only ever removed."""
+        subscription = self.subscriptions.get(resources.type_url(key))
+        return subscription is not None and (key[0] == FOREIGN or subscription.covers(key))
 
     # responses
 
     def pump(self, now_ms: float) -> list[Response]:
-        """What may be sent now, in sequence; bounded by what may be in flight, and by what the proxy takes at once.
+        """What may be sent now, in order; bounded by what may be in flight, and by what the proxy applies at once.
 
-        While a response is late only endpoints to keep out are sent: all else that is ordered meanwhile merges, and
-        what is overtaken is never sent.
+        While an acknowledgement is late only ejections are sent: all other changes merge meanwhile, and what is
+        superseded is never sent.
         """
-        out, self.errors = self.errors, []
+        responses = self._take_errors()
         ledger = self.tables.proxies[self.proxy]
-        behind = ledger.has_late_ack(now_ms)
-        if lane := ledger.probe_type_url(now_ms):
-            nonce = self.nonce()
-            self.tables.record_sent(self.proxy, nonce, [], now_ms, lane)
-            out.append(self.response(lane, nonce, [], ledger.released_revision))
+        is_late = ledger.has_late_ack(now_ms)
+        if type_url := ledger.probe_type_url(now_ms):
+            responses.append(self._send(ChangesOfType(type_url, []), now_ms))
         while len(ledger.in_flight_updates) < self.limits.max_in_flight:
-            apart = bool(ledger.split_updates)  # parts of what was refused are small, and go by themselves
-            changes = self.tables.changes_to_send(self.proxy, now_ms, self.wants)
-            if not apart:
-                changes = (
-                    [change for change in changes if change.is_urgent]
-                    if behind
-                    else ledger.limit_update(changes, now_ms)
-                )
+            is_split = bool(ledger.split_updates)  # parts of a rejected update are small, and go by themselves
+            changes = self.tables.changes_to_send(self.proxy, now_ms, self.is_subscribed)
+            if not is_split:
+                if is_late:
+                    changes = [change for change in changes if change.is_urgent]
+                else:
+                    changes = ledger.limit_update(changes, now_ms)
             if not changes:
                 break
-            for url, group in grouped(changes):
-                nonce = self.nonce()
-                self.tables.record_sent(self.proxy, nonce, group, now_ms, url)
-                out.append(self.response(url, nonce, group, ledger.released_revision))
+            for group in group_by_type(changes):
+                responses.append(self._send(group, now_ms))
             if not ledger.split_updates:
                 break
-        return out
-
-    def response(self, url: str, nonce: str, changes: list[Change], number: int) -> Response:
+        return responses
+
+    def _send(self, group: "ChangesOfType", now_ms: float) -> Response:
+        """Records changes as sent, and makes their response."""
+        type_url, changes = group
+        nonce = self._next_nonce()
+        self.tables.record_sent(self.proxy, nonce, changes, now_ms, type_url)
+        revision = self.tables.proxies[self.proxy].released_revision
         head = discovery_pb2.DeltaDiscoveryResponse(
-            system_version_info=self.stamp(number),
-            type_url=url,
-            nonce=nonce,
+            system_version_info=self._version_info(revision), type_url=type_url, nonce=nonce
         )
-        removed = [resources.name(key) for key, content in changes if content is None]
+        removed = [resources.name(change.key) for change in changes if change.resource is None]
         head.removed_resources.extend(removed)
-        body = [self.encoder.delta(key, content) for key, content in changes if content is not None]
-        message = head.SerializeToString() + b"".join(body)
-        return Response(message, number, url, nonce, len(body), len(removed))
+        updated = [self.encoder.encode(key, resource) for key, resource in changes if resource is not None]
+        message = head.SerializeToString() + b"".join(updated)
+        return Response(message, revision, type_url, nonce, len(updated), len(removed))
+
+
+class ChangesOfType(NamedTuple):
+    """Changes that go in one response."""
+
+    type_url: str
+    changes: list[Change]
 
 
-def grouped(changes: list[Change]) -> list[tuple[str, list[Change]]]:
-    """Runs of one type, so that what must go first does; lines and withdrawals share a type and a response.
+def group_by_type(changes: list[Change]) -> list[ChangesOfType]:
+    """Changes by type, so that what must go first does; weights and ejections share a type and a response.
 
-    One response is applied as a whole: an endpoint that goes and the lines that replace it are never apart.
+    One response is applied as a whole: an endpoint's ejection and the weights that replace it are never apart.
     """
-    groups: list[tuple[str, list[Change]]] = []
-    at: dict[tuple[str, bool], int] = {}
+    groups: dict[tuple[str, bool], ChangesOfType] = {}
     for change in changes:
-        url = resources.type_url(change.key)
-        late = change.resource is None and url not in (resources.LEDS,)
-        if (url, late) in at:
-            groups[at[url, late]][1].append(change)
-        else:
-            at[url, late] = len(groups)
-            groups.append((url, [change]))
-    return groups
+        type_url = resources.type_url(change.key)
+        is_removal = change.resource is None and type_url != resources.LEDS
+        group = groups.get((type_url, is_removal))
+        if group is None:
+            group = groups[type_url, is_removal] = ChangesOfType(type_url, [])
+        group.changes.append(change)
+    return list(groups.values())
+
+
+def _initial_versions(request: discovery_pb2.DeltaDiscoveryRequest) -> dict[Key, str]:
+    versions = request.initial_resource_versions
+    return {resources.key_of(request.type_url, name): version for name, version in versions.items()}
--- a/quillstep/xds/grpc.py
+++ b/quillstep/xds/grpc.py
@@ -1,13 +1,20 @@
-"""gRPC's framing of messages and its status codes, without I/O (the published gRPC over HTTP/2 protocol)."""
+"""gRPC's message framing and status codes, without I/O.
+
+Source: "gRPC over HTTP2" and "Status codes and their use in gRPC" of the published gRPC documentation.
+"""
 
 import struct
 
+from quillstep.errors import QuillstepError
+
 OK, INVALID_ARGUMENT, PERMISSION_DENIED, RESOURCE_EXHAUSTED = 0, 3, 7, 8
 UNIMPLEMENTED, INTERNAL, UNAVAILABLE = 12, 13, 14
 
+PREFIX = struct.Struct(">BI")  # whether the message is compressed, and its length
 
-class FramingError(Exception):
-    """What came is no readable message; `status` is the gRPC code to answer with."""
+
+class FramingError(QuillstepError):
+    """A frame can't be read; `status` is the gRPC status to answer with."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -15,28 +22,35 @@
 
 
 def frame(message: bytes) -> bytes:
-    """One message, uncompressed, with its prefix."""
-    return struct.pack(">BI", 0, len(message)) + message
+    """One message, uncompressed, behind its prefix."""
+    return PREFIX.pack(0, len(message)) + message
 
 
-class Unframer:
-    """Cuts a stream of bytes into messages of `most` bytes each."""
+class FrameDecoder:
+    """Cuts a stream of bytes into messages of `max_message_bytes` at most."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.held = bytearray()
+    def __init__(self, max_message_bytes: int) -> None:
+        self.max_message_bytes = max_message_bytes
+        self.buffered = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        self.held += data
+        """The messages that are complete now.
+
+        Raises:
+            FramingError: A message is compressed or too large.
+        """
+        self.buffered += data
         messages = []
-        while len(self.held) >= 5:
-            packed, size = struct.unpack_from(">BI", self.held)
-            if packed:
+        while len(self.buffered) >= PREFIX.size:
+            is_compressed, size = PREFIX.unpack_from(self.buffered)
+            if is_compressed:
                 raise FramingError(UNIMPLEMENTED, "a compressed message, and none was agreed on")
-            if size > self.most:
-                raise FramingError(RESOURCE_EXHAUSTED, f"a message of {size} bytes, {self.most} at most")
-            if len(self.held) < 5 + size:
+            if size > self.max_message_bytes:
+                text = f"a message of {size} bytes, {self.max_message_bytes} at most"
+                raise FramingError(RESOURCE_EXHAUSTED, text)
+            end = PREFIX.size + size
+            if len(self.buffered) < end:
                 break
-            messages.append(bytes(self.held[5 : 5 + size]))
-            del self.held[: 5 + size]
+            messages.append(bytes(self.buffered[PREFIX.size : end]))
+            del self.buffered[:end]
         return messages
--- a/quillstep/xds/load_stats.py
+++ b/quillstep/xds/load_stats.py
@@ -9,6 +9,7 @@
 
 from quillstep.load_reports.upstream_stats import ClassArrivals, ClassLatency, EndpointRow
 from quillstep.load_reports.validation import LoadReport
+from quillstep.routing import Key
 
 # Names of load metrics: what a proxy measures beside the protocol's own counts.
 LATENCY_BUCKET_PREFIX = "took_le_"  # one metric for each bucket, its bound in the name
@@ -20,22 +21,24 @@
 
 
 class Hooks(Protocol):
-    """What the pilot is told."""
+    """The controller, as its fronts see it."""
 
-    def join(self, node: str, zone: str, usual: float, held: dict, fresh: bool, front: Any, life: str = "") -> int:
-        """A proxy is there, by this front; returns its number.  Another front that had it is told to drop it."""
+    places: dict[str, int]  # indexes of classes by name
+    endpoints: dict[tuple[str, int], int]  # by address
+
+    def join(
+        self, node: str, zone: str, usual: float, held: dict[Key, str], fresh: bool, front: Any, life: str = ""
+    ) -> int:
+        """A proxy has joined by this front; returns its number.  Another front that had it drops it."""
 
     def leave(self, proxy: int) -> None:
-        """A proxy's stream is gone."""
+        """A proxy has left."""
 
     def proxy_of(self, node: str) -> int | None:
-        """The number of a proxy whose stream stands."""
+        """The number of a proxy that has joined."""
 
     def told(self, proxy: int, report: LoadReport) -> None:
-        """A load report of a proxy."""
-
-    places: dict[str, int]  # classes by name
-    endpoints: dict[tuple[str, int], int]  # by address
+        """A load report of a proxy that has joined."""
 
 
 def load_request(period_ms: float, is_full: bool) -> bytes:
--- a/quillstep/xds/peer.py
+++ b/quillstep/xds/peer.py
@@ -1,6 +1,6 @@
 """A connection that was dialled: a reader and a writer thread with small stacks, bounded both ways.
 
-Few connections are dialled; those that are accepted have no threads of their own (`poller.py`).
+Few connections are dialled; those that are accepted have no threads of their own (`net/poller.py`).
 """
 
 import contextlib
@@ -8,155 +8,165 @@
 import threading
 from collections.abc import Callable
 
-from quillstep.xds.http2 import Event, GrpcConnection, ProtocolError
+from quillstep.xds.http2 import MAX_GOODBYE_BYTES, Event, GrpcConnection, ProtocolError
 
 STACK_BYTES = 256 * 1024
-CHUNK = 64 * 1024
+CHUNK_BYTES = 64 * 1024
+LAST_WRITE_TIMEOUT_S = 0.2
 
 
-class Peer:
+class DialledConnection:
     """A connection from its dial to its end.
 
-    `sink(peer, event)` is called in the reader's thread for each event and may block, which holds up this peer
-    alone; `closed(peer, reason)` once, in the reader's thread.  Times are milliseconds.
+    `on_event(connection, event)` is called in the reader's thread for each event and may block, which holds up this
+    connection alone; `on_closed(connection, reason)` once, in the reader's thread.  `lock` guards the codec, `answers`,
+    `reason` and `is_stopping`.  The threads end when the connection does; who closes it does not wait for them, as the
+    reader may be blocked in `on_event`.  Times are milliseconds.
     """
 
     def __init__(
         self,
         sock: socket.socket,
-        connection: GrpcConnection,
-        sink: Callable[["Peer", Event], None],
-        closed: Callable[["Peer", str], None],
+        codec: GrpcConnection,
+        on_event: Callable[["DialledConnection", Event], None],
+        on_closed: Callable[["DialledConnection", str], None],
         *,
         write_timeout_ms: float = 5000.0,
         idle_timeout_ms: float = 15000.0,
         ping_interval_ms: float = 3000.0,
-        unsent_most: int = 256 * 1024,
+        max_unsent_bytes: int = 256 * 1024,
     ) -> None:
-        self.sock, self.connection, self.sink, self.closed = sock, connection, sink, closed
-        self.write_timeout_ms, self.idle_timeout_ms, self.ping_interval_ms, self.unsent_most = (
-            write_timeout_ms,
-            idle_timeout_ms,
-            ping_interval_ms,
-            unsent_most,
-        )
+        self.sock, self.codec, self.on_event, self.on_closed = sock, codec, on_event, on_closed
+        self.write_timeout_ms, self.idle_timeout_ms = write_timeout_ms, idle_timeout_ms
+        self.ping_interval_ms, self.max_unsent_bytes = ping_interval_ms, max_unsent_bytes
         self.lock = threading.Lock()
         self.wake = threading.Condition(self.lock)
-        self.control = bytearray()  # what the reader's part of the protocol has to say
+        self.answers = bytearray()  # what the protocol itself answers
         self.reason = ""
-        self.stopping = False
+        self.is_stopping = False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.write_sock = sock.dup()
         self.threads = [
-            threading.Thread(target=self.read, daemon=True),
-            threading.Thread(target=self.write, daemon=True),
+            threading.Thread(target=self._read, name="grpc-client-reader", daemon=True),
+            threading.Thread(target=self._write, name="grpc-client-writer", daemon=True),
         ]
 
     def start(self) -> None:
+        """Starts both threads."""
         for thread in self.threads:
             thread.start()
 
-    def unsent(self) -> int:
-        return self.connection.unsent_bytes + len(self.control)
+    def unsent_bytes(self) -> int:
+        """Bytes that wait for the peer."""
+        return self.codec.unsent_bytes + len(self.answers)
 
     def send(self, stream: int, message: bytes) -> bool:
-        """Queue a message; False if the peer is over its bound and has been cut off."""
+        """Queues a message; False if the connection has ended, or is closed since too much waits for its peer."""
         with self.wake:
-            if self.stopping:
+            if self.is_stopping:
                 return False
-            self.connection.send(stream, message)
-            over = self.connection.unsent_bytes > self.unsent_most + 2 * len(message)
+            self.codec.send(stream, message)
+            is_over = self.codec.unsent_bytes > self.max_unsent_bytes + 2 * len(message)
             self.wake.notify()
-        if over:
-            self.stop("it reads more slowly than its bound allows")
-        return not over
+        if is_over:
+            self.close("it reads more slowly than its bound allows")
+        return not is_over
 
-    def with_connection(self, what: Callable[[GrpcConnection], None]) -> None:
-        """Do something with the connection under its lock, then let the writer see to the rest."""
+    def with_codec(self, action: Callable[[GrpcConnection], None]) -> None:
+        """Calls `action` with the codec under the lock; the writer then sends what it made."""
         with self.wake:
-            if not self.stopping:
-                what(self.connection)
+            if not self.is_stopping:
+                action(self.codec)
                 self.wake.notify()
 
-    def stop(self, reason: str) -> None:
-        """End the connection; its threads follow."""
+    def close(self, reason: str) -> None:
+        """Ends the connection; its threads follow."""
         with self.wake:
-            if self.stopping:
+            if self.is_stopping:
                 return
-            self.reason, self.stopping = reason, True
+            self.reason, self.is_stopping = reason, True
             self.wake.notify()
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
-    def read(self) -> None:
+    def _read(self) -> None:
         reason = "it closed the connection"
         try:
-            self.sock.settimeout(self.idle_timeout_ms / 1000.0)
-            while not self.stopping:
-                data = self.sock.recv(CHUNK)
-                if not data:
-                    break
-                with self.wake:
-                    events = self.connection.receive(data)
-                    self.control += self.connection.h2.data_to_send()
-                    if len(self.control) > self.unsent_most:
-                        raise ProtocolError("it asks for more answers than it reads")
-                    self.wake.notify()
-                for event in events:
-                    self.sink(self, event)
+            self._read_until_end()
         except TimeoutError:
             reason = "it was silent for too long"
-        except ProtocolError as trouble:
-            reason = str(trouble)
+        except ProtocolError as error:
+            reason = str(error)
             with self.lock:
-                self.control += self.connection.h2.data_to_send()  # our goodbye, if it still reads
-        except OSError as trouble:
-            reason = f"{type(trouble).__name__}"
-        self.finish(self.reason or reason)
+                self.answers += self.codec.pending_output()  # our goodbye, if it still reads
+        except OSError as error:
+            reason = type(error).__name__
+        self._finish(self.reason or reason)
+
+    def _read_until_end(self) -> None:
+        self.sock.settimeout(self.idle_timeout_ms / 1000.0)
+        while not self.is_stopping:
+            data = self.sock.recv(CHUNK_BYTES)
+            if not data:
+                return
+            with self.wake:
+                events = self.codec.receive(data)
+                self.answers += self.codec.pending_output()
+                if len(self.answers) > self.max_unsent_bytes:
+                    raise ProtocolError("it asks for more answers than it reads")
+                self.wake.notify()
+            for event in events:
+                self.on_event(self, event)
 
-    def finish(self, reason: str) -> None:
+    def _finish(self, reason: str) -> None:
         with self.wake:
-            last = bytes(self.control[:4096])
-            self.reason, self.stopping = reason, True
+            last = bytes(self.answers[:MAX_GOODBYE_BYTES])
+            self.reason, self.is_stopping = reason, True
             self.wake.notify()
         if last:
             with contextlib.suppress(OSError):
-                self.sock.settimeout(0.2)
+                self.sock.settimeout(LAST_WRITE_TIMEOUT_S)
                 self.sock.send(last)
         for sock in (self.sock, self.write_sock):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
-        self.closed(self, reason)
+        self.on_closed(self, reason)
 
-    def write(self) -> None:
+    def _write(self) -> None:
         self.write_sock.settimeout(self.write_timeout_ms / 1000.0)
         try:
-            while True:
-                with self.wake:
-                    data = self.outgoing()
-                    if not data and not self.stopping:
-                        if not self.wake.wait(self.ping_interval_ms / 1000.0):
-                            self.connection.ping()
-                        data = self.outgoing()
-                    if self.stopping:
-                        return
-                for at in range(0, len(data), CHUNK):
-                    self.write_sock.sendall(data[at : at + CHUNK])
+            while (data := self._wait_for_output()) is not None:
+                for at in range(0, len(data), CHUNK_BYTES):
+                    self.write_sock.sendall(data[at : at + CHUNK_BYTES])
         except TimeoutError:
-            self.stop("it takes no bytes")
+            self.close("it takes no bytes")
         except OSError:
-            self.stop("the connection broke")
-        except Exception as trouble:  # a broken protocol state must end this connection, not the thread silently
-            self.stop(f"{type(trouble).__name__}: {trouble}")
+            self.close("the connection broke")
+        except Exception as error:  # a broken protocol state must end this connection, not the thread silently
+            self.close(f"{type(error).__name__}: {error}")
+
+    def _wait_for_output(self) -> bytes | None:
+        """Waits for something to send, with a ping after a silence; None where the connection ends."""
+        with self.wake:
+            data = self._outgoing()
+            if not data and not self.is_stopping:
+                if not self.wake.wait(self.ping_interval_ms / 1000.0):
+                    self.codec.ping()
+                data = self._outgoing()
+            return None if self.is_stopping else data
 
-    def outgoing(self) -> bytes:
-        data = bytes(self.control)
-        self.control.clear()
-        return data + self.connection.pump()
+    def _outgoing(self) -> bytes:
+        data = bytes(self.answers)
+        self.answers.clear()
+        return data + self.codec.pump()
 
 
 def dial(address: str, timeout_ms: float) -> socket.socket:
-    """A connection to `host:port`; raises OSError."""
+    """A connection to `host:port`.
+
+    Raises:
+        OSError: There is none.
+    """
     host, _, port = address.rpartition(":")
     return socket.create_connection((host.strip("[]"), int(port)), timeout_ms / 1000.0)
--- a/quillstep/xds/resources.py
+++ b/quillstep/xds/resources.py
@@ -1,17 +1,17 @@
-"""Contents of the tables as published xDS resources, and back from names to keys.
+"""Resources of the tables as published xDS resources, and back from names to keys.
 
-| key | type | name |
+| kind of key | type | name |
 | --- | --- | --- |
-| entry | Listener | exchanges |
-| routes | RouteConfiguration | exchanges |
-| pool N | Cluster | table-N |
-| share N | ClusterLoadAssignment | table-N |
-| line N E | LbEndpoint | xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/table-N/E |
-| out E | LbEndpoint | xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/withdrawn/E |
+| LISTENER | Listener | exchanges |
+| ROUTES | RouteConfiguration | exchanges |
+| CLUSTER, table N | Cluster | table-N |
+| ADMISSION, table N | ClusterLoadAssignment | table-N |
+| WEIGHT, table N, endpoint E | LbEndpoint | xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/table-N/E |
+| EJECTED, endpoint E | LbEndpoint | xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/withdrawn/E |
 """
 
 from collections.abc import Sequence
-from typing import Any
+from typing import Any, NamedTuple
 
 from envoy.config.cluster.v3 import cluster_pb2
 from envoy.config.core.v3 import health_check_pb2
@@ -34,178 +34,231 @@
 LEDS = PREFIX + "envoy.config.endpoint.v3.LbEndpoint"
 TYPES = {LISTENER: LDS, ROUTES: RDS, CLUSTER: CDS, ADMISSION: EDS, WEIGHT: LEDS, EJECTED: LEDS}
 COLLECTION = "xdstp://quillstep/envoy.config.endpoint.v3.LbEndpoint/"
-ENTRY_NAME = "exchanges"
-WITHDRAWN = COLLECTION + "withdrawn/*"
+LISTENER_NAME = "exchanges"  # and that of its routes
+TABLE_PREFIX = "table-"
+EJECTED_GROUP = "withdrawn"
+EJECTED_COLLECTION = f"{COLLECTION}{EJECTED_GROUP}/*"
 RATE_FILTER = "envoy.filters.http.local_ratelimit"
-NEVER_RAN = "connect-failure,refused-stream"  # proof that a try never ran
-ANY_FAILURE = NEVER_RAN + ",5xx,reset"
+RETRY_ON_NEVER_RAN = "connect-failure,refused-stream"  # proof that an attempt never ran
+RETRY_ON_ANY_FAILURE = RETRY_ON_NEVER_RAN + ",5xx,reset"
 STATUS = {"draining": health_check_pb2.DRAINING, "lost": health_check_pb2.UNHEALTHY}
-FILL_MS = 250.0  # a rate's bucket holds what comes in this time, one at least
+BUCKET_MS = 250.0  # a rate's bucket holds what arrives in this time, one request at least
+MIN_FILL_INTERVAL_US, MAX_FILL_INTERVAL_US = 50, 10**10
+MIN_RATE_PER_S = 1e-4
+CONNECT_TIMEOUT_MS = 250
+SERVICE_UNAVAILABLE = 503  # HTTP status
+DROP_SCALE = 10000  # drops are parts of ten thousand
+MAX_ENCODED = 65536  # resources whose bytes are kept
+V3 = 2  # resource API version, in the published enumeration
+
+
+class AssignedEndpoint(NamedTuple):
+    """An endpoint inside an assignment; `status` is empty unless it is ejected."""
+
+    host: str
+    port: int
+    weight: float
+    status: str
+
+
+def table_name(table: int) -> str:
+    """The name of a table's cluster and assignment."""
+    return f"{TABLE_PREFIX}{table}"
+
+
+def table_collection(table: int) -> str:
+    """The glob collection of a table's weights."""
+    return f"{COLLECTION}{table_name(table)}/*"
 
 
 def name(key: Key) -> str:
     """A key's resource name."""
     kind = key[0]
     if kind == WEIGHT:
-        return f"{COLLECTION}table-{key[1]}/{key[2]}"
+        return f"{COLLECTION}{table_name(key[1])}/{key[2]}"
     if kind == EJECTED:
-        return f"{COLLECTION}withdrawn/{key[1]}"
+        return f"{COLLECTION}{EJECTED_GROUP}/{key[1]}"
     if kind in (CLUSTER, ADMISSION):
-        return f"table-{key[1]}"
-    return str(key[2]) if kind == FOREIGN else ENTRY_NAME
+        return table_name(key[1])
+    return str(key[2]) if kind == FOREIGN else LISTENER_NAME
 
 
 def type_url(key: Key) -> str:
+    """A key's resource type."""
     return str(key[1]) if key[0] == FOREIGN else TYPES[key[0]]
 
 
 def key_of(url: str, named: str) -> Key:
-    """The key of a resource name; a name that is none of ours is a key of its own."""
-    other = (FOREIGN, url, named)
-    if url in (LDS, RDS):
-        return ((LISTENER,) if url == LDS else (ROUTES,)) if named == ENTRY_NAME else other
+    """The key of a resource type and name; a name that is none of ours is a key of its own."""
+    if url in (LDS, RDS) and named == LISTENER_NAME:
+        return (LISTENER,) if url == LDS else (ROUTES,)
     if url in (CDS, EDS):
-        number = _whole(named.removeprefix("table-")) if named.startswith("table-") else None
-        return other if number is None else (CLUSTER if url == CDS else ADMISSION, number)
+        table = _table_number(named)
+        if table is not None:
+            return (CLUSTER if url == CDS else ADMISSION, table)
     if url == LEDS and named.startswith(COLLECTION):
         group, _, last = named.removeprefix(COLLECTION).partition("/")
-        endpoint = _whole(last)
-        if endpoint is not None and group == "withdrawn":
+        endpoint, table = _whole_number(last), _table_number(group)
+        if endpoint is not None and group == EJECTED_GROUP:
             return (EJECTED, endpoint)
-        table = _whole(group.removeprefix("table-")) if group.startswith("table-") else None
         if endpoint is not None and table is not None:
             return (WEIGHT, table, endpoint)
-    return other
+    return (FOREIGN, url, named)
 
 
-def _whole(text: str) -> int | None:
-    """A number as we write it ourselves: no signs, no leading zeros."""
+def _table_number(named: str) -> int | None:
+    return _whole_number(named.removeprefix(TABLE_PREFIX)) if named.startswith(TABLE_PREFIX) else None
+
+
+def _whole_number(text: str) -> int | None:
+    """A number as it is written here: no signs, no leading zeros."""
     return int(text) if text.isascii() and text.isdigit() and str(int(text)) == text else None
 
 
 def collection(key: Key) -> str:
-    """The glob collection that a line or withdrawal belongs to."""
-    return WITHDRAWN if key[0] == EJECTED else f"{COLLECTION}table-{key[1]}/*"
+    """The glob collection that a weight or ejection belongs to."""
+    return EJECTED_COLLECTION if key[0] == EJECTED else table_collection(key[1])
 
 
 class Encoder:
-    """Makes resources of contents, each once: bytes ready to be put into a response of either kind."""
+    """Makes messages of resources, and keeps the bytes of each."""
 
     def __init__(self, classes: Sequence[ClassSettings], attempt_timeout_factor: float) -> None:
         self.classes, self.attempt_timeout_factor = classes, attempt_timeout_factor
-        self.made: dict[tuple[Key, str], bytes] = {}
+        self.encoded: dict[tuple[Key, str], bytes] = {}  # by key and version
 
-    def delta(self, key: Key, content: Resource) -> bytes:
+    def encode(self, key: Key, resource: Resource) -> bytes:
         """A `Resource` as field 2 of a delta response: tag, length, bytes."""
-        at = (key, content.version)
-        made = self.made.get(at)
-        if made is None:
-            resource = discovery_pb2.Resource(name=name(key), version=content.version)
-            resource.resource.Pack(self.message(key, content))
-            made = b"\x12" + _sized(resource.SerializeToString(deterministic=True))
-            if len(self.made) > 65536:
-                self.made.clear()  # old versions; the current ones are made again
-            self.made[at] = made
-        return made
-
-    def message(self, key: Key, content: Resource) -> Any:
+        at = (key, resource.version)
+        encoded = self.encoded.get(at)
+        if encoded is None:
+            wrapped = discovery_pb2.Resource(name=name(key), version=resource.version)
+            wrapped.resource.Pack(self.message(key, resource))
+            encoded = b"\x12" + _with_length(wrapped.SerializeToString(deterministic=True))
+            if len(self.encoded) > MAX_ENCODED:
+                self.encoded.clear()  # mostly of old versions; the current ones are made again
+            self.encoded[at] = encoded
+        return encoded
+
+    def message(self, key: Key, resource: Resource) -> Any:
+        """A resource as its published message."""
         kind = key[0]
         if kind == WEIGHT:
-            host, port, weight = content.content
-            line = endpoint_components_pb2.LbEndpoint(health_status=health_check_pb2.HEALTHY)
-            line.load_balancing_weight.value = max(1, round(weight))
-            return _addressed(line, host, port)
+            return _weighted_endpoint(*resource.content)
         if kind == EJECTED:
-            host, port, status = content.content
-            return _addressed(endpoint_components_pb2.LbEndpoint(health_status=STATUS[status]), host, port)
+            host, port, status = resource.content
+            return _set_address(endpoint_components_pb2.LbEndpoint(health_status=STATUS[status]), host, port)
         if kind == CLUSTER:
-            cluster = cluster_pb2.Cluster(name=name(key), type=cluster_pb2.Cluster.EDS)
-            cluster.eds_cluster_config.eds_config.ads.SetInParent()
-            cluster.eds_cluster_config.eds_config.resource_api_version = 2
-            cluster.connect_timeout.FromMilliseconds(250)
-            cluster.lb_policy = cluster_pb2.Cluster.ROUND_ROBIN
-            return cluster
+            return _cluster(key)
         if kind == ADMISSION:
-            return self.assignment(key, content)
+            return self._assignment(key, resource)
         if kind == ROUTES:
-            return self.routes(content)
-        return self.listener()
+            return self._routes(resource)
+        return _listener()
 
-    def assignment(self, key: Key, content: Resource) -> endpoint_pb2.ClusterLoadAssignment:
-        assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name(key))
+    def full_assignment(
+        self, table: int, admission: Resource, endpoints: list[AssignedEndpoint]
+    ) -> endpoint_pb2.ClusterLoadAssignment:
+        """A table with its endpoints inside, for clients that know no deltas."""
+        assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=table_name(table))
         group = assignment.endpoints.add()
-        leds = group.leds_cluster_locality_config
-        leds.leds_config.ads.SetInParent()
-        leds.leds_config.resource_api_version = 2
-        leds.leds_collection_name = f"{COLLECTION}table-{key[1]}/*"
-        self.drops(assignment, content)
+        for host, port, weight, status in endpoints:
+            endpoint = group.lb_endpoints.add(health_status=STATUS.get(status, health_check_pb2.HEALTHY))
+            endpoint.load_balancing_weight.value = max(1, round(weight))
+            _set_address(endpoint, host, port)
+        self._add_drops(assignment, admission)
         return assignment
 
-    def whole(self, table: int, share: Resource, lines: list[tuple]) -> endpoint_pb2.ClusterLoadAssignment:
-        """A table with its lines inside, for clients that know no deltas: (host, port, weight, status) each."""
-        assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=f"table-{table}")
-        group = assignment.endpoints.add()
-        for host, port, weight, status in lines:
-            line = group.lb_endpoints.add(health_status=STATUS.get(status, health_check_pb2.HEALTHY))
-            line.load_balancing_weight.value = max(1, round(weight))
-            _addressed(line, host, port)
-        self.drops(assignment, share)
+    def _assignment(self, key: Key, admission: Resource) -> endpoint_pb2.ClusterLoadAssignment:
+        """A table that refers to its endpoints' collection."""
+        assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name(key))
+        leds = assignment.endpoints.add().leds_cluster_locality_config
+        leds.leds_config.ads.SetInParent()
+        leds.leds_config.resource_api_version = V3
+        leds.leds_collection_name = table_collection(key[1])
+        self._add_drops(assignment, admission)
         return assignment
 
-    def drops(self, assignment: endpoint_pb2.ClusterLoadAssignment, content: Resource) -> None:
-        for place, allowed in content.content:
+    def _add_drops(self, assignment: endpoint_pb2.ClusterLoadAssignment, admission: Resource) -> None:
+        """Adds the share of each class that is not admitted."""
+        for class_index, allowed in admission.content:
             if allowed < 1.0:
-                drop = assignment.policy.drop_overloads.add(category=self.classes[place].name)
-                drop.drop_percentage.numerator = round((1.0 - max(0.0, allowed)) * 10000)
-                drop.drop_percentage.denominator = 1  # of ten thousand
-
-    def routes(self, content: Resource) -> route_pb2.RouteConfiguration:
-        routes = route_pb2.RouteConfiguration(name=ENTRY_NAME)
-        host = routes.virtual_hosts.add(name=ENTRY_NAME, domains=["*"])
-        for place, table, allowed, tries in content.content:
-            row = self.classes[place]
-            route = host.routes.add(name=row.name)
-            route.match.prefix = f"/{row.name}"
-            route.route.cluster = f"table-{table}"
-            route.route.timeout.FromMilliseconds(round(row.deadline_ms))
-            if tries:
-                self.retry(route.route.retry_policy, row, tries)
-            if allowed is not None and allowed <= 0.0:
-                route.direct_response.status = 503
-            elif allowed is not None:
-                limit = local_rate_limit_pb2.LocalRateLimit(stat_prefix=row.name)
-                bucket = limit.token_bucket
-                # Whole tokens an interval: a rate below one a second becomes one in a longer time.
-                bucket.max_tokens = max(1, round(allowed * FILL_MS / 1000.0))
-                bucket.tokens_per_fill.value = 1
-                bucket.fill_interval.FromMicroseconds(max(50, min(10**10, round(1e6 / max(allowed, 1e-4)))))
+                drop = assignment.policy.drop_overloads.add(category=self.classes[class_index].name)
+                drop.drop_percentage.numerator = round((1.0 - max(0.0, allowed)) * DROP_SCALE)
+                drop.drop_percentage.denominator = 1  # of ten thousand, in the published enumeration
+
+    def _routes(self, routes: Resource) -> route_pb2.RouteConfiguration:
+        """The table, the retry policy and the admitted rate of each class."""
+        configuration = route_pb2.RouteConfiguration(name=LISTENER_NAME)
+        host = configuration.virtual_hosts.add(name=LISTENER_NAME, domains=["*"])
+        for class_index, table, rate_per_s, retry_policy in routes.content:
+            kind = self.classes[class_index]
+            route = host.routes.add(name=kind.name)
+            route.match.prefix = f"/{kind.name}"
+            route.route.cluster = table_name(table)
+            route.route.timeout.FromMilliseconds(round(kind.deadline_ms))
+            if retry_policy:
+                self._set_retries(route.route.retry_policy, kind, retry_policy)
+            if rate_per_s is not None and rate_per_s <= 0.0:
+                route.direct_response.status = SERVICE_UNAVAILABLE
+            elif rate_per_s is not None:
+                limit = _rate_limit(kind.name, rate_per_s)
                 route.typed_per_filter_config[RATE_FILTER].Pack(limit)
-        return routes
-
-    def retry(self, policy: route_components_pb2.RetryPolicy, row: ClassSettings, tries: int) -> None:
-        policy.retry_on = NEVER_RAN if tries == 1 else ANY_FAILURE
-        policy.num_retries.value = 2 if tries == 3 else 1
-        if tries > 1:
-            policy.per_try_timeout.FromMilliseconds(round(self.attempt_timeout_factor * row.latency_objective_ms))
-
-    def listener(self) -> listener_pb2.Listener:
-        manager = http_connection_manager_pb2.HttpConnectionManager(stat_prefix=ENTRY_NAME)
-        manager.rds.route_config_name = ENTRY_NAME
-        manager.rds.config_source.ads.SetInParent()
-        manager.rds.config_source.resource_api_version = 2
-        manager.http_filters.add(name="envoy.filters.http.router").typed_config.Pack(router_pb2.Router())
-        listener = listener_pb2.Listener(name=ENTRY_NAME)
-        listener.api_listener.api_listener.Pack(manager)
-        return listener
-
-
-def _addressed(line: endpoint_components_pb2.LbEndpoint, host: str, port: int) -> endpoint_components_pb2.LbEndpoint:
-    address = line.endpoint.address.socket_address
+        return configuration
+
+    def _set_retries(self, policy: route_components_pb2.RetryPolicy, kind: ClassSettings, retry_policy: int) -> None:
+        policy.retry_on = RETRY_ON_NEVER_RAN if retry_policy == 1 else RETRY_ON_ANY_FAILURE
+        policy.num_retries.value = 2 if retry_policy == 3 else 1
+        if retry_policy > 1:
+            policy.per_try_timeout.FromMilliseconds(round(self.attempt_timeout_factor * kind.latency_objective_ms))
+
+
+def _cluster(key: Key) -> cluster_pb2.Cluster:
+    cluster = cluster_pb2.Cluster(name=name(key), type=cluster_pb2.Cluster.EDS)
+    cluster.eds_cluster_config.eds_config.ads.SetInParent()
+    cluster.eds_cluster_config.eds_config.resource_api_version = V3
+    cluster.connect_timeout.FromMilliseconds(CONNECT_TIMEOUT_MS)
+    cluster.lb_policy = cluster_pb2.Cluster.ROUND_ROBIN
+    return cluster
+
+
+def _listener() -> listener_pb2.Listener:
+    manager = http_connection_manager_pb2.HttpConnectionManager(stat_prefix=LISTENER_NAME)
+    manager.rds.route_config_name = LISTENER_NAME
+    manager.rds.config_source.ads.SetInParent()
+    manager.rds.config_source.resource_api_version = V3
+    manager.http_filters.add(name="envoy.filters.http.router").typed_config.Pack(router_pb2.Router())
+    listener = listener_pb2.Listener(name=LISTENER_NAME)
+    listener.api_listener.api_listener.Pack(manager)
+    return listener
+
+
+def _rate_limit(prefix: str, rate_per_s: float) -> local_rate_limit_pb2.LocalRateLimit:
+    """A token bucket of whole tokens: a rate below one a second becomes one in a longer time."""
+    limit = local_rate_limit_pb2.LocalRateLimit(stat_prefix=prefix)
+    bucket = limit.token_bucket
+    bucket.max_tokens = max(1, round(rate_per_s * BUCKET_MS / 1000.0))
+    bucket.tokens_per_fill.value = 1
+    interval_us = round(1e6 / max(rate_per_s, MIN_RATE_PER_S))
+    bucket.fill_interval.FromMicroseconds(max(MIN_FILL_INTERVAL_US, min(MAX_FILL_INTERVAL_US, interval_us)))
+    return limit
+
+
+def _weighted_endpoint(host: str, port: int, weight: float) -> endpoint_components_pb2.LbEndpoint:
+    endpoint = endpoint_components_pb2.LbEndpoint(health_status=health_check_pb2.HEALTHY)
+    endpoint.load_balancing_weight.value = max(1, round(weight))
+    return _set_address(endpoint, host, port)
+
+
+def _set_address(
+    endpoint: endpoint_components_pb2.LbEndpoint, host: str, port: int
+) -> endpoint_components_pb2.LbEndpoint:
+    address = endpoint.endpoint.address.socket_address
     address.address, address.port_value = host, port
-    return line
+    return endpoint
 
 
-def _sized(data: bytes) -> bytes:
+def _with_length(data: bytes) -> bytes:
     """Bytes with their length as a varint before them."""
     size, head = len(data), bytearray()
     while size > 127:
--- a/quillstep/xds/server.py
+++ b/quillstep/xds/server.py
@@ -1,4 +1,4 @@
-"""What connections of the streaming front say, as news for the deciding thread."""
+"""Turns what peers of the streaming front send into events for the deciding thread."""
 
 import threading
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from quillstep.config.controller import LimitSettings
 from quillstep.net.poller import Poller
 from quillstep.xds.grpc import INVALID_ARGUMENT, RESOURCE_EXHAUSTED, UNIMPLEMENTED
-from quillstep.xds.http2 import Event, GrpcConnection
+from quillstep.xds.http2 import Event, GrpcConnection, MessageReceived, StreamEnded, StreamOpened
 from quillstep.xds.http2 import GrpcPeer as Peer
 
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
@@ -23,109 +23,132 @@
     SOTW: discovery_pb2.DiscoveryRequest,
     LOAD: lrs_pb2.LoadStatsRequest,
 }
-StreamEvent = (
-    tuple  # ("open", peer, stream, path), ("request", peer, stream, message, its bytes), ("end", peer, stream, why)
-)
+StreamEvent = tuple[
+    Any, ...
+]  # ("open", peer, stream, path), ("request", peer, stream, message, its bytes), ("end", peer, stream, why)
 
 
-class LoadReader(Protocol):
-    """Who takes load reports, apart from all other news; none of these may block."""
+class ReportReader(Protocol):
+    """Who takes load reports, apart from all other events; none of these may block."""
 
     max_message_bytes: int
 
-    def open_stream(self, connection: Peer, stream: int) -> None: ...
-    def add_message(self, connection: Peer, stream: int, data: bytes) -> None: ...
-    def end_stream(self, connection: Peer, stream: int) -> None: ...
+    def open_stream(self, connection: Peer, stream: int) -> None:
+        """A report stream has opened."""
+
+    def add_message(self, connection: Peer, stream: int, data: bytes) -> None:
+        """A message has arrived on a report stream."""
+
+    def end_stream(self, connection: Peer, stream: int) -> None:
+        """A report stream has ended."""
 
 
 class Server:
-    """The front's streams.  `put` hands one piece of news over and blocks while the inbox is full;
-    load reports go to `loads` where there is one, so that no acknowledgement waits behind them."""
+    """The front's streams.
+
+    `put` hands one event over and blocks while the queue is full; load reports go to `report_reader` where there is
+    one, so that no acknowledgement waits behind them.
+    """
 
     def __init__(
         self,
         listen: str,
         limits: LimitSettings,
         put: Callable[[StreamEvent], None],
-        loads: LoadReader | None = None,
+        report_reader: ReportReader | None = None,
     ) -> None:
-        self.limits, self.put, self.loads = limits, put, loads
+        self.put, self.report_reader = put, report_reader
         self.log = structlog.get_logger("xds")
-        most = limits.max_message_bytes
         self.poller = Poller(
-            listen, limits, lambda: GrpcConnection(False, most, limits.max_headers_bytes),
-            self.event, self.closed, idle_timeout_ms=limits.idle_timeout_ms,
-        )  # fmt: skip
+            listen,
+            limits,
+            lambda: GrpcConnection(False, limits.max_message_bytes, limits.max_headers_bytes),
+            self._on_event,
+            self._on_closed,
+            idle_timeout_ms=limits.idle_timeout_ms,
+        )
         self.address = self.poller.address
         self.methods: dict[tuple[Peer, int], str] = {}
         self.streams: dict[Peer, set[int]] = {}
 
     def start(self) -> None:
-        threading.Thread(target=self.poller.run, daemon=True).start()
-
-    def event(self, peer: Peer, event: Event) -> None:
-        kind, stream = event[0], event[1]
-        if kind == "open":
-            path = event[2]
-            if path not in REQUESTS:
-                self.log.warning("stream refused", reason="unknown method", method=path)
-                peer.with_codec(lambda c: c.finish(stream, UNIMPLEMENTED, f"no method {path}"))
-                return
-            self.methods[peer, stream] = path
-            self.streams.setdefault(peer, set()).add(stream)
-            peer.with_codec(lambda c: c.accept(stream))
-            if self.loads and path == LOAD:
-                most = self.loads.max_message_bytes
-                peer.with_codec(lambda c: c.hold(stream, most))
-                self.loads.open_stream(peer, stream)
-            else:
-                self.put(("open", peer, stream, path))
-        elif kind == "message":
-            found = self.methods.get((peer, stream))
-            if found is None:
-                return
-            if self.loads and found == LOAD:
-                if len(event[2]) > self.loads.max_message_bytes:  # it came with its stream's opening
-                    self.finish(peer, stream, RESOURCE_EXHAUSTED, "a report that is too large")
-                    self.end(peer, stream, found, "a report that is too large")
-                else:
-                    self.loads.add_message(peer, stream, event[2])
-                return
-            try:
-                message = REQUESTS[found].FromString(event[2])
-            except DecodeError:
-                self.log.warning("stream ended", reason="a message that is no request", method=found)
-                self.methods.pop((peer, stream), None)
-                peer.with_codec(lambda c: c.finish(stream, INVALID_ARGUMENT, "a message that is no request"))
-                self.put(("end", peer, stream, "a message that is no request"))
-                return
-            self.put(("request", peer, stream, message, event[2]))
-        elif found := self.methods.pop((peer, stream), None):
-            if event[2]:
-                self.log.warning("stream ended", reason=event[3], code=event[2])
-            self.end(peer, stream, found, event[3])
-
-    def end(self, peer: Peer, stream: int, method: str, reason: str) -> None:
-        if self.loads and method == LOAD:
-            self.loads.end_stream(peer, stream)
+        """Starts the thread that reads and writes all connections."""
+        threading.Thread(target=self.poller.run, name="xds-server", daemon=True).start()
+
+    def stop(self) -> None:
+        """Ends the thread, without waiting: it may be blocked in `put`, which nobody takes from any more."""
+        self.poller.stop()
+
+    def finish(self, peer: Peer, stream: int, status: int, text: str) -> None:
+        """Ends one stream with a status that its peer can read."""
+        self.methods.pop((peer, stream), None)
+        peer.with_codec(lambda codec: codec.finish(stream, status, text))
+
+    def _on_event(self, peer: Peer, event: Event) -> None:
+        match event:
+            case StreamOpened(stream, path):
+                self._on_opened(peer, stream, path)
+            case MessageReceived(stream, data):
+                self._on_message(peer, stream, data)
+            case StreamEnded(stream, status, reason):
+                if method := self.methods.pop((peer, stream), None):
+                    if status:
+                        self.log.warning("stream ended", reason=reason, code=status)
+                    self._end(peer, stream, method, reason)
+
+    def _on_opened(self, peer: Peer, stream: int, method: str) -> None:
+        if method not in REQUESTS:
+            self.log.warning("stream rejected", reason="unknown method", method=method)
+            peer.with_codec(lambda codec: codec.finish(stream, UNIMPLEMENTED, f"no method {method}"))
+            return
+        self.methods[peer, stream] = method
+        self.streams.setdefault(peer, set()).add(stream)
+        peer.with_codec(lambda codec: codec.accept(stream))
+        if self.report_reader and method == LOAD:
+            max_bytes = self.report_reader.max_message_bytes
+            peer.with_codec(lambda codec: codec.use_manual_flow_control(stream, max_bytes))
+            self.report_reader.open_stream(peer, stream)
         else:
+            self.put(("open", peer, stream, method))
+
+    def _on_message(self, peer: Peer, stream: int, data: bytes) -> None:
+        method = self.methods.get((peer, stream))
+        if method is None:
+            return
+        if self.report_reader and method == LOAD:
+            self._on_report(self.report_reader, peer, stream, data)
+            return
+        try:
+            message = REQUESTS[method].FromString(data)
+        except DecodeError:
+            reason = "a message that is no request"
+            self.log.warning("stream ended", reason=reason, method=method)
+            self.finish(peer, stream, INVALID_ARGUMENT, reason)
             self.put(("end", peer, stream, reason))
+            return
+        self.put(("request", peer, stream, message, data))
+
+    def _on_report(self, reader: ReportReader, peer: Peer, stream: int, data: bytes) -> None:
+        if len(data) > reader.max_message_bytes:  # it came with its stream's opening, ahead of the limit
+            reason = "a report that is too large"
+            self.finish(peer, stream, RESOURCE_EXHAUSTED, reason)
+            self._end(peer, stream, LOAD, reason)
+        else:
+            reader.add_message(peer, stream, data)
 
-    def closed(self, peer: Peer, reason: str) -> None:
+    def _end(self, peer: Peer, stream: int, method: str, reason: str) -> None:
+        if self.report_reader and method == LOAD:
+            self.report_reader.end_stream(peer, stream)
+        else:
+            self.put(("end", peer, stream, reason))
+
+    def _on_closed(self, peer: Peer, reason: str) -> None:
         streams = sorted(self.streams.pop(peer, ()))
         if not streams or not peer.is_registered:
             self.log.warning("connection ended", reason=reason)
         for stream in streams:
             if method := self.methods.pop((peer, stream), None):
-                self.end(peer, stream, method, reason)
-
-    def finish(self, peer: Peer, stream: int, status: int, text: str) -> None:
-        """End one stream with a status that its peer can read."""
-        self.methods.pop((peer, stream), None)
-        peer.with_codec(lambda c: c.finish(stream, status, text))
-
-    def stop(self) -> None:
-        self.poller.stop()
+                self._end(peer, stream, method, reason)
 
 
-__all__ = ["DELTA", "LOAD", "SOTW", "LoadReader", "StreamEvent", "Peer", "Server"]
+__all__ = ["DELTA", "LOAD", "SOTW", "Peer", "ReportReader", "Server", "StreamEvent"]
--- a/quillstep/xds/sotw.py
+++ b/quillstep/xds/sotw.py
@@ -1,6 +1,6 @@
 """One state-of-the-world stream (`StreamAggregatedResources`), without I/O, for clients that know no deltas.
 
-A response is all resources of one type that the client asks for; lines and withdrawals are inside the assignment.
+A response is all resources of one type that the client subscribes to; weights and ejections are inside the assignment.
 `version_info` is the hash of all that the response holds; the ledger knows which keys that means.
 """
 
@@ -10,10 +10,10 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import any_pb2
 
-from quillstep.routing import Change, Key, Nack
+from quillstep.routing import Change, Key
 from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, LISTENER, ROUTES, WEIGHT, Resource
 from quillstep.xds import resources
-from quillstep.xds.stream import Response, Stream
+from quillstep.xds.stream import RequestResult, Response, Stream
 
 KINDS = {
     resources.CDS: (CLUSTER,),
@@ -21,100 +21,119 @@
     resources.LDS: (LISTENER,),
     resources.RDS: (ROUTES,),
 }
-URLS = {kind: url for url, kinds in KINDS.items() for kind in kinds}
-FULL = (resources.CDS, resources.LDS)  # whoever asks for no names here asks for all
+TYPE_URLS = {kind: type_url for type_url, kinds in KINDS.items() for kind in kinds}
+WILDCARD_TYPES = (resources.CDS, resources.LDS)  # no names in a request for these mean all
 
 
 class SotwStream(Stream):
     """The state of one state-of-the-world stream."""
 
-    whole = True
+    sends_full_state = True
 
     def __init__(self, *shared: Any) -> None:
         super().__init__(*shared)
-        self.names: dict[str, set[str]] = {}  # by type; an empty set means all where that is allowed
-        self.newest: dict[str, str] = {}  # nonce by type
+        self.names: dict[str, set[str]] = {}  # by type URL; an empty set means all where that is allowed
+        self.nonces: dict[str, str] = {}  # of the newest response by type URL
 
-    def first(self, request: discovery_pb2.DiscoveryRequest) -> dict[Key, str]:
-        """A client of this kind tells no versions of single resources; it is sent all anew."""
-        self.named(request)
+    def initial_versions(self, request: discovery_pb2.DiscoveryRequest) -> dict[Key, str]:
+        """Nothing: a client of this kind sends no versions of single resources, and is sent all anew.
+
+        Raises:
+            StreamError: The request names no node.
+        """
+        self._check_node(request)
         return {}
 
-    def request(self, request: discovery_pb2.DiscoveryRequest, now_ms: float) -> tuple[list[Change], Nack | None]:
-        """Take a request in; what it acknowledged, and what it refused."""
-        url = request.type_url
-        if url not in KINDS:
-            self.unserved(request, list(request.resource_names), discovery_pb2.DiscoveryResponse())
-            return [], None
-        acknowledged, refusal = self.word(request, now_ms)
-        if request.response_nonce and request.response_nonce != self.newest.get(url):
-            return acknowledged, refusal  # an older word: its names are overtaken
+    def handle_request(self, request: discovery_pb2.DiscoveryRequest, now_ms: float) -> RequestResult:
+        """Records a request; returns what it acknowledged or rejected.
+
+        Raises:
+            StreamError: The stream has to end.
+        """
+        type_url = request.type_url
+        if type_url not in KINDS:
+            self._reject_type(request, list(request.resource_names), discovery_pb2.DiscoveryResponse())
+            return RequestResult([], None)
+        result = self._handle_ack(request, now_ms)
+        if request.response_nonce and request.response_nonce != self.nonces.get(type_url):
+            return result  # it answers an older response: its names are superseded
         names = set(request.resource_names) - {"*"}
-        self.bounded(len(names))
-        before = self.names.get(url)
-        self.names[url] = names
+        self._check_subscriptions(len(names))
+        before = self.names.get(type_url)
+        self.names[type_url] = names
         if before is None or names - before:
-            keys = [key for key in self.tables.desired_keys(self.proxy) if key[0] in KINDS[url] and self.wants(key)]
+            kinds = KINDS[type_url]
+            desired = self.tables.desired_keys(self.proxy)
+            keys = [key for key in desired if key[0] in kinds and self.is_subscribed(key)]
             self.tables.subscribe(self.proxy, keys, resend=True)
-        return acknowledged, refusal
+        return result
 
-    def wants(self, key: Key) -> bool:
-        url = URLS.get(key[0])
-        names = self.names.get(url) if url else None
-        if names is None or url is None:
+    def is_subscribed(self, key: Key) -> bool:
+        """Whether the proxy has subscribed to this key, or to the assignment that holds it."""
+        type_url = TYPE_URLS.get(key[0])
+        names = self.names.get(type_url) if type_url else None
+        if names is None or type_url is None:
             return False
         if key[0] == EJECTED:
             return True
-        named = f"table-{key[1]}" if key[0] in (CLUSTER, ADMISSION, WEIGHT) else resources.ENTRY_NAME
-        return named in names or (not names and url in FULL)
+        name = resources.table_name(key[1]) if key[0] in (CLUSTER, ADMISSION, WEIGHT) else resources.LISTENER_NAME
+        return name in names or (not names and type_url in WILDCARD_TYPES)
 
     def pump(self, now_ms: float) -> list[Response]:
-        """What may be sent now: one response a type, and none of a type while one is under way."""
-        out, self.errors = self.errors, []
+        """What may be sent now: one response a type, and none of a type while one is in flight."""
+        responses = self._take_errors()
         ledger = self.tables.proxies[self.proxy]
-        changes = self.tables.changes_to_send(self.proxy, now_ms, self.wants)
-        for url, kinds in KINDS.items():
+        changes = self.tables.changes_to_send(self.proxy, now_ms, self.is_subscribed)
+        for type_url, kinds in KINDS.items():
             group = [change for change in changes if change.key[0] in kinds]
             if not group or any(key[0] in kinds for key in ledger.in_flight):
                 continue
-            named = {change.key for change in group}
-            again = [key for key in ledger.nacked if key[0] in kinds and key not in named]
-            group += [Change(key, self.tables.desired_resource(ledger, key)) for key in again]
-            nonce = self.nonce()
-            packed = self.state(url)
-            version = xxhash.xxh3_64_hexdigest(b"".join(one.SerializeToString() for one in packed))
-            self.tables.record_sent(self.proxy, nonce, group, now_ms, url)
-            self.newest[url] = nonce
-            response = discovery_pb2.DiscoveryResponse(
-                version_info=version, resources=packed, type_url=url, nonce=nonce
-            )
-            response.control_plane.identifier = self.stamp(ledger.released_revision)
-            message = response.SerializeToString()
-            out.append(Response(message, ledger.released_revision, url, nonce, len(group), 0))
-        return out
-
-    def state(self, url: str) -> list[any_pb2.Any]:
-        """All resources of a type that the client asks for, packed."""
+            changed = {change.key for change in group}
+            rejected = [key for key in ledger.nacked if key[0] in kinds and key not in changed]
+            group += [Change(key, self.tables.desired_resource(ledger, key)) for key in rejected]
+            responses.append(self._send(type_url, group, now_ms))
+        return responses
+
+    def _send(self, type_url: str, changes: list[Change], now_ms: float) -> Response:
+        """Records changes as sent, and makes the response that holds them."""
+        nonce = self._next_nonce()
+        packed = self._state(type_url)
+        version = xxhash.xxh3_64_hexdigest(b"".join(each.SerializeToString() for each in packed))
+        self.tables.record_sent(self.proxy, nonce, changes, now_ms, type_url)
+        self.nonces[type_url] = nonce
+        revision = self.tables.proxies[self.proxy].released_revision
+        response = discovery_pb2.DiscoveryResponse(
+            version_info=version, resources=packed, type_url=type_url, nonce=nonce
+        )
+        response.control_plane.identifier = self._version_info(revision)
+        return Response(response.SerializeToString(), revision, type_url, nonce, len(changes), 0)
+
+    def _state(self, type_url: str) -> list[any_pb2.Any]:
+        """All resources of a type that the client subscribes to, packed."""
         ledger = self.tables.proxies[self.proxy]
         packed = []
         for key in self.tables.desired_keys(self.proxy):
-            if key[0] != KINDS[url][0] or not self.wants(key):
+            if key[0] != KINDS[type_url][0] or not self.is_subscribed(key):
                 continue
-            found = self.tables.desired_resource(ledger, key)
-            if found is None:
+            resource = self.tables.desired_resource(ledger, key)
+            if resource is None:
                 continue
-            one = any_pb2.Any()
             if key[0] == ADMISSION:
-                one.Pack(self.encoder.whole(key[1], found, self.lines(key[1])), deterministic=True)
+                message = self.encoder.full_assignment(key[1], resource, self._endpoints(key[1]))
             else:
-                one.Pack(self.encoder.message(key, found), deterministic=True)
-            packed.append(one)
+                message = self.encoder.message(key, resource)
+            each = any_pb2.Any()
+            each.Pack(message, deterministic=True)
+            packed.append(each)
         return packed
 
-    def lines(self, table: int) -> list[tuple]:
-        rows = []
+    def _endpoints(self, table: int) -> list[resources.AssignedEndpoint]:
+        """The endpoints of a table."""
+        assigned = []
         for endpoint in self.tables.tables[table].weights:
-            found: Resource | None = self.tables.shared_resource((WEIGHT, table, endpoint))
-            if found:
-                rows.append((*found.content, self.tables.ejected.get(endpoint, "")))
-        return rows
+            weight: Resource | None = self.tables.shared_resource((WEIGHT, table, endpoint))
+            if weight:
+                host, port, value = weight.content
+                status = self.tables.ejected.get(endpoint, "")
+                assigned.append(resources.AssignedEndpoint(host, port, value, status))
+        return assigned
--- a/quillstep/xds/stream.py
+++ b/quillstep/xds/stream.py
@@ -1,27 +1,35 @@
-"""What both kinds of discovery streams share, without I/O: nonces, words on what was sent, faults, responses."""
+"""What both kinds of discovery streams share, without I/O: nonces, acks and nacks, errors, responses."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
 from quillstep.config.controller import LimitSettings
+from quillstep.errors import QuillstepError
 from quillstep.routing import Change, Nack, Tables
 from quillstep.xds import resources
 from quillstep.xds.grpc import INVALID_ARGUMENT, RESOURCE_EXHAUSTED
 
 
 class Response(NamedTuple):
-    """Bytes to send, and what a record says of them: order, type, how many resources, how many removed."""
+    """A response to send, and what the sockets' record says of it."""
 
     message: bytes
-    number: int
-    url: str
+    revision: int  # of the tables
+    type_url: str
     nonce: str
-    changed: int
+    updated: int  # resources in it
     removed: int
 
 
-class StreamError(Exception):
-    """What a peer asked for ends its stream, with this status."""
+class RequestResult(NamedTuple):
+    """What a request acknowledged, and what it rejected."""
+
+    acknowledged: list[Change]
+    nack: Nack | None
+
+
+class StreamError(QuillstepError):
+    """What a peer requested ends its stream, with this gRPC status."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -29,9 +37,9 @@
 
 
 class Stream:
-    """One stream of one proxy; belongs to the deciding thread.  `whole`: it can't send less than all of a type."""
+    """One stream of one proxy; belongs to the deciding thread."""
 
-    whole = False
+    sends_full_state = False  # whether it can't send less than all resources of a type
 
     def __init__(
         self,
@@ -41,50 +49,63 @@
         epoch: str,
         ordered_ms: Callable[[int], float],
     ) -> None:
+        """A stream that belongs to no proxy yet.
+
+        Args:
+            tables: What each proxy should hold.
+            encoder: Makes resources.
+            limits: What a stream may cost.
+            epoch: The controller's incarnation, in nonces and versions.
+            ordered_ms: When a revision of the tables was made.
+        """
         self.tables, self.encoder, self.limits, self.epoch = tables, encoder, limits, epoch
         self.ordered_ms = ordered_ms
-        self.proxy = -1
-        self.nonces = 0
-        self.errors: list[Response] = []
+        self.proxy = -1  # set when it has joined
+        self.nonce_count = 0
+        self.errors: list[Response] = []  # to be sent with the next responses
 
-    def nonce(self) -> str:
-        self.nonces += 1
-        return f"{self.epoch}.{self.nonces}"
+    def _next_nonce(self) -> str:
+        self.nonce_count += 1
+        return f"{self.epoch}.{self.nonce_count}"
 
-    def stamp(self, number: int) -> str:
-        """Which order a response belongs to, and when it was ordered."""
-        return f"{self.epoch}/{number}/{self.ordered_ms(number):.1f}"
+    def _version_info(self, revision: int) -> str:
+        """Which revision a response belongs to, and when that was made."""
+        return f"{self.epoch}/{revision}/{self.ordered_ms(revision):.1f}"
 
     @staticmethod
-    def named(request: Any) -> None:
-        """The first request of a stream must say whose it is."""
+    def _check_node(request: Any) -> None:
+        """The first request of a stream must name its node."""
         if not request.node.id:
             raise StreamError(INVALID_ARGUMENT, "the first request names no node")
 
-    def word(self, request: Any, now_ms: float) -> tuple[list[Change], Nack | None]:
-        """What a request acknowledges, or refuses and why."""
-        if not request.response_nonce:
-            return [], None
+    def _handle_ack(self, request: Any, now_ms: float) -> RequestResult:
+        """Records what a request acknowledges, or rejects and why."""
+        nonce = request.response_nonce
+        if not nonce:
+            return RequestResult([], None)
         if request.HasField("error_detail"):
             reason = request.error_detail.message or f"code {request.error_detail.code}"
-            nonce = request.response_nonce
-            return [], self.tables.record_nack(self.proxy, nonce, reason, now_ms, self.whole)
-        return self.tables.record_ack(self.proxy, request.response_nonce, now_ms), None
+            return RequestResult([], self.tables.record_nack(self.proxy, nonce, reason, now_ms, self.sends_full_state))
+        return RequestResult(self.tables.record_ack(self.proxy, nonce, now_ms), None)
 
-    def bounded(self, names: int) -> None:
-        """Raises StreamFault where a peer asks for more names than it may."""
+    def _check_subscriptions(self, count: int) -> None:
+        """Raises StreamError where a peer subscribes to more names than it may."""
         most = self.limits.max_subscriptions
-        if names > most:
+        if count > most:
             raise StreamError(RESOURCE_EXHAUSTED, f"more than {most} names subscribed of one type")
 
-    def unserved(self, request: Any, names: list[str], response: Any) -> None:
-        """Answer a type that we don't serve so that the peer can read it; its stream goes on."""
+    def _reject_type(self, request: Any, names: list[str], response: Any) -> None:
+        """Answers a type that is not served so that the peer can read it; its stream goes on."""
         if request.response_nonce:
             return  # its acknowledgement of that answer
-        response.type_url, response.nonce = request.type_url, self.nonce()
-        for named in names or ["*"]:
+        response.type_url, response.nonce = request.type_url, self._next_nonce()
+        for name in names or ["*"]:
             error = response.resource_errors.add()
-            error.resource_name.name = named
+            error.resource_name.name = name
             error.error_detail.code = INVALID_ARGUMENT
             error.error_detail.message = f"this pilot serves no {request.type_url or 'resources without a type'}"
         self.errors.append(Response(response.SerializeToString(), 0, request.type_url, response.nonce, 0, 0))
+
+    def _take_errors(self) -> list[Response]:
+        errors, self.errors = self.errors, []
+        return errors
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -270,20 +270,20 @@
         self.stream = SotwStream(core.tables, pilot.encoder, core.record.limits, "e", core.ordered_ms)
         request = discovery_pb2.DiscoveryRequest(type_url=CDS)
         request.node.id = name
-        self.stream.proxy = core.join(name, zone, 5.0, self.stream.first(request), True)
+        self.stream.proxy = core.join(name, zone, 5.0, self.stream.initial_versions(request), True)
         for url, names in ((CDS, ()), (EDS, ("table-0",)), (LDS, ()), (RDS, ("exchanges",))):
-            self.stream.request(discovery_pb2.DiscoveryRequest(type_url=url, resource_names=names), pilot.now)
+            self.stream.handle_request(discovery_pb2.DiscoveryRequest(type_url=url, resource_names=names), pilot.now)
 
     def run(self, ms):
         for _ in range(int(ms / 100)):
             self.pilot.run(100)
             for response in self.stream.pump(self.pilot.now):
                 self.lines.append(f"{self.name} {response.message.hex()}")
-                names = {EDS: ("table-0",), RDS: ("exchanges",)}.get(response.url, ())
+                names = {EDS: ("table-0",), RDS: ("exchanges",)}.get(response.type_url, ())
                 word = discovery_pb2.DiscoveryRequest(
-                    type_url=response.url, response_nonce=response.nonce, resource_names=names
+                    type_url=response.type_url, response_nonce=response.nonce, resource_names=names
                 )
-                self.stream.request(word, self.pilot.now)
+                self.stream.handle_request(word, self.pilot.now)
 
 
 # files
--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -22,6 +22,7 @@
 from quillstep.testbed.scenarios.runner import Arm, play_arm
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED
+from quillstep.xds.http2 import MessageReceived, StreamEnded
 from quillstep.xds.resources import CDS
 from quillstep.xds.server import DELTA, LOAD
 
@@ -136,9 +137,11 @@
         client.send(loads, b"x" * 8192)
         ended = answered = False
         for event in client.events():
-            ended = ended or (event[0] == "end" and event[1] == loads and event[2] == RESOURCE_EXHAUSTED)
-            answered = answered or (event[0] == "message" and event[1] == tables)
-            assert event[:2] != ("end", tables)
+            ended = ended or (
+                isinstance(event, StreamEnded) and event.stream == loads and event.status == RESOURCE_EXHAUSTED
+            )
+            answered = answered or (isinstance(event, MessageReceived) and event.stream == tables)
+            assert not (isinstance(event, StreamEnded) and event.stream == tables)
             if ended and answered:
                 break
         assert ended and answered
--- a/tests/memory_fleet.py
+++ b/tests/memory_fleet.py
@@ -9,7 +9,7 @@
 from quillstep.planner.messages import EndpointEntry
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
-from quillstep.xds.resources import CDS, EDS, LDS, LEDS, RDS, WITHDRAWN, Encoder
+from quillstep.xds.resources import CDS, EDS, EJECTED_COLLECTION, LDS, LEDS, RDS, Encoder
 
 TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "work_ms": 20.0}
 CLASSES = [
@@ -40,10 +40,10 @@
         self.stream = DeltaStream(core.tables, pilot.encoder, record.limits, "e", core.ordered_ms)
         first = self.request(CDS)
         first.node.id = name
-        told = self.stream.first(first)
+        told = self.stream.initial_versions(first)
         self.stream.proxy = self.number = core.join(name, zone, 5.0, told, not told)
         self.say(first)
-        self.say(self.request(LEDS, WITHDRAWN, *(f"{resources.COLLECTION}{t}/*" for t in self.held(CDS))))
+        self.say(self.request(LEDS, EJECTED_COLLECTION, *(f"{resources.COLLECTION}{t}/*" for t in self.held(CDS))))
         self.say(self.request(LDS))
         self.say(self.request(RDS, "exchanges"))
         self.say(self.request(EDS, *self.held(CDS)))
@@ -57,7 +57,7 @@
         return request
 
     def say(self, request):
-        return self.stream.request(request, self.pilot.now)
+        return self.stream.handle_request(request, self.pilot.now)
 
     def pump(self):
         for response in self.stream.pump(self.pilot.now):
--- a/tests/xds/test_streams.py
+++ b/tests/xds/test_streams.py
@@ -17,7 +17,7 @@
 from quillstep.testbed.scenarios.plan import plan
 from quillstep.testbed.scenarios.runner import Arm
 from quillstep.xds.client import GrpcClient
-from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RDS, WITHDRAWN
+from quillstep.xds.resources import CDS, COLLECTION, EDS, EJECTED_COLLECTION, LDS, LEDS, RDS
 from quillstep.xds.server import DELTA, LOAD, SOTW
 
 WAIT_S = 20.0
@@ -80,7 +80,7 @@
         first = self.request(CDS)
         first.node.id, first.node.locality.zone = name, "a"
         self.out.put(first)
-        self.out.put(self.request(LEDS, WITHDRAWN, *([COLLECTION + "table-0/*"] if held else [])))
+        self.out.put(self.request(LEDS, EJECTED_COLLECTION, *([COLLECTION + "table-0/*"] if held else [])))
         self.out.put(self.request(RDS, "exchanges"))
         if held:
             self.out.put(self.request(EDS, "table-0"))
@@ -173,7 +173,7 @@
     change(arm, number, "in_service")
     client.until(lambda c: not any("withdrawn" in name for name in c.names(LEDS)))
     text = (arm.folder / "pilot-0.log").read_text()
-    assert "version refused" in text and "no such endpoint here" in text
+    assert "version rejected" in text and "no such endpoint here" in text
     client.close()
 
 
@@ -331,12 +331,12 @@
 def test_a_proxy_that_reads_nothing_costs_its_own_stream_alone(arm):
     """Its stream is ended when it acknowledges nothing; drains reach the others meanwhile."""
     stuck = GrpcClient(arm.addresses[0], 1000.0)
-    stuck.inbox.maxsize = 1
+    stuck.queue.maxsize = 1
     stream = stuck.open(DELTA)
     first = discovery_pb2.DeltaDiscoveryRequest(type_url=CDS)
     first.node.id, first.node.locality.zone = "stuck/1", "a"
     stuck.send(stream, first.SerializeToString())
-    for url, names in ((LEDS, [WITHDRAWN]), (EDS, ["table-0"])):
+    for url, names in ((LEDS, [EJECTED_COLLECTION]), (EDS, ["table-0"])):
         request = discovery_pb2.DeltaDiscoveryRequest(type_url=url, resource_names_subscribe=names)
         stuck.send(stream, request.SerializeToString())
     client = DeltaClient(arm.addresses[0], "interop/9")
