--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -14,7 +14,7 @@
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
 from quillstep.testbed.scenarios.runner import play_arm
-from quillstep.testbed.scenarios.service_quality import service
+from quillstep.testbed.scenarios.service_quality import service_quality
 
 ARMS: dict[str, dict[str, Any]] = {
     "streams": {},
@@ -72,7 +72,7 @@
     drains = drain_times(evidence)
     return {
         "arm": name, "proxies": proxies, "rules_broken": len(check_invariants(evidence)),
-        "service": service(day.fleet, evidence.requests)["service"],
+        "service": service_quality(day.fleet, evidence.requests)["service"],
         "writes": len(sent), "lines": lines, "bytes": carried, "bytes_a_line": round(carried / max(1, lines), 1),
         "drain_to_last_ack_ms": round(max(drains, default=0.0), 1), "turn_to_last_ack_ms": turn_ms(evidence, proxies),
         "pilot_cpu_of_a_core": round(arm.cpu_s / arm.took_s, 3), "stolen": round(arm.stolen, 3),
--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -14,7 +14,7 @@
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
 from quillstep.testbed.scenarios.runner import Arm, play_arm
-from quillstep.testbed.scenarios.service_quality import service
+from quillstep.testbed.scenarios.service_quality import service_quality
 
 SPAN_S = 8.0  # of reports, then of none
 LINES_A_PROXY = 15.0  # lines a second of channel for each proxy, as the fleet of 262 has them
@@ -115,7 +115,7 @@
         "reports_per_s": round(word.get("reports", 0) / (seconds / 2.0 + day.warm_up_s), 1),
         "groups": word.get("groups", 1), "times": word.get("times", 1),
         "rules_broken": len(breaks), "breaks": [found.to_row() for found in breaks[:5]],
-        "service": service(day.fleet, evidence.requests)["service"],
+        "service": service_quality(day.fleet, evidence.requests)["service"],
         "drains": len(loud_last) + len(quiet_last),
     }  # fmt: skip
     for name, values in (("with", loud), ("without", quiet)):
--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -17,7 +17,7 @@
 from quillstep.replay.recorded_day import read_daybook
 from quillstep.replay.whatif import learn, play
 from quillstep.testbed.scenarios.runner import play_arm
-from quillstep.testbed.scenarios.service_quality import service
+from quillstep.testbed.scenarios.service_quality import service_quality
 
 SECONDS = 20.0
 TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "late_credit": 0.2}
@@ -59,7 +59,7 @@
     book = read_daybook(folder)
     fleet = book.lives[0].record.fleet
     inferred, held_out = learn(book)
-    measured = service(fleet, book.exchanges)
+    measured = service_quality(fleet, book.exchanges)
     found = [play(book, inferred, {}, seed) for seed in range(3)]
     replayed = sum(row["service"]["service"] for row in found) / len(found)
     by_class = {
@@ -100,7 +100,7 @@
         "day": f"{len(book.proxies)} proxies", "exchanges": len(book.exchanges),
         "faithful_identical": identical, "faithful_twice_alike": digests[0] == digests[1],
         "faithful_times_real": round(span_s / faithful_s, 1), "whatif_times_real": round(day_s / whatif_s, 1),
-        "whatif_twice_alike": one["digest"] == two["digest"], "measured": service(
+        "whatif_twice_alike": one["digest"] == two["digest"], "measured": service_quality(
             book.lives[0].record.fleet, book.exchanges)["service"], "replayed": one["service"]["service"],
         "memory_MB": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0),
         "capture_kB_a_s": round(sum(f.stat().st_size for f in folder.glob("capture-*/*.qcap")) / 1000.0 / day_s, 1),
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -22,9 +22,9 @@
 from quillstep.routing.resources import WEIGHT, make_resource
 from quillstep.store import Store
 from quillstep.store.records import OPERATOR_COMMANDS, VERSIONS, Entry, OperatorCommand, VersionRow, number_key
-from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.plan import plan_scenario
 from quillstep.testbed.scenarios.runner import Arm, now_ms, play_arm
-from quillstep.testbed.scenarios.service_quality import service
+from quillstep.testbed.scenarios.service_quality import service_quality
 from quillstep.xds.resources import name
 
 FEW = 8  # lines that a small rollback changes
@@ -88,7 +88,7 @@
         "fleet": day.fleet.model_copy(update={"channel": channel}), "troubles": [],
         "store": StoreSettings(folder="store"),
     })  # fmt: skip
-    arm = Arm(day, plan(day), "learnt", folder)
+    arm = Arm(day, plan_scenario(day), "learnt", folder)
     row: dict[str, Any] = {"what": "rollback", "proxies": proxies}
     try:
         arm.start()
@@ -160,7 +160,7 @@
     return {
         "what": "crash", "arm": "store" if recovery_trust_ms else "without", "seed": seed,
         "rules_broken": len(violations), "breaks": [violation.to_row() for violation in violations[:3]],
-        **{f"service_{when}": service(day.fleet, rows)["service"] for when, rows in parts.items()},
+        **{f"service_{when}": service_quality(day.fleet, rows)["service"] for when, rows in parts.items()},
         "right_again_ms": right_again(arm, killed), "lines_after": sum(row["lines"] for row in sent),
         "slowest_drain_ms": round(longest_drain_ms(evidence), 1), **commits(arm),
     }  # fmt: skip
--- a/quillstep/bench/streams.py
+++ b/quillstep/bench/streams.py
@@ -11,7 +11,7 @@
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_drain_ms, longest_queue
 from quillstep.testbed.scenarios.runner import play_arm
-from quillstep.testbed.scenarios.service_quality import service
+from quillstep.testbed.scenarios.service_quality import service_quality
 
 ENDPOINTS_A_ZONE = 23
 ZONES = ["norte", "sur", "oriente", "poniente"]
@@ -85,7 +85,7 @@
     evidence = arm.evidence()
     drains = drain_times(evidence)
     violations = check_invariants(evidence)
-    served = service(day.fleet, evidence.requests)
+    served = service_quality(day.fleet, evidence.requests)
     sent = [row for row in evidence.channel_rows if row["what"] == "send"]
     return {
         "proxies": proxies, "pilots": pilots, "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -15,7 +15,7 @@
 from quillstep.invariants import Evidence, Rule, check_invariants
 from quillstep.model_checking.runner import prove
 from quillstep.testbed.scenarios.runner import Arm, play_arm
-from quillstep.testbed.scenarios.service_quality import service
+from quillstep.testbed.scenarios.service_quality import service_quality
 from quillstep.tracing.report import lineage_of, summary
 from quillstep.tracing.spans import read
 
@@ -105,7 +105,7 @@
     }  # fmt: skip
     evidence = arm.evidence()
     row["exchanges_per_s"] = round(len(evidence.requests) / day.seconds, 1)
-    row["service"] = service(day.fleet, evidence.requests)["service"]
+    row["service"] = service_quality(day.fleet, evidence.requests)["service"]
     if record:
         breaks = check_invariants(evidence)
         traced = summary(lineage_of(arm.folder))
@@ -131,7 +131,7 @@
         "arm": "spread" if splits_updates else "all at once", "rules_broken": len(breaks),
         "breaks": [found.to_row() for found in breaks[:5]],
         "stood_still_most_ms": round(stood[-1], 1), "stood_still_p99_ms": round(stood[int(0.99 * len(stood))], 1),
-        "exchange_p99_ms": took(evidence, 0.99), "service": service(day.fleet, evidence.requests)["service"],
+        "exchange_p99_ms": took(evidence, 0.99), "service": service_quality(day.fleet, evidence.requests)["service"],
     }  # fmt: skip
 
 
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -23,7 +23,7 @@
 from quillstep.replay.model import Endpoint, Proxy, VirtualDay
 from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay
 from quillstep.routing.resources import LISTENER
-from quillstep.testbed.scenarios.service_quality import earned_part, service
+from quillstep.testbed.scenarios.service_quality import earned_share, service_quality
 
 ACK_PART = 0.5  # of a captured delay, the way there; the rest is the word's way back
 TOLERANCE = 0.03  # of service, between the day and its own replay, up to which a comparison tells something
@@ -205,7 +205,7 @@
     day.clock.run(book.end_ms + 100.0)
     evidence = evidence_of(book, day, pilots)
     return {
-        "service": service(day.fleet, day.exchanges),
+        "service": service_quality(day.fleet, day.exchanges),
         "breaks": check_invariants(evidence),
         "exchanges": day.exchanges,
         "digest": xxhash.xxh3_128_hexdigest(msgspec.msgpack.encode(day.exchanges)),
@@ -262,7 +262,7 @@
     """The day as it was, replayed as it was, with one change (`against`; empty: none) and another; seeds paired."""
     fleet = book.lives[0].record.fleet
     inferred, held_out = learn(book)
-    measured = service(fleet, book.exchanges)
+    measured = service_quality(fleet, book.exchanges)
     plain = [play(book, inferred, {}, seed) for seed in range(seeds)]
     base = [play(book, inferred, against, seed) for seed in range(seeds)] if against else plain
     other = [play(book, inferred, change, seed) for seed in range(seeds)] if change else base
@@ -303,7 +303,7 @@
         at = int((row["at"] - begin) // span_ms)
         kind = classes[row["class"]]
         asked[at] += kind.priority_weight
-        won[at] += kind.priority_weight * earned_part(kind, row)[0]
+        won[at] += kind.priority_weight * earned_share(kind, row)[0]
     return [round(won[at] / asked[at], 4) if asked[at] else 1.0 for at in range(max(asked, default=-1) + 1)]
 
 
@@ -314,7 +314,7 @@
 
 def why_lost(kind: ClassSettings, row: dict[str, Any]) -> str:
     """What cost an exchange its credit, or part of it; empty where it earned all."""
-    part, _ = earned_part(kind, row)
+    part, _ = earned_share(kind, row)
     if part == 1.0:
         return ""
     if row["outcome"] == "ok":
@@ -332,7 +332,7 @@
     for row in exchanges:
         kind = classes[row["class"]]
         if why := why_lost(kind, row):
-            lost[why] += (1.0 - earned_part(kind, row)[0]) * kind.priority_weight / total
+            lost[why] += (1.0 - earned_share(kind, row)[0]) * kind.priority_weight / total
     return {why: round(part, 4) for why, part in sorted(lost.items())}
 
 
@@ -340,6 +340,6 @@
     """How many exchanges are answered in time in one and not in the other."""
     classes = {row.name: row for row in fleet.classes}
     good = [
-        {row["exchange"] for row in rows if earned_part(classes[row["class"]], row)[0] == 1.0} for rows in (one, two)
+        {row["exchange"] for row in rows if earned_share(classes[row["class"]], row)[0] == 1.0} for rows in (one, two)
     ]
     return {"won": len(good[1] - good[0]), "lost": len(good[0] - good[1])}
--- a/quillstep/testbed/scenarios/plan.py
+++ b/quillstep/testbed/scenarios/plan.py
@@ -1,12 +1,18 @@
-"""What a day's script means for one fleet: who is there, what comes when.  From the seed alone, without I/O."""
+"""What a scenario means for one fleet: which endpoints and proxies exist, and which command comes when.
+
+Everything is drawn from the scenario's seed, without I/O, so that every arm of a comparison meets the same requests and
+faults.  The order of draws decides what comes out.
+"""
 
 import random
+from collections.abc import Iterator
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from quillstep.config.scenario import FaultSettings, ScenarioSettings
 
-PROXY_STEPS = {
+# The command to a proxy for each fault of the settings.
+PROXY_COMMANDS = {
     "proxy_moves": "moves",
     "proxy_stall": "stall",
     "proxy_refuses": "refuse",
@@ -19,91 +25,143 @@
     "reports_heavy": "reports_heavy",
     "reports_cut": "reports_cut",
 }
+MIN_PROXY_SIZE = 0.05  # relative to the mean
+
+
+class Step(NamedTuple):
+    """One command of the scenario."""
+
+    at_s: float
+    target: str  # endpoint, proxy, pilot, roster or settings
+    command: dict[str, Any]
 
 
 @dataclass(slots=True)
-class Plan:
-    """Endpoints and proxies as their stand-ins are set up, and steps (second, part, command) in time."""
+class ScenarioPlan:
+    """Endpoints and proxies as their stand-ins are set up, and the steps in the order of time."""
 
     endpoints: list[dict[str, Any]] = field(default_factory=list)
     proxies: list[dict[str, Any]] = field(default_factory=list)
-    steps: list[tuple[float, str, dict[str, Any]]] = field(default_factory=list)
-
-
-def plan(day: ScenarioSettings) -> Plan:
-    """The same for every arm of a day, so that they meet the same exchanges and troubles."""
-    chance = random.Random(day.seed)
-    made = Plan()
-    for zone in day.fleet.zones:
-        for kind in day.endpoints:
-            row = {**kind.model_dump(exclude={"each_zone"}), "zone": zone, "state": "in_service"}
-            made.endpoints += [{**row, "id": chance.randrange(1, 2**32), "up": True} for _ in range(kind.each_zone)]
-        first = {**day.endpoints[0].model_dump(exclude={"each_zone"}), "zone": zone}
-        made.endpoints += [
-            {**first, "id": chance.randrange(1, 2**32), "up": False, "state": "terminated"} for _ in range(day.reserves)
-        ]
-    sizes = [chance.expovariate(1.0) ** day.callers_skew + 0.05 for _ in range(day.proxies)]
-    for at in range(day.proxies):
-        zone = day.fleet.zones[at % len(day.fleet.zones)]
-        near = [row["id"] for row in made.endpoints if row["up"] and row["zone"] == zone]
-        standing = chance.sample(near, min(len(near), day.fleet.proxies.initial_table_size))
-        first_pilot = chance.randrange(day.controllers)
-        made.proxies.append({
-            "name": f"proxy/{at}", "zone": zone, "usual": day.requests_per_s * sizes[at] / sum(sizes),
-            "standing": standing, "pilots": [(first_pilot + k) % day.controllers for k in range(day.controllers)],
-            "files": at >= day.proxies - round(day.file_proxies * day.proxies),
-            "sotw": at < round(day.sotw_proxies * day.proxies),
-        })  # fmt: skip
-    for trouble in day.faults:
-        strike(made, trouble, day, chance)
-    made.steps.sort(key=lambda step: step[0])
-    return made
-
-
-def strike(made: Plan, trouble: FaultSettings, day: ScenarioSettings, chance: random.Random) -> None:
-    """The steps of one trouble."""
-    at, until, for_ms = trouble.at_s, trouble.at_s + trouble.for_s, trouble.for_s * 1000.0
-    what = trouble.what
-    if what == "tighten":
-        made.steps.append((at, "settings", {"do": what, "kind": trouble.class_name, "for_ms": for_ms}))
-        return
-    if what.startswith("pilot"):
-        for pilot in chance.sample(range(day.controllers), min(trouble.count, day.controllers)):
-            made.steps.append((at, "pilot", {"do": what, "pilot": pilot}))
-            made.steps.append((until, "pilot", {"do": f"{what}_over", "pilot": pilot}))
-        return
-    if what.startswith(("proxy", "reports")):
-        fit = [row["name"] for row in made.proxies if trouble.zone in ("", row["zone"])]
-        if what == "proxy_loses":  # a client of whole states has one response of a type at a time: none comes after it
-            fit = [row["name"] for row in made.proxies if row["name"] in fit and not (row["sotw"] or row["files"])]
-        if what == "proxy_moves":  # whole states tell no versions of lines to take along
-            fit = [row["name"] for row in made.proxies if row["name"] in fit and not row["sotw"]]
-        for name in chance.sample(fit, min(trouble.count, len(fit))):
-            do = PROXY_STEPS[what]
-            made.steps.append((at, "proxy", {"do": do, "proxy": name, "for_ms": for_ms, "factor": trouble.factor}))
-        return
-    fit = [row for row in made.endpoints if trouble.zone in ("", row["zone"]) and row["up"] == (what != "join")]
-    count = len(fit) if what == "zone_loss" else min(trouble.count, len(fit))
-    for row in chance.sample(fit, count):
-        number = row["id"]
-        if what in ("die", "zone_loss"):
-            made.steps += [(at, "endpoint", {"do": "die", "endpoint": number}),
-                           (at, "roster", {"id": number, "state": "terminated"}),
-                           (until, "endpoint", {"do": "start", "endpoint": number}),
-                           (until, "roster", {"id": number, "state": "in_service", "began": True})]  # fmt: skip
-        elif what == "drain":
-            made.steps += [(at, "roster", {"id": number, "state": "terminating"}),
-                           (at, "endpoint", {"do": "drain", "endpoint": number}),
-                           (until, "endpoint", {"do": "die", "endpoint": number}),
-                           (until, "roster", {"id": number, "state": "terminated"})]  # fmt: skip
-        elif what == "join":
-            made.steps += [(at, "endpoint", {"do": "start", "endpoint": number}),
-                           (at, "roster", {"id": number, "state": "in_service", "began": True})]  # fmt: skip
+    steps: list[Step] = field(default_factory=list)
+
+
+def plan_scenario(scenario: ScenarioSettings) -> ScenarioPlan:
+    """Return the plan of a scenario."""
+    draw = random.Random(scenario.seed)
+    plan = ScenarioPlan()
+    for zone in scenario.fleet.zones:
+        _add_endpoints(plan, scenario, zone, draw)
+    sizes = [draw.expovariate(1.0) ** scenario.callers_skew + MIN_PROXY_SIZE for _ in range(scenario.proxies)]
+    for number in range(scenario.proxies):
+        requests_per_s = scenario.requests_per_s * sizes[number] / sum(sizes)
+        plan.proxies.append(_proxy(plan, scenario, number, requests_per_s, draw))
+    for fault in scenario.faults:
+        plan.steps.extend(_steps_of_fault(plan, fault, scenario, draw))
+    plan.steps.sort(key=lambda step: step.at_s)
+    return plan
+
+
+def _add_endpoints(plan: ScenarioPlan, scenario: ScenarioSettings, zone: str, draw: random.Random) -> None:
+    for kind in scenario.endpoints:
+        row = {**kind.model_dump(exclude={"each_zone"}), "zone": zone, "state": "in_service"}
+        for _ in range(kind.each_zone):
+            plan.endpoints.append({**row, "id": draw.randrange(1, 2**32), "up": True})
+    first_kind = {**scenario.endpoints[0].model_dump(exclude={"each_zone"}), "zone": zone}
+    for _ in range(scenario.reserves):
+        plan.endpoints.append({**first_kind, "id": draw.randrange(1, 2**32), "up": False, "state": "terminated"})
+
+
+def _proxy(
+    plan: ScenarioPlan, scenario: ScenarioSettings, number: int, requests_per_s: float, draw: random.Random
+) -> dict[str, Any]:
+    zone = scenario.fleet.zones[number % len(scenario.fleet.zones)]
+    in_zone = [row["id"] for row in plan.endpoints if row["up"] and row["zone"] == zone]
+    initial_table = draw.sample(in_zone, min(len(in_zone), scenario.fleet.proxies.initial_table_size))
+    first_controller = draw.randrange(scenario.controllers)
+    return {
+        "name": f"proxy/{number}",
+        "zone": zone,
+        "usual": requests_per_s,
+        "standing": initial_table,
+        "pilots": [(first_controller + offset) % scenario.controllers for offset in range(scenario.controllers)],
+        "files": number >= scenario.proxies - round(scenario.file_proxies * scenario.proxies),
+        "sotw": number < round(scenario.sotw_proxies * scenario.proxies),
+    }
+
+
+def _steps_of_fault(
+    plan: ScenarioPlan, fault: FaultSettings, scenario: ScenarioSettings, draw: random.Random
+) -> Iterator[Step]:
+    if fault.what == "tighten":
+        command = {"do": fault.what, "kind": fault.class_name, "for_ms": fault.for_s * 1000.0}
+        yield Step(fault.at_s, "settings", command)
+    elif fault.what.startswith("pilot"):
+        for controller in draw.sample(range(scenario.controllers), min(fault.count, scenario.controllers)):
+            yield Step(fault.at_s, "pilot", {"do": fault.what, "pilot": controller})
+            yield Step(fault.at_s + fault.for_s, "pilot", {"do": f"{fault.what}_over", "pilot": controller})
+    elif fault.what.startswith(("proxy", "reports")):
+        yield from _steps_of_proxy_fault(plan, fault, draw)
+    else:
+        yield from _steps_of_endpoint_fault(plan, fault, draw)
+
+
+def _steps_of_proxy_fault(plan: ScenarioPlan, fault: FaultSettings, draw: random.Random) -> Iterator[Step]:
+    candidates = [row["name"] for row in plan.proxies if _is_suited(row, fault)]
+    do, for_ms = PROXY_COMMANDS[fault.what], fault.for_s * 1000.0
+    for name in draw.sample(candidates, min(fault.count, len(candidates))):
+        yield Step(fault.at_s, "proxy", {"do": do, "proxy": name, "for_ms": for_ms, "factor": fault.factor})
+
+
+def _is_suited(proxy: dict[str, Any], fault: FaultSettings) -> bool:
+    if fault.zone not in ("", proxy["zone"]):
+        return False
+    if fault.what == "proxy_loses":  # a client of whole states has one response at a time: no later one follows
+        return not (proxy["sotw"] or proxy["files"])
+    if fault.what == "proxy_moves":  # whole states give no versions of lines to take along
+        return not proxy["sotw"]
+    return True
+
+
+def _steps_of_endpoint_fault(plan: ScenarioPlan, fault: FaultSettings, draw: random.Random) -> Iterator[Step]:
+    is_up = fault.what != "join"
+    candidates = [row for row in plan.endpoints if fault.zone in ("", row["zone"]) and row["up"] == is_up]
+    count = len(candidates) if fault.what == "zone_loss" else min(fault.count, len(candidates))
+    for row in draw.sample(candidates, count):
+        yield from _steps_at_endpoint(row["id"], fault)
+        if fault.what == "join":
             row["up"] = True
-        elif what in ("slow", "fail", "lose_answers"):
-            factor = trouble.factor if what == "slow" else 1.0 - 1.0 / max(1.0, trouble.factor)
-            over = 1.0 if what == "slow" else 0.0
-            made.steps += [(at, "endpoint", {"do": what, "endpoint": number, "factor": factor}),
-                           (until, "endpoint", {"do": what, "endpoint": number, "factor": over})]  # fmt: skip
-        else:
-            made.steps.append((at, "endpoint", {"do": what, "endpoint": number, "for_ms": for_ms}))
+
+
+def _steps_at_endpoint(endpoint: int, fault: FaultSettings) -> list[Step]:
+    begin_s, end_s = fault.at_s, fault.at_s + fault.for_s
+
+    def order(at_s: float, do: str, **arguments: Any) -> Step:
+        return Step(at_s, "endpoint", {"do": do, "endpoint": endpoint, **arguments})
+
+    def list_as(at_s: float, state: str, **arguments: Any) -> Step:
+        return Step(at_s, "roster", {"id": endpoint, "state": state, **arguments})
+
+    match fault.what:
+        case "die" | "zone_loss":
+            return [
+                order(begin_s, "die"),
+                list_as(begin_s, "terminated"),
+                order(end_s, "start"),
+                list_as(end_s, "in_service", began=True),
+            ]
+        case "drain":
+            return [
+                list_as(begin_s, "terminating"),
+                order(begin_s, "drain"),
+                order(end_s, "die"),
+                list_as(end_s, "terminated"),
+            ]
+        case "join":
+            return [order(begin_s, "start"), list_as(begin_s, "in_service", began=True)]
+        case "slow":
+            return [order(begin_s, "slow", factor=fault.factor), order(end_s, "slow", factor=1.0)]
+        case "fail" | "lose_answers":
+            factor = 1.0 - 1.0 / max(1.0, fault.factor)
+            return [order(begin_s, fault.what, factor=factor), order(end_s, fault.what, factor=0.0)]
+        case _:
+            return [order(begin_s, fault.what, for_ms=fault.for_s * 1000.0)]
--- a/quillstep/testbed/scenarios/runner.py
+++ b/quillstep/testbed/scenarios/runner.py
@@ -17,8 +17,8 @@
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_drain_ms, longest_queue, read_evidence
 from quillstep.testbed.scenarios.child_processes import Child
-from quillstep.testbed.scenarios.plan import Plan, plan
-from quillstep.testbed.scenarios.service_quality import service
+from quillstep.testbed.scenarios.plan import ScenarioPlan, plan_scenario
+from quillstep.testbed.scenarios.service_quality import service_quality
 
 SETTLE_S = 60.0
 SPANS_PER_S = 200.0  # of one process
@@ -32,7 +32,7 @@
 class Arm:
     """One fleet with its pilots: `planner_kind` as in a pilot's settings, or "standing" for none at all."""
 
-    def __init__(self, day: ScenarioSettings, made: Plan, planner_kind: str, folder: Path) -> None:
+    def __init__(self, day: ScenarioSettings, made: ScenarioPlan, planner_kind: str, folder: Path) -> None:
         self.day, self.made, self.planner_kind, self.folder = day, made, planner_kind, folder
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir(parents=True)
@@ -73,7 +73,7 @@
         for at, zones in enumerate(groups):
             rows = [row for row in self.made.endpoints if row["zone"] in zones]
             host = self.child(f"endpoints-{at}", "quillstep.testbed.endpoints")
-            host.say(
+            host.send(
                 endpoints=rows, rules=fleet.rules.model_dump(), record=str(self.folder / f"endpoints-{at}.jsonl"),
                 classes=[row.model_dump() for row in fleet.classes], answers_tell=not fleet.probes.load_only_here,
             )  # fmt: skip
@@ -84,7 +84,7 @@
     def start_roster(self) -> None:
         self.roster = self.child("roster", "quillstep.testbed.discovery_server")
         rows = [{**row, "port": self.ports[row["id"]]} for row in self.made.endpoints]
-        self.roster.say(
+        self.roster.send(
             endpoints=rows, late_ms=self.day.discovery_delay_ms, seed=self.day.seed,
             record=str(self.folder / "roster-0.jsonl"),
         )  # fmt: skip
@@ -112,7 +112,7 @@
         path.write_bytes(msgspec.json.format(msgspec.json.encode(record.model_dump())))  # JSON is CUE
         pilot = self.child(f"pilot-{at}", "quillstep.cli", "controller", "--settings", str(path), "--with-parent")
         self.addresses[at] = pilot.wait_for("ready")
-        self.report_addresses[at] = pilot.last.get("reports", [])
+        self.report_addresses[at] = pilot.last_answer.get("reports", [])
         self.pilots[at] = pilot
 
     def store(self, at: int) -> StoreSettings:
@@ -149,7 +149,7 @@
                 rows.append({**row, "reports": reports, "standing": standing, "pilots": pilots, "roots": roots})
             host = self.child(f"proxies-{at}", "quillstep.testbed.proxies")
             spans = self.spans(f"proxies-{at}")
-            host.say(
+            host.send(
                 spans=spans and {**spans, "service": f"proxies-{at}"},
                 proxies=rows, seed=day.seed, seconds=day.seconds, knobs=day.fleet.proxies.model_dump(),
                 phases=[phase.model_dump() for phase in day.phases], record=str(self.folder / f"proxies-{at}.jsonl"),
@@ -185,7 +185,7 @@
         """Carry the plan out; every part keeps to the same clock."""
         hosts = list(dict.fromkeys(self.proxies.values()))
         for host in hosts:
-            host.say(do="run", begin_ms=begin_ms)
+            host.send(do="run", begin_ms=begin_ms)
         for at_s, part, command in self.made.steps:
             wait = begin_ms + at_s * 1000.0 - now_ms()
             if wait > 0:
@@ -198,13 +198,13 @@
     def step(self, part: str, command: dict[str, Any]) -> None:
         self.log.info("step", part=part, **command)
         if part == "endpoint":
-            self.hosts[command["endpoint"]].say(**command)
+            self.hosts[command["endpoint"]].send(**command)
         elif part == "proxy":
-            self.proxies[command["proxy"]].say(**command)
+            self.proxies[command["proxy"]].send(**command)
         elif part == "roster":
             if command.pop("began", False):
                 command.update(began=now_ms(), started_ms=time.time() * 1000.0)
-            self.roster.say(**command)
+            self.roster.send(**command)
         elif part == "settings":
             threading.Thread(target=self.tighten, args=(command["kind"], command["for_ms"]), daemon=True).start()
         elif self.pilots:
@@ -235,7 +235,7 @@
             time.sleep(POLL_INTERVAL_S)
         if now_ms() < until:
             for host in set(self.hosts.values()):
-                host.say(do="tighten", kind=kind)
+                host.send(do="tighten", kind=kind)
 
     def in_force(self, kind: str, begun_ms: float) -> bool:
         """Whether the pilots say so of all proxies since a moment, each by the one that it came to last."""
@@ -295,7 +295,7 @@
 def play_arm(day: ScenarioSettings, folder: Path, planner_kind: str = "learnt") -> Arm:
     """One arm alone, from its start to its end; `begin_ms`, `took_s`, `cpu_s` (of the
     pilots) and `stolen` (the part of the machine that its host gave to others) stand in it."""
-    arm = Arm(day, plan(day), planner_kind, folder)
+    arm = Arm(day, plan_scenario(day), planner_kind, folder)
     before = stolen()
     try:
         arm.start()
@@ -313,7 +313,7 @@
 def play_day(day: ScenarioSettings, folder: Path, arms: list[str] | None = None) -> dict[str, Any]:
     """Play all arms at once and judge them; the result is what the last line of `quillstep day` says."""
     names = ["learnt", *day.baselines] if arms is None else arms
-    made = plan(day)
+    made = plan_scenario(day)
     played = [Arm(day, made, name, folder / name) for name in names]
     try:
         with ThreadPoolExecutor(len(played)) as pool:
@@ -332,8 +332,8 @@
     main = found["learnt"] if "learnt" in found else next(iter(found.values()))
     breaks = check_invariants(main)
     kinds = [row["what"] for row in main.channel_rows]
-    served = service(day.fleet, main.requests)
-    baselines = {name: service(day.fleet, e.requests)["service"] for name, e in found.items() if e is not main}
+    served = service_quality(day.fleet, main.requests)
+    baselines = {name: service_quality(day.fleet, e.requests)["service"] for name, e in found.items() if e is not main}
     return {
         "day": day.name,
         "rules_broken": len(breaks),
--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -18,7 +18,7 @@
 from quillstep.invariants import check_invariants, longest_queue
 from quillstep.recording import lives, read_life
 from quillstep.replay.faithful import Replay
-from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.plan import plan_scenario
 from quillstep.testbed.scenarios.runner import Arm, play_arm
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED
@@ -77,7 +77,7 @@
             {"at_s": 2.7, "for_s": 3.0, "what": "drain", "zone": "a", "count": 1},
         ],
     )  # fmt: skip
-    made = plan(day)
+    made = plan_scenario(day)
     made.steps = sorted([*made.steps, (3.2, "reader", {})], key=lambda step: step[0])
     arm = ReaderKiller(day, made, "learnt", tmp_path / "learnt")
     try:
@@ -122,7 +122,7 @@
 
 def test_a_report_that_is_too_large_ends_its_stream_and_nothing_else(tmp_path):
     day = small_day(pilots=1, reports={"message_most_bytes": 4096})
-    arm = Arm(day, plan(day), "learnt", tmp_path / "learnt")
+    arm = Arm(day, plan_scenario(day), "learnt", tmp_path / "learnt")
     try:
         arm.start_endpoints()
         arm.start_roster()
--- a/tests/store/test_operator_commands.py
+++ b/tests/store/test_operator_commands.py
@@ -24,7 +24,7 @@
     number_key,
 )
 from quillstep.store.store import SCHEMA_KEY
-from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.plan import plan_scenario
 from quillstep.testbed.scenarios.runner import Arm
 from quillstep.xds.resources import name
 
@@ -34,7 +34,7 @@
     """A day with stores and all three kinds of proxies; the pilots still run when it is over."""
     kept = StoreSettings(folder="store")
     day = small_day(seconds=5.0, proxies=6, pilots=1, store=kept, sotw_proxies=0.2, file_proxies=0.2)
-    arm = Arm(day, plan(day), "learnt", tmp_path_factory.mktemp("store") / "learnt")
+    arm = Arm(day, plan_scenario(day), "learnt", tmp_path_factory.mktemp("store") / "learnt")
     try:
         arm.start()
         arm.play(time.monotonic() * 1000.0 + day.warm_up_s * 1000.0)
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -13,9 +13,9 @@
 from quillstep.controller.health_checker import parse_load_report
 from quillstep.invariants import check_invariants
 from quillstep.testbed.scenarios.child_processes import Child
-from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.plan import plan_scenario
 from quillstep.testbed.scenarios.runner import play_arm
-from quillstep.testbed.scenarios.service_quality import service
+from quillstep.testbed.scenarios.service_quality import service_quality
 
 KEYED = {**TIMES, "name": "save", "credit": 2.0, "semantics": "keyed", "scope": "all"}
 ROUGH = [
@@ -130,7 +130,7 @@
     rows = [{**KEYED, "name": "long", "window_ms": 60000.0}, {**KEYED, "name": "short", "window_ms": 0.001}]
     host = Child("endpoints-0", ["quillstep.testbed.endpoints"], tmp_path)
     try:
-        host.say(
+        host.send(
             endpoints=[{"id": 1, "zone": "a", "cores": 1, "speed": 1.0, "connections_most": 9, "waiting_most": 9,
                         "connect_work_ms": 0.0, "probe_work_ms": 0.0}],
             rules=small_day().fleet.rules.model_dump(), classes=rows, answers_tell=True,
@@ -202,8 +202,8 @@
 
 def test_the_plan_of_a_day_follows_from_its_seed():
     day = small_day(troubles=ROUGH)
-    assert plan(day) == plan(day)
-    assert plan(day) != plan(day.model_copy(update={"seed": 2}))
+    assert plan_scenario(day) == plan_scenario(day)
+    assert plan_scenario(day) != plan_scenario(day.model_copy(update={"seed": 2}))
 
 
 @pytest.mark.parametrize(
@@ -222,4 +222,4 @@
     fleet = fleet.model_copy(update={"classes": late})
     row = {"at": 0.0, "end": took, "class": "issue", "outcome": outcome, "tries": []}
     other = {"at": 0.0, "end": 1.0, "class": "lookup", "outcome": "ok", "tries": []}
-    assert service(fleet, [row, other])["service"] == pytest.approx((3.0 * earned + 1.0) / 4.0)
+    assert service_quality(fleet, [row, other])["service"] == pytest.approx((3.0 * earned + 1.0) / 4.0)
--- a/tests/tracing/test_tracing.py
+++ b/tests/tracing/test_tracing.py
@@ -7,7 +7,7 @@
 
 from quillstep.cli.main import cli
 from quillstep.invariants import Evidence, check_invariants
-from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.plan import plan_scenario
 from quillstep.testbed.scenarios.runner import Arm
 from quillstep.tracing.causes import concerns, why
 from quillstep.tracing.chain import Lineage
@@ -142,7 +142,7 @@
             {"at_s": 3.0, "for_s": 2.0, "what": "pilot_kill", "count": 1},
         ],
     )  # fmt: skip
-    arm = Arm(day, plan(day), "learnt", tmp_path_factory.mktemp("lineage") / "learnt")
+    arm = Arm(day, plan_scenario(day), "learnt", tmp_path_factory.mktemp("lineage") / "learnt")
     import time
 
     try:
--- a/tests/xds/test_streams.py
+++ b/tests/xds/test_streams.py
@@ -14,7 +14,7 @@
 from hyperframe.frame import ContinuationFrame, DataFrame, HeadersFrame, PingFrame, SettingsFrame
 from memory_fleet import small_day
 
-from quillstep.testbed.scenarios.plan import plan
+from quillstep.testbed.scenarios.plan import plan_scenario
 from quillstep.testbed.scenarios.runner import Arm
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LDS, LEDS, RDS, WITHDRAWN
@@ -28,7 +28,7 @@
 def arm(tmp_path_factory):
     """Four endpoints, a roster and one pilot, without proxies of ours."""
     day = small_day(limits=LIMITS, pilots=1)
-    made = Arm(day, plan(day), "learnt", tmp_path_factory.mktemp("streams") / "learnt")
+    made = Arm(day, plan_scenario(day), "learnt", tmp_path_factory.mktemp("streams") / "learnt")
     try:
         made.start_endpoints()
         made.start_roster()
@@ -124,7 +124,7 @@
 
 
 def change(arm, number, state):
-    arm.roster.say(id=number, state=state)
+    arm.roster.send(id=number, state=state)
 
 
 def test_a_standard_client_subscribes_acknowledges_and_can_read_what_it_gets(arm):
