--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -13,6 +13,7 @@
 from quillstep.config.planner_config import planner_config
 from quillstep.controller.baselines import EvenPlanner, ListedPlanner
 from quillstep.controller.control_intervals import ControlIntervals
+from quillstep.controller.events import EndpointListReceived
 from quillstep.controller.plain_stats import PlainStats
 from quillstep.controller.update_channel import UpdateChannel
 from quillstep.load_reports.aggregator import ReportAggregator
@@ -22,7 +23,6 @@
 from quillstep.load_reports.summary import ReportSummary
 from quillstep.load_reports.validation import LoadReport, ReportAccount
 from quillstep.planner.messages import (
-    EndpointEntry,
     EndpointListUpdate,
     HealthCheckResult,
     Observations,
@@ -37,6 +37,7 @@
 from quillstep.routing.rollout_gate import RolloutGate
 from quillstep.routing.versioned_tables import VersionedTables
 from quillstep.routing.versions import TableVersion, version_from_row
+from quillstep.store.events import OperatorRequest, StoreEvent, StoreLost, StoreOpened, UpdatesStored
 
 PLANNERS: dict[str, Any] = {"learnt": Planner, "even": EvenPlanner, "listed": ListedPlanner}
 ORDERS_KEPT = 4096  # whose times are remembered
@@ -122,8 +123,9 @@
     def heard(self, now_ms: float) -> None:
         self.control_intervals.record_arrival(now_ms)
 
-    def roster(self, kind: str, entries: list[EndpointEntry], addresses: dict[int, tuple[str, int]]) -> None:
-        """News of the list; entries as the interface has them."""
+    def handle_endpoint_list(self, event: EndpointListReceived) -> None:
+        """Take in an answer of endpoint discovery."""
+        kind, entries, addresses = event
         for endpoint, (host, port) in addresses.items():
             self.endpoints[host, port] = endpoint
             self.placed.append((endpoint, host, port))
@@ -192,8 +194,8 @@
         """What another gatherer hands over."""
         self.intake.add_summary(summary, self.now_ms)
 
-    def probed(self, endpoint: int, answered: bool, took_ms: float, load: dict[str, float]) -> None:
-        self.incoming.health_checks.append(HealthCheckResult(endpoint, answered, took_ms, load))
+    def probed(self, result: HealthCheckResult) -> None:
+        self.incoming.health_checks.append(result)
         self.heard(self.now_ms)
 
     # time
@@ -270,41 +272,51 @@
                 self.log.warning("held by the gate", rule=each.rule, reason=each.reason, table=each.table - self.terms,
                                  endpoint=each.endpoint, place=each.class_index)  # fmt: skip
 
-    def from_store(self, kind: str, what: Any, more: list[Any]) -> None:
-        """News of the store: what the last life left, what is durable, what operators ask for, that it is lost."""
-        if kind == "opened":
-            wall_ms, versions = what
-            for told in versions:
-                self.book.add_stored_version(version_from_row(told))
-            knobs = self.record.store
-            self.book.now_ms = self.now_ms
-            self.book.recover(
-                wall_ms, lambda age_ms: recovery_trust_ms(age_ms, knobs.recovery_trust_ms, knobs.max_recovery_age_ms)
+    def handle_store_event(self, event: StoreEvent) -> None:
+        """What earlier incarnations left, what is durable, what operators request, that the store is lost."""
+        match event:
+            case UpdatesStored(number):
+                self.durable = max(self.durable, number)
+            case StoreLost():
+                self.durable = float("inf")
+            case StoreOpened():
+                self.recover(event)
+            case OperatorRequest():
+                self.grant(event)
+
+    def recover(self, event: StoreOpened) -> None:
+        """Start from the versions and pins of earlier incarnations."""
+        for row in event.versions:
+            self.book.add_stored_version(version_from_row(row))
+        knobs = self.record.store
+        self.book.now_ms = self.now_ms
+        self.book.recover(
+            event.wall_ms, lambda age_ms: recovery_trust_ms(age_ms, knobs.recovery_trust_ms, knobs.max_recovery_age_ms)
+        )
+        for row, cause, operator in event.pins:
+            version = version_from_row(row)._replace(cause=cause, operator=operator)
+            self.book.pin(version)
+            self.log.info(
+                "table pinned", table=version.table - self.terms, version=version.name, by=operator, cause=cause
             )
-            for told, cause, who in more:
-                self.book.pin(version_from_row(told)._replace(cause=cause, operator=who))
-                self.log.info("table pinned", table=told[1] - self.terms, version=told[0], by=who, cause=cause)
-        elif kind == "stored":
-            self.durable = max(self.durable, what)
-        elif kind == "lost":
-            self.durable = float("inf")
-        else:
-            self.grant(what, *more)
 
-    def grant(self, key: str, kind: str, targets: list[Any], who: str) -> None:
-        """An operator's wish: tables stay at versions from now on, or the module has them back."""
+    def grant(self, request: OperatorRequest) -> None:
+        """Pin tables to versions from now on, or release them to the planner."""
         done = []
-        for table, told in targets:
-            if kind == "release":
+        for table, row in request.targets:
+            if request.kind == "release":
                 if self.book.release(table):
-                    self.log.info("table released", table=table - self.terms, by=who)
-                done.append(TableVersion("", table, "", kind, who, 0.0, 0, {}, {}))
-            elif told:
-                version = version_from_row(told)._replace(cause=kind, operator=who)
+                    self.log.info("table released", table=table - self.terms, by=request.operator)
+                done.append(TableVersion("", table, "", request.kind, request.operator, 0.0, 0, {}, {}))
+            elif row:
+                version = version_from_row(row)._replace(cause=request.kind, operator=request.operator)
                 self.book.pin(version)
-                self.log.info("table pinned", table=table - self.terms, version=version.name, by=who, cause=kind)
+                self.log.info(
+                    "table pinned", table=table - self.terms, version=version.name, by=request.operator,
+                    cause=request.kind,
+                )  # fmt: skip
                 done.append(version)
-        self.granted.append((key, kind, done))
+        self.granted.append((request.key, request.kind, done))
         self.catch_up_ms = 0.0  # at once
 
     def ask(self, requests: list[ReportRequest]) -> None:
--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -5,15 +5,23 @@
 """
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, get_args
 
 import structlog
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.controller.core import ControllerCore
+from quillstep.controller.events import EndpointListReceived
+from quillstep.files.events import FileEvent
 from quillstep.files.front import FileFront
+from quillstep.load_reports.events import ReportsSummarized
+from quillstep.planner.messages import HealthCheckResult
+from quillstep.store.events import StoreEvent
+from quillstep.xds.events import StreamEvent
 from quillstep.xds.front import XdsFront
 
+ControllerEvent = StreamEvent | FileEvent | StoreEvent | EndpointListReceived | HealthCheckResult | ReportsSummarized
+
 WAITS_SHOWN = 8  # proxies that one line of the log names
 
 
@@ -25,7 +33,7 @@
         record: ControllerSettings,
         epoch: str,
         tap: Callable[..., None],
-        put: Callable[[tuple], None],
+        put: Callable[[FileEvent], None],
         disk: Any = None,
     ) -> None:
         self.core = ControllerCore(record)
@@ -38,24 +46,29 @@
         if record.files.root:
             self.files = FileFront(record, self.core.tables, self.core, epoch, ordered, tap, put, disk)
             self.fronts.append(self.files)
+        self.handlers: dict[type, Callable[[Any, float], None]] = {
+            **dict.fromkeys(get_args(StreamEvent), self.streams.handle_event),
+            **dict.fromkeys(get_args(FileEvent), self.handle_file_event),
+            **dict.fromkeys(get_args(StoreEvent), lambda event, _: self.core.handle_store_event(event)),
+            EndpointListReceived: self.handle_endpoint_list,
+            HealthCheckResult: lambda event, _: self.core.probed(event),
+            ReportsSummarized: lambda event, _: self.core.gathered(event.summary),
+        }
 
-    def take(self, news: tuple, now_ms: float) -> None:
-        """One piece of news, of whatever kind."""
+    def handle(self, event: ControllerEvent, now_ms: float) -> None:
+        """Take in one event."""
         self.core.now_ms = now_ms
-        if news[0] == "roster":
-            self.core.roster(*news[1:])
-            self.core.heard(now_ms)
-        elif news[0] == "probe":
-            self.core.probed(*news[1:])
-        elif news[0] == "reports":
-            self.core.gathered(news[2])
-        elif news[0] == "store":
-            self.core.from_store(*news[1:])
-        elif news[0] == "files":
-            if self.files:
-                self.files.handle_event(news, now_ms)
-        else:
-            self.streams.handle_event(news, now_ms)
+        self.handlers[type(event)](event, now_ms)
+
+    def handle_endpoint_list(self, event: EndpointListReceived, now_ms: float) -> None:
+        """Take in an answer of endpoint discovery; the next control interval includes it."""
+        self.core.handle_endpoint_list(event)
+        self.core.heard(now_ms)
+
+    def handle_file_event(self, event: FileEvent, now_ms: float) -> None:
+        """Pass an event on to the file front, where this controller has one."""
+        if self.files:
+            self.files.handle_event(event, now_ms)
 
     def turn(self, now_ms: float) -> None:
         """Let pushes leave, decide if a round is due, and have the fronts send."""
--- a/quillstep/controller/discovery_client.py
+++ b/quillstep/controller/discovery_client.py
@@ -9,6 +9,7 @@
 from envoy.config.endpoint.v3 import endpoint_components_pb2
 from envoy.service.discovery.v3 import discovery_pb2
 
+from quillstep.controller.events import EndpointListReceived
 from quillstep.planner.messages import EndpointEntry
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.http2 import MessageReceived, StreamEnded
@@ -44,9 +45,11 @@
 
 
 class DiscoveryClient:
-    """Keeps a stream to the roster; `put` is given ("roster", kind, entries, addresses)."""
+    """Keeps a stream to the roster; `put` is given its answers."""
 
-    def __init__(self, address: str, name: str, zone: str, offset_ms: float, put: Callable[[tuple], None]) -> None:
+    def __init__(
+        self, address: str, name: str, zone: str, offset_ms: float, put: Callable[[EndpointListReceived], None]
+    ) -> None:
         self.address, self.name, self.zone, self.offset_ms, self.put = address, name, zone, offset_ms, put
         self.known: dict[str, EndpointEntry] = {}  # resource name to its newest entry
         self.versions: dict[str, str] = {}
@@ -60,7 +63,7 @@
             except (OSError, ValueError) as trouble:
                 self.log.warning("roster lost", address=self.address, reason=str(trouble))
             if self.known:
-                self.put(("roster", "error", [], {}))
+                self.put(EndpointListReceived("error", [], {}))
             time.sleep(DIAL_MS / 1000.0)
 
     def follow(self) -> None:
@@ -101,4 +104,4 @@
             if name in self.known:
                 entry = self.known.pop(name)
                 entries.append(entry._replace(state="terminated"))
-        self.put(("roster", "complete" if first else "partial", entries, addresses))
+        self.put(EndpointListReceived("complete" if first else "partial", entries, addresses))
--- a/quillstep/controller/event_codec.py
+++ b/quillstep/controller/event_codec.py
@@ -1,51 +1,186 @@
-"""News as records of a capture, and back; one place for both, so that what is written is what is replayed."""
+"""Events as records of a recording, and back: one place for both, so that what is written is what is replayed.
 
+Recordings name kinds and order fields as their first version did; those names are known here alone.
+"""
+
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
 
+from quillstep.controller.decision_loop import ControllerEvent
+from quillstep.controller.events import EndpointListReceived
+from quillstep.files.events import AcknowledgementRead, FileEvent, GenerationWritten, LoadReportRead, RegistrationRead
 from quillstep.files.registration import RegisteredProxy, Registration
+from quillstep.files.writer import PendingGeneration
+from quillstep.load_reports.events import ReportsSummarized
+from quillstep.load_reports.summary import ReportSummary
+from quillstep.planner.messages import EndpointEntry, HealthCheckResult
 from quillstep.recording.format import Record
 from quillstep.routing import Resource
+from quillstep.store.events import (
+    OperatorRequest,
+    OperatorTarget,
+    PinnedVersion,
+    StoreEvent,
+    StoreLost,
+    StoreOpened,
+    UpdatesStored,
+)
+from quillstep.xds.events import StreamEnded, StreamOpened, StreamRequest
+from quillstep.xds.server import REQUESTS, Peer
+
+# Kinds of records that hold no event.
+STEP, ORDERS, SENT = "step", "orders", "sent"
 
 
-class EventCodec:
-    """Writes news as records; peers get numbers as they come."""
+class EventEncoder:
+    """Writes events as records; peers are numbered in the order in which they appear."""
 
     def __init__(self) -> None:
-        self.numbers: dict[Any, int] = {}
-
-    def number(self, peer: Any) -> int:
-        return self.numbers.setdefault(peer, len(self.numbers))
-
-    def record(self, news: tuple, arrived_ms: float, taken_ms: float) -> Record:
-        kind = news[0]
-        times: Record = [kind, arrived_ms, taken_ms]
-        if kind == "request":
-            return [*times, self.number(news[1]), news[2], "", news[4]]
-        if kind in ("open", "end"):
-            return [*times, self.number(news[1]), news[2], str(news[3])]
-        if kind == "roster":
-            addresses = [[number, host, port] for number, (host, port) in news[3].items()]
-            return [*times, news[1], [list(entry) for entry in news[2]], addresses]
-        if kind == "files":
-            return [*times, *tell_files(news)]
-        return [*times, *news[1:]]
-
-
-def tell_files(news: tuple) -> list[Any]:
-    _, kind, what, data, more = news
-    if kind == "written":
-        return [kind, what.directory, [what.generation.number, data], more]
-    if isinstance(data, RegisteredProxy):
-        contents = [[list(key), c.version, [*c.content]] for key, c in data.resources.items()]
-        return [kind, what, [msgspec.to_builtins(data.registration), data.newest, data.held, contents], more]
-    return [kind, what, data, more]
-
-
-def parked_of(told: list[Any] | str) -> RegisteredProxy | str:
-    if isinstance(told, str):
-        return told
-    hello, newest, holds, contents = told
-    made = {tuple(key): Resource(version, tuple(what)) for key, version, what in contents}
-    return RegisteredProxy(msgspec.convert(hello, Registration), newest, holds, made)
+        self._peer_numbers: dict[Peer, int] = {}
+        self._encoders: dict[type, Callable[[Any], Record]] = {
+            StreamOpened: self._stream_opened,
+            StreamRequest: self._stream_request,
+            StreamEnded: self._stream_ended,
+            EndpointListReceived: _endpoint_list,
+            HealthCheckResult: lambda event: ["probe", *event],
+            ReportsSummarized: lambda event: ["reports", *event],
+            RegistrationRead: _registration,
+            AcknowledgementRead: lambda event: ["files", "ack", *event],
+            LoadReportRead: lambda event: ["files", "load", *event, 0.0],
+            GenerationWritten: _generation_written,
+            StoreOpened: _store_opened,
+            UpdatesStored: lambda event: ["store", "stored", event.number, []],
+            StoreLost: lambda event: ["store", "lost", event.reason, []],
+            OperatorRequest: _operator_request,
+        }
+
+    def peer_number(self, peer: Peer) -> int:
+        """The number that stands for a peer in this recording."""
+        return self._peer_numbers.setdefault(peer, len(self._peer_numbers))
+
+    def encode(self, event: ControllerEvent, arrived_ms: float, taken_ms: float) -> Record:
+        """An event as a record: its kind, both times, its fields."""
+        record = self._encoders[type(event)](event)
+        record[1:1] = (arrived_ms, taken_ms)
+        return record
+
+    def _stream_opened(self, event: StreamOpened) -> Record:
+        return ["open", self.peer_number(event.peer), event.stream, event.method]
+
+    def _stream_request(self, event: StreamRequest) -> Record:
+        return ["request", self.peer_number(event.peer), event.stream, "", event.data]
+
+    def _stream_ended(self, event: StreamEnded) -> Record:
+        return ["end", self.peer_number(event.peer), event.stream, event.reason]
+
+
+def _endpoint_list(event: EndpointListReceived) -> Record:
+    addresses = [[endpoint, host, port] for endpoint, (host, port) in event.addresses.items()]
+    return ["roster", event.kind, [list(entry) for entry in event.entries], addresses]
+
+
+def _registration(event: RegistrationRead) -> Record:
+    content: Any = event.content
+    if isinstance(content, RegisteredProxy):
+        resources = [[list(key), resource.version, [*resource.content]] for key, resource in content.resources.items()]
+        content = [msgspec.to_builtins(content.registration), content.newest, content.held, resources]
+    return ["files", "hello", event.directory, content, event.age_ms]
+
+
+def _generation_written(event: GenerationWritten) -> Record:
+    pending = event.pending
+    return ["files", "written", pending.directory, [pending.generation.number, event.written_ms], event.error]
+
+
+def _store_opened(event: StoreOpened) -> Record:
+    return ["store", "opened", [event.wall_ms, event.versions], [list(pin) for pin in event.pins]]
+
+
+def _operator_request(event: OperatorRequest) -> Record:
+    return ["store", "wish", event.key, [event.kind, [list(target) for target in event.targets], event.operator]]
+
+
+class EventDecoder:
+    """Reads records as events.
+
+    `peer` gives the peer that stands for a number; `take_generation` gives the generation of a directory and number, or
+    None where the replay has submitted no such generation.
+    """
+
+    def __init__(
+        self, peer: Callable[[int], Peer], take_generation: Callable[[str, int], PendingGeneration | None]
+    ) -> None:
+        self._peer, self._take_generation = peer, take_generation
+        self._methods: dict[tuple[int, int], str] = {}
+        self._decoders: dict[str, Callable[..., ControllerEvent | None]] = {
+            "open": self._stream_opened,
+            "request": self._stream_request,
+            "end": self._stream_ended,
+            "roster": _decode_endpoint_list,
+            "probe": HealthCheckResult,
+            "reports": _decode_reports,
+            "files": self._file_event,
+            "store": _decode_store_event,
+        }
+
+    def decode(self, record: Record) -> ControllerEvent | None:
+        """The event that a record holds, or None where it has no meaning in this replay."""
+        decoder = self._decoders.get(record[0])
+        return decoder(*record[3:]) if decoder else None
+
+    def _stream_opened(self, peer: int, stream: int, method: str) -> StreamOpened:
+        self._methods[peer, stream] = method
+        return StreamOpened(self._peer(peer), stream, method)
+
+    def _stream_request(self, peer: int, stream: int, _: str, data: bytes) -> StreamRequest:
+        message = REQUESTS[self._methods[peer, stream]].FromString(data)
+        return StreamRequest(self._peer(peer), stream, message, data)
+
+    def _stream_ended(self, peer: int, stream: int, reason: str) -> StreamEnded:
+        return StreamEnded(self._peer(peer), stream, reason)
+
+    def _file_event(self, kind: str, directory: str, content: Any, more: Any) -> FileEvent | None:
+        match kind:
+            case "written":
+                number, written_ms = content
+                pending = self._take_generation(directory, number)
+                return GenerationWritten(pending, written_ms, more) if pending else None
+            case "hello":
+                return RegistrationRead(directory, _decode_registration(content), more)
+            case "ack":
+                return AcknowledgementRead(directory, content, more)
+            case _:
+                return LoadReportRead(directory, content)
+
+
+def _decode_endpoint_list(kind: str, entries: list[list[Any]], addresses: list[list[Any]]) -> EndpointListReceived:
+    by_endpoint = {endpoint: (host, port) for endpoint, host, port in addresses}
+    return EndpointListReceived(kind, [EndpointEntry(*entry) for entry in entries], by_endpoint)
+
+
+def _decode_reports(reader: int, summary: dict[str, Any]) -> ReportsSummarized:
+    return ReportsSummarized(reader, msgspec.convert(summary, ReportSummary))
+
+
+def _decode_registration(content: list[Any] | str) -> RegisteredProxy | str:
+    if isinstance(content, str):
+        return content
+    hello, newest, holds, resources = content
+    contents = {tuple(key): Resource(version, tuple(what)) for key, version, what in resources}
+    return RegisteredProxy(msgspec.convert(hello, Registration), newest, holds, contents)
+
+
+def _decode_store_event(kind: str, content: Any, more: list[Any]) -> StoreEvent:
+    match kind:
+        case "opened":
+            wall_ms, versions = content
+            return StoreOpened(wall_ms, versions, [PinnedVersion(*pin) for pin in more])
+        case "stored":
+            return UpdatesStored(content)
+        case "lost":
+            return StoreLost(content)
+        case _:
+            command, targets, operator = more
+            return OperatorRequest(content, command, [OperatorTarget(*target) for target in targets], operator)
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -11,14 +11,15 @@
 from hdrh.histogram import HdrHistogram
 
 from quillstep.config.controller import ControllerSettings
-from quillstep.controller.decision_loop import DecisionLoop
+from quillstep.controller.decision_loop import ControllerEvent, DecisionLoop
 from quillstep.controller.discovery_client import DiscoveryClient
-from quillstep.controller.event_codec import EventCodec
+from quillstep.controller.event_codec import ORDERS, SENT, STEP, EventEncoder
 from quillstep.controller.event_queue import EventQueue
+from quillstep.controller.events import StopRequested
 from quillstep.controller.health_checker import HealthChecker
+from quillstep.load_reports.events import ReportsSummarized
 from quillstep.load_reports.readers.pool import ReaderPool
 from quillstep.load_reports.readers.thread import ReaderThread
-from quillstep.planner.messages import HealthCheckResult
 from quillstep.recording.writer import RecordingWriter
 from quillstep.store import Store
 from quillstep.store.writer import StoreWriter
@@ -61,13 +62,15 @@
         threading.stack_size(STACK_BYTES)
         sys.setswitchinterval(SWITCH_S)
         self.record = record
-        self.event_queue: EventQueue[tuple] = EventQueue(record.limits.max_queued_events, SUMS_MOST)
+        self.event_queue: EventQueue[ControllerEvent | StopRequested] = EventQueue(
+            record.limits.max_queued_events, SUMS_MOST
+        )
         self.socket_record = SocketRecord(record.socket_record)
         self.epoch = f"{record.name}-{os.getpid()}"
         self.decider = DecisionLoop(record, self.epoch, self.tap, self.put)
         self.core = self.decider.core
         self.capture: RecordingWriter | None = None
-        self.teller = EventCodec()
+        self.encoder = EventEncoder()
         self.keeper = StoreWriter(record.store, store, self.epoch, self.put) if store else None
         self.kept_number = 0  # the last order that the store has been given
         self.orders_sent: dict[tuple[str, str], int] = {}  # by proxy and nonce, without a word yet
@@ -91,14 +94,14 @@
         self.reader: ReaderThread | None = None
         self.processes: ReaderPool | None = None
         if record.reports.by == "thread":
-            self.reader = ReaderThread(record.reports, record.fleet, self.put_sums)
+            self.reader = ReaderThread(record.reports, record.fleet, self.put_report_summary)
         elif record.reports.by == "processes":
-            self.processes = ReaderPool(record, self.put_sums)
+            self.processes = ReaderPool(record, self.put_report_summary)
             self.processes.start()
         self.server = Server(record.listen, record.limits, self.put, self.reader)
         self.decider.streams.server = self.server
         self.health_checker = HealthChecker(
-            record.fleet.probes.max_concurrent, record.fleet.probes.timeout_ms, self.put_health_check
+            record.fleet.probes.max_concurrent, record.fleet.probes.timeout_ms, self.put
         )
         self.stopping = False
         self.late = HdrHistogram(1, LATE_MOST, 2)  # of rounds behind the time they were due, tenths of a millisecond
@@ -106,22 +109,18 @@
         self.cpu_s: dict[str, dict[str, float]] = {}  # of readers, by part
         self.log = structlog.get_logger("pilot")
 
-    def put(self, news: tuple) -> None:
-        """Hand news to the deciding thread; blocks while its lane is full."""
-        self.event_queue.put(self.now_ms(), news)
-
-    def put_health_check(self, result: HealthCheckResult) -> None:
-        """Hand over the outcome of a health check."""
-        self.put(("probe", *result))
+    def put(self, event: ControllerEvent | StopRequested) -> None:
+        """Hand an event to the deciding thread; blocks while its queue is full."""
+        self.event_queue.put(self.now_ms(), event)
 
-    def put_sums(self, news: tuple) -> None:
-        """Hand over what came of load reports; it is taken after all news."""
-        self.event_queue.put_stats(self.now_ms(), news)
+    def put_report_summary(self, event: ReportsSummarized) -> None:
+        """Hand over what load reports came to; it is taken after all other events."""
+        self.event_queue.put_stats(self.now_ms(), event)
 
     def tap(self, what: str, at_ms: float, **fields: Any) -> None:
         self.socket_record.tap(what, at_ms, **fields)
         if self.capture:
-            self.capture.put(["sent", at_ms, at_ms, what, fields])
+            self.capture.put([SENT, at_ms, at_ms, what, fields])
         if self.spans:
             self.spans.tap(self.epoch, what, at_ms, fields)
         if self.keeper:
@@ -163,7 +162,7 @@
         offset_ms = self.now_ms() - time.time() * 1000.0
         self.server.start()
         if self.keeper:
-            self.put(self.keeper.start_news())
+            self.put(self.keeper.opened_event())
             threading.Thread(target=self.keeper.run, daemon=True).start()
         if self.reader:
             self.reader.start()
@@ -197,7 +196,7 @@
         if wait_s > 0:
             self.event_queue.wait(min(IDLE_S, wait_s))
         for entry in self.event_queue.drain(BATCH):
-            self.take(*entry)
+            self.handle(*entry)
         now = self.now_ms()
         rounds = self.core.rounds
         due = self.core.due_ms()
@@ -207,11 +206,11 @@
         if self.keeper:
             self.keep(self.keeper, now)
         if self.capture:
-            full = [self.teller.number(peer) for peer in self.decider.streams.full]
-            self.capture.put(["step", now, now, full])
+            full = [self.encoder.peer_number(peer) for peer in self.decider.streams.full]
+            self.capture.put([STEP, now, now, full])
             if self.core.rounds != rounds:
                 number = self.core.tables.revision
-                self.capture.put(["orders", now, now, self.core.rounds, self.core.orders, number])
+                self.capture.put([ORDERS, now, now, self.core.rounds, self.core.orders, number])
             self.capture.flush()
         if self.spans and self.core.rounds != rounds:
             self.spans.round(self.epoch, self.core.tables.revision, now, self.now_ms(), late_ms=max(0.0, now - due))
@@ -248,16 +247,16 @@
         if self.keeper:
             self.log.info("store kept", late=self.core.late_stores, **self.keeper.figures())
 
-    def take(self, arrived_ms: float, news: tuple) -> None:
-        if news[0] == "stop":
+    def handle(self, arrived_ms: float, event: ControllerEvent | StopRequested) -> None:
+        if isinstance(event, StopRequested):
             self.stopping = True
             return
-        if news[0] == "reports":
-            self.cpu_s[f"reader {news[1]}"] = news[2].take_cpu_s()
+        if isinstance(event, ReportsSummarized):
+            self.cpu_s[f"reader {event.reader}"] = event.summary.take_cpu_s()
         now = self.now_ms()
         if self.capture:
-            self.capture.put(self.teller.record(news, arrived_ms, now))
-        self.decider.take(news, now)
+            self.capture.put(self.encoder.encode(event, arrived_ms, now))
+        self.decider.handle(event, now)
 
     def stop(self) -> None:
-        self.put(("stop",))
+        self.put(StopRequested())
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -4,7 +4,6 @@
 """
 
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 from envoy.service.load_stats.v3 import lrs_pb2
@@ -12,6 +11,7 @@
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.files.disk import Disk, read_ack
+from quillstep.files.events import AcknowledgementRead, FileEvent, GenerationWritten, LoadReportRead, RegistrationRead
 from quillstep.files.generation_files import GenerationEncoder, encode_manifest
 from quillstep.files.proxy_generations import Generation, ProxyGenerations
 from quillstep.files.registration import RegisteredProxy
@@ -41,7 +41,7 @@
         epoch: str,
         ordered_ms: Callable[[int], float],
         tap: Callable[..., None],
-        put: Callable[[tuple[Any, ...]], None],
+        put: Callable[[FileEvent], None],
         disk: Disk | None = None,
     ) -> None:
         self.file_settings = settings.files
@@ -77,15 +77,20 @@
 
     # events
 
-    def handle_event(self, event: tuple[Any, ...], now_ms: float) -> None:
+    def handle_event(self, event: FileEvent, now_ms: float) -> None:
         """Handles one event of the watcher or the writer."""
-        _, kind, what, data, more = event
-        if kind == "written":
-            self._handle_written(what, data, more, now_ms)
-        elif kind == "hello":
-            self._handle_registration(what, data, more, now_ms)
-        else:
-            self._handle_sign_of_life(kind, what, data, more, now_ms)
+        match event:
+            case GenerationWritten(pending, written_ms, error):
+                self._handle_written(pending, written_ms, error, now_ms)
+            case RegistrationRead(directory, content, age_ms):
+                self._handle_registration(directory, content, age_ms, now_ms)
+            case AcknowledgementRead(directory, data, age_ms):
+                is_recent = age_ms < self.file_settings.idle_timeout_ms
+                if generations := self._handle_sign_of_life(directory, is_recent, now_ms):
+                    self._handle_ack(generations, data, now_ms)
+            case LoadReportRead(directory, data):
+                if generations := self._handle_sign_of_life(directory, True, now_ms):
+                    self._handle_report(generations, data)
 
     def drop(self, proxy: int, reason: str, now_ms: float) -> None:
         """Gives up a proxy that another front has now; only a new registration brings it back here."""
@@ -103,19 +108,14 @@
         if age_ms < self.file_settings.idle_timeout_ms:  # an older one joins when it gives a sign of life
             self._join(directory, registered, now_ms)
 
-    def _handle_sign_of_life(self, kind: str, directory: str, data: bytes, age_ms: float, now_ms: float) -> None:
-        """An acknowledgement or a load report, which also shows that the proxy is there."""
-        is_recent = kind != "ack" or age_ms < self.file_settings.idle_timeout_ms
+    def _handle_sign_of_life(self, directory: str, is_recent: bool, now_ms: float) -> ProxyGenerations | None:
+        """Returns the generations of a proxy that has written; one that was idle joins again by a recent file."""
         if directory not in self.generations and directory in self.registered and is_recent:
             self._join(directory, self.registered[directory], now_ms)
         generations = self.generations.get(directory)
-        if generations is None:
-            return
-        generations.last_received_ms = now_ms
-        if kind == "ack":
-            self._handle_ack(generations, data, now_ms)
-        else:
-            self._handle_report(generations, data)
+        if generations:
+            generations.last_received_ms = now_ms
+        return generations
 
     def _join(self, directory: str, registered: RegisteredProxy, now_ms: float) -> None:
         """A proxy is there: it holds what its generation on disk says, and what it says itself."""
--- a/quillstep/files/watcher.py
+++ b/quillstep/files/watcher.py
@@ -3,12 +3,12 @@
 import threading
 import time
 from collections.abc import Callable
-from typing import Any
 
 import structlog
 
 from quillstep.config.controller import FileSettings
 from quillstep.files.disk import Disk, Stamp, UnusableFileError
+from quillstep.files.events import AcknowledgementRead, FileEvent, LoadReportRead, RegistrationRead
 from quillstep.files.registration import ACK, HELLO, read_registration
 
 ALIVE_INTERVAL_SHARE = 0.1  # of the idle timeout, between two signs of life
@@ -21,7 +21,7 @@
     `put` blocks while the deciding thread's queue is full.  All but `stop` belongs to the watcher's thread.
     """
 
-    def __init__(self, disk: Disk, settings: FileSettings, put: Callable[[tuple[Any, ...]], None]) -> None:
+    def __init__(self, disk: Disk, settings: FileSettings, put: Callable[[FileEvent], None]) -> None:
         self.disk, self.settings, self.put = disk, settings, put
         self.stopping = threading.Event()
         self.stamps: dict[tuple[str, str], Stamp | None] = {}  # by directory and file; of the directory itself by ""
@@ -74,9 +74,10 @@
         self.stamps[directory, name] = file.stamp if file else None
         if file:
             age_ms = _age_ms(file.stamp)
-            is_hello = name == HELLO
-            content = read_registration(self.disk, directory, file.data) if is_hello else file.data
-            self.put(("files", "hello" if is_hello else "ack", directory, content, age_ms))
+            if name == HELLO:
+                self.put(RegistrationRead(directory, read_registration(self.disk, directory, file.data), age_ms))
+            else:
+                self.put(AcknowledgementRead(directory, file.data, age_ms))
 
     def _poll_reports(self, directory: str) -> None:
         if self.disk.stamp(directory, "load") == self.stamps.get((directory, "load")):
@@ -85,7 +86,7 @@
             file = self.disk.read(name, directory, "load")
             self.disk.drop_report(directory, name)
             if file:
-                self.put(("files", "load", directory, file.data, 0.0))
+                self.put(LoadReportRead(directory, file.data))
         self.stamps[directory, "load"] = self.disk.stamp(directory, "load")
 
     def _log_once(self, directory: str, error: str) -> None:
--- a/quillstep/files/writer.py
+++ b/quillstep/files/writer.py
@@ -4,9 +4,10 @@
 import threading
 import time
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from quillstep.files.disk import Disk, UnusableFileError
+from quillstep.files.events import GenerationWritten
 from quillstep.files.generation_files import GenerationFile
 from quillstep.files.proxy_generations import Generation, ProxyGenerations
 
@@ -29,7 +30,7 @@
 class GenerationWriter:
     """Writes the generations of its queue; `put` gets an event for each that is written or has failed."""
 
-    def __init__(self, disk: Disk, put: Callable[[tuple[Any, ...]], None]) -> None:
+    def __init__(self, disk: Disk, put: Callable[[GenerationWritten], None]) -> None:
         self.disk, self.put = disk, put
         self.queue: queue.SimpleQueue[PendingGeneration | None] = queue.SimpleQueue()  # None: stop
         self.swaps = 0  # since the last cleanup
@@ -86,4 +87,4 @@
         return True
 
     def _report(self, pending: PendingGeneration, error: str) -> None:
-        self.put(("files", "written", pending, time.monotonic() * 1000.0, error))
+        self.put(GenerationWritten(pending, time.monotonic() * 1000.0, error))
--- a/quillstep/load_reports/readers/pool.py
+++ b/quillstep/load_reports/readers/pool.py
@@ -10,12 +10,12 @@
 import sys
 import threading
 from collections.abc import Callable
-from typing import Any
 
 import structlog
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.errors import QuillstepError
+from quillstep.load_reports.events import ReportsSummarized
 from quillstep.load_reports.messages import (
     AddEndpoints,
     Configuration,
@@ -50,7 +50,7 @@
     `write_queues`.  `put` gets each summary as an event and may block.
     """
 
-    def __init__(self, settings: ControllerSettings, put: Callable[[tuple[Any, ...]], None]) -> None:
+    def __init__(self, settings: ControllerSettings, put: Callable[[ReportsSummarized], None]) -> None:
         self.settings, self.put = settings, put
         self.ownership = ReportOwnership()
         self.lock = threading.Lock()
@@ -150,7 +150,7 @@
     def _handle(self, reader: int, ready: threading.Event, message: MessageFromReader) -> None:
         match message:
             case WindowDrained(summary):
-                self.put(("reports", reader, summary))
+                self.put(ReportsSummarized(reader, summary))
             case ReaderReady(address):
                 self.addresses[reader] = address
                 ready.set()
--- a/quillstep/load_reports/readers/thread.py
+++ b/quillstep/load_reports/readers/thread.py
@@ -4,13 +4,14 @@
 import threading
 import time
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import structlog
 
 from quillstep.config.controller import LoadReportSettings
 from quillstep.config.fleet import FleetSettings
 from quillstep.load_reports.aggregator import ReportAggregator
+from quillstep.load_reports.events import ReportsSummarized
 from quillstep.load_reports.messages import AddEndpoints, MembershipChange, ProxyJoined, ProxyLeft, ReportRequest
 from quillstep.load_reports.readers.connections import StreamKey, finish_stream, log_warnings, send_messages
 from quillstep.load_reports.readers.session import ReaderSession
@@ -56,7 +57,7 @@
     """
 
     def __init__(
-        self, settings: LoadReportSettings, fleet: FleetSettings, put: Callable[[tuple[Any, ...]], None]
+        self, settings: LoadReportSettings, fleet: FleetSettings, put: Callable[[ReportsSummarized], None]
     ) -> None:
         self.max_message_bytes = settings.max_message_bytes
         self.session: ReaderSession[StreamKey] = ReaderSession(ReportAggregator(settings, fleet))
@@ -142,7 +143,7 @@
         if aggregator.due_ms() <= now_ms():
             summary = aggregator.drain(now_ms())
             summary.cpu_s = {"reader": round(time.thread_time(), 4)}
-            self.put(("reports", 0, summary))
+            self.put(ReportsSummarized(0, summary))
         return due_ms
 
 
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -4,6 +4,7 @@
 told with its round and with what had come in since the round before.
 """
 
+import sys
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import Any
@@ -13,26 +14,25 @@
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.controller.decision_loop import DecisionLoop
-from quillstep.controller.event_codec import parked_of
+from quillstep.controller.event_codec import ORDERS, SENT, STEP, EventDecoder
 from quillstep.files.disk import Disk
-from quillstep.load_reports.summary import ReportSummary
-from quillstep.planner.messages import EndpointEntry
+from quillstep.files.events import FileEvent
+from quillstep.files.writer import PendingGeneration
 from quillstep.recording import Header, Record, record_of
-from quillstep.xds.server import REQUESTS
+from quillstep.xds.server import Peer, Server
 
 CAUSES_MOST = 12
 
 
-class PlayedPeer:
+class PlayedPeer(Peer):
     """A peer of a captured day: takes what is sent, is as full as it was then."""
 
-    last_received_ms = 0.0  # only words on late responses go by it
-
     def __init__(self, number: int) -> None:
         self.number, self.is_full = number, False
+        self.last_received_ms = 0.0  # only words on late responses go by it
 
-    def unsent_bytes(self) -> float:
-        return float("inf") if self.is_full else 0.0
+    def unsent_bytes(self) -> int:
+        return sys.maxsize if self.is_full else 0
 
     def send(self, stream: int, message: bytes) -> bool:
         return True
@@ -41,10 +41,13 @@
         """Its end comes from the capture."""
 
 
-class PlayedServer:
+class PlayedServer(Server):
     """A server without sockets."""
 
-    def finish(self, peer: PlayedPeer, stream: int, status: int, text: str) -> None:
+    def __init__(self) -> None:
+        """Nothing listens."""
+
+    def finish(self, peer: Peer, stream: int, status: int, text: str) -> None:
         """Its end comes from the capture."""
 
 
@@ -77,13 +80,13 @@
     def __init__(self, header: Header, record: ControllerSettings | None = None) -> None:
         self.record = record or record_of(header)
         self.decider = DecisionLoop(self.record, header.epoch, self.tap, self.never, PlayedDisk())
-        self.decider.streams.server = PlayedServer()  # type: ignore[assignment]
+        self.decider.streams.server = PlayedServer()
         self.core = self.decider.core
         self.core.orders = []
         self.peers: dict[int, PlayedPeer] = {}
         self.full: list[int] = []
-        self.methods: dict[tuple[int, int], str] = {}
-        self.jobs: dict[tuple[str, int], Any] = {}
+        self.decoder = EventDecoder(self.peer, self.take_generation)
+        self.jobs: dict[tuple[str, int], PendingGeneration] = {}
         self.outcome = Outcome()
         self.hash = xxhash.xxh3_128()
         self.causes: list[str] = []
@@ -93,7 +96,7 @@
         self.outcome.sent += what == "send"
 
     @staticmethod
-    def never(news: tuple) -> None:
+    def never(event: FileEvent) -> None:
         raise AssertionError("a replay starts no threads")
 
     def play(self, records: Iterable[Record]) -> Outcome:
@@ -111,47 +114,23 @@
 
     def one(self, record: Record) -> None:
         kind, taken = record[0], record[2]
-        if kind == "step":
+        if kind == STEP:
             self.step(taken, record[3])
-        elif kind == "orders":
+        elif kind == ORDERS:
             self.compare(record)
-        elif kind != "sent":
+        elif kind != SENT:
             if len(self.causes) < CAUSES_MOST:
                 self.causes.append(f"{kind} at {taken:.1f}")
-            news = self.news(record)
-            if news:
-                self.decider.take(news, taken)
+            event = self.decoder.decode(record)
+            if event:
+                self.decider.handle(event, taken)
 
     def peer(self, number: int) -> PlayedPeer:
         return self.peers.setdefault(number, PlayedPeer(number))
 
-    def news(self, record: Record) -> tuple | None:
-        """A record as the news that it was."""
-        kind, rest = record[0], record[3:]
-        if kind == "open":
-            self.methods[rest[0], rest[1]] = rest[2]
-            return ("open", self.peer(rest[0]), rest[1], rest[2])
-        if kind == "request":
-            method = self.methods[rest[0], rest[1]]
-            message = REQUESTS[method].FromString(rest[3])
-            return ("request", self.peer(rest[0]), rest[1], message, rest[3])
-        if kind == "end":
-            return ("end", self.peer(rest[0]), rest[1], rest[2])
-        if kind == "roster":
-            addresses = {number: (host, port) for number, host, port in rest[2]}
-            return ("roster", rest[0], [EndpointEntry(*entry) for entry in rest[1]], addresses)
-        if kind == "files":
-            return self.file_news(rest)
-        if kind == "reports":
-            return ("reports", rest[0], msgspec.convert(rest[1], ReportSummary))
-        return (kind, *rest)
-
-    def file_news(self, rest: list[Any]) -> tuple | None:
-        kind, what, data, more = rest
-        if kind == "written":
-            job = self.jobs.pop((what, data[0]), None)
-            return ("files", kind, job, data[1], more) if job else None
-        return ("files", kind, what, parked_of(data) if kind == "hello" else data, more)
+    def take_generation(self, directory: str, number: int) -> PendingGeneration | None:
+        """The submitted generation, which its record takes away."""
+        return self.jobs.pop((directory, number), None)
 
     def step(self, now_ms: float, full: list[int]) -> None:
         if full or self.full:
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -16,9 +16,10 @@
 from quillstep.config.loading import changed
 from quillstep.controller.core import ControllerCore
 from quillstep.controller.decision_loop import DecisionLoop
+from quillstep.controller.events import EndpointListReceived
 from quillstep.invariants import Evidence, check_invariants
 from quillstep.load_reports.validation import LoadReport
-from quillstep.planner.messages import EndpointEntry
+from quillstep.planner.messages import EndpointEntry, HealthCheckResult
 from quillstep.replay.inference import Inferred, held_out_error, infer, tries_of
 from quillstep.replay.model import Endpoint, Proxy, VirtualDay
 from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay
@@ -116,7 +117,7 @@
 
     def roster(self, kind: str, entries: list[EndpointEntry], addresses: dict) -> None:
         self.core.now_ms = self.day.clock.now
-        self.core.roster(kind, entries, addresses)
+        self.core.handle_endpoint_list(EndpointListReceived(kind, entries, addresses))
         self.core.heard(self.day.clock.now)
         for entry in entries:
             if endpoint := self.day.endpoints.get(entry.endpoint):
@@ -181,7 +182,7 @@
     def probed(self, endpoint: int, answered: bool, took: float, load: dict[str, float]) -> None:
         if not self.ended:
             self.core.now_ms = self.day.clock.now
-            self.core.probed(endpoint, answered, took, load)
+            self.core.probed(HealthCheckResult(endpoint, answered, took, load))
             self.poke()
 
     def end(self) -> None:
--- a/quillstep/store/writer.py
+++ b/quillstep/store/writer.py
@@ -17,6 +17,15 @@
 from quillstep.config.controller import StoreSettings
 from quillstep.routing.versions import TableVersion
 from quillstep.store.errors import StoreCorruptError, StoreError
+from quillstep.store.events import (
+    OperatorRequest,
+    OperatorTarget,
+    PinnedVersion,
+    StoreEvent,
+    StoreLost,
+    StoreOpened,
+    UpdatesStored,
+)
 from quillstep.store.records import (
     ACKNOWLEDGED_UPDATES,
     INCARNATIONS,
@@ -73,7 +82,7 @@
     """
 
     def __init__(
-        self, settings: StoreSettings, store: Store, incarnation: str, put: Callable[[tuple[Any, ...]], None]
+        self, settings: StoreSettings, store: Store, incarnation: str, put: Callable[[StoreEvent], None]
     ) -> None:
         self.settings, self.store, self.incarnation, self.put = settings, store, incarnation, put
         self.submissions: queue.Queue[Submission] = queue.Queue()
@@ -87,7 +96,7 @@
 
     # in the deciding thread
 
-    def start_news(self) -> tuple[Any, ...]:
+    def opened_event(self) -> StoreOpened:
         """Returns what the last incarnation left: the newest versions of each table, and its pins."""
         tables: dict[int, list[VersionRow]] = {}
         for _, row in self.store.rows(VERSIONS):
@@ -97,11 +106,11 @@
         pinned = []
         for _, pin in self.store.rows(PINS):
             if row := by_name.get((pin.table, pin.name)):
-                pinned.append([version_values(row), pin.cause, pin.operator])
+                pinned.append(PinnedVersion(version_values(row), pin.cause, pin.operator))
             else:
                 reason = "its version is not kept"
                 self.log.error("pin passed over", table=pin.table, version=pin.name, reason=reason)
-        return ("store", "opened", [time.time() * 1000.0, [version_values(row) for row in recovered]], pinned)
+        return StoreOpened(time.time() * 1000.0, [version_values(row) for row in recovered], pinned)
 
     def version_entry(self, version: TableVersion, wall_ms: float) -> Entry:
         """Returns a version as the next row of its table."""
@@ -205,7 +214,7 @@
         took_ms = (time.monotonic() - begun_s) * 1000.0
         self.commits, self.commit_ms = self.commits + 1, self.commit_ms + took_ms
         self.max_commit_ms = max(self.max_commit_ms, took_ms)
-        self.put(("store", "stored", max(submission.revision for submission in group), []))
+        self.put(UpdatesStored(max(submission.revision for submission in group)))
 
     def _deliver_commands(self) -> None:
         """Delivers each operator's command once, with the versions that it names."""
@@ -218,8 +227,8 @@
             targets = []
             for table, name in command.targets:
                 rows = [row for row in self.store.versions(table) if row.name == name]
-                targets.append([table, version_values(rows[-1]) if rows else []])
-            self.put(("store", "wish", key.hex(), [command.kind, targets, command.operator]))
+                targets.append(OperatorTarget(table, version_values(rows[-1]) if rows else []))
+            self.put(OperatorRequest(key.hex(), command.kind, targets, command.operator))
 
     def _apply_retention(self) -> None:
         settings = self.settings
@@ -230,7 +239,7 @@
         """Goes on without a store: no update waits for it any more."""
         self.failure = str(error)
         self.log.error("store lost", kind=error.reason, reason=str(error))
-        self.put(("store", "lost", str(error), []))
+        self.put(StoreLost(str(error)))
 
     # for both
 
--- a/quillstep/testbed/discovery_server.py
+++ b/quillstep/testbed/discovery_server.py
@@ -8,7 +8,7 @@
 import queue
 import random
 import threading
-from typing import Any
+from typing import Any, NamedTuple
 
 from envoy.config.core.v3 import health_check_pb2
 from envoy.config.endpoint.v3 import endpoint_components_pb2
@@ -16,6 +16,7 @@
 
 from quillstep.config.controller import LimitSettings
 from quillstep.testbed.process import STACK_BYTES, EventLog, answer, now_ms, read_setup, serve
+from quillstep.xds.events import StreamEnded, StreamEvent, StreamRequest
 from quillstep.xds.resources import LEDS
 from quillstep.xds.server import DELTA, Peer, Server
 
@@ -33,6 +34,12 @@
         self.nonce = 0
 
 
+class EndpointChanged(NamedTuple):
+    """The parent says what an endpoint is from now on."""
+
+    row: dict[str, Any]
+
+
 class DiscoveryServer:
     """The list, its subscribers and the news under way."""
 
@@ -45,7 +52,7 @@
         self.subscribers: dict[tuple[Peer, int], Subscriber] = {}
         self.later: list[tuple[float, int, Subscriber, list[int]]] = []
         self.counter = 0
-        self.inbox: queue.Queue[tuple] = queue.Queue(4096)
+        self.inbox: queue.Queue[StreamEvent | EndpointChanged] = queue.Queue(4096)
         self.server = Server(setup.get("listen", "127.0.0.1:0"), LimitSettings(), self.inbox.put)
         self.server.start()
         answer(ready=self.server.address)
@@ -61,19 +68,18 @@
                 _, _, subscriber, changed = heapq.heappop(self.later)
                 self.tell(subscriber, changed)
 
-    def take(self, news: tuple) -> None:
-        kind = news[0]
-        if kind == "change":
-            self.change(news[1])
-        elif kind == "end":
-            self.subscribers.pop((news[1], news[2]), None)
-        elif kind == "request":
-            _, peer, stream, request, _ = news
-            known = self.subscribers.get((peer, stream))
-            if known is None and request.resource_names_subscribe:
-                known = self.subscribers[peer, stream] = Subscriber(peer, stream, request.node.id)
-                known.held = dict(request.initial_resource_versions)
-                self.tell(known, list(self.list))
+    def take(self, event: StreamEvent | EndpointChanged) -> None:
+        match event:
+            case EndpointChanged(row):
+                self.change(row)
+            case StreamEnded(peer, stream):
+                self.subscribers.pop((peer, stream), None)
+            case StreamRequest(peer, stream, request):
+                known = self.subscribers.get((peer, stream))
+                if known is None and request.resource_names_subscribe:
+                    known = self.subscribers[peer, stream] = Subscriber(peer, stream, request.node.id)
+                    known.held = dict(request.initial_resource_versions)
+                    self.tell(known, list(self.list))
 
     def change(self, row: dict[str, Any]) -> None:
         """An endpoint is as the parent says from now on; each subscriber hears of it later."""
@@ -127,7 +133,7 @@
 def main() -> None:
     roster = DiscoveryServer(read_setup())
     threading.Thread(target=roster.run, daemon=True).start()
-    serve(lambda command: roster.inbox.put(("change", command)), roster.record)
+    serve(lambda command: roster.inbox.put(EndpointChanged(command)), roster.record)
 
 
 __all__ = ["DELTA", "DiscoveryServer", "main"]
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -9,10 +9,11 @@
 from quillstep.routing import Tables
 from quillstep.routing.ack_latency import IN_TIME, AckDelay
 from quillstep.xds.delta import DeltaStream
+from quillstep.xds.events import StreamEnded, StreamEvent, StreamOpened
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED, UNAVAILABLE
 from quillstep.xds.load_stats import Hooks, life_of, load_request, read_report
 from quillstep.xds.proxy_front import ProxyFront
-from quillstep.xds.server import DELTA, LOAD, Peer, Server, StreamEvent
+from quillstep.xds.server import DELTA, LOAD, Peer, Server
 from quillstep.xds.sotw import SotwStream
 from quillstep.xds.stream import Response, StreamError
 
@@ -61,16 +62,16 @@
 
     def handle_event(self, event: StreamEvent, now_ms: float) -> None:
         """Handles one event of the server."""
-        kind, key = event[0], StreamKey(event[1], event[2])
-        if kind == "open":
-            self._open(key, event[3])
-        elif kind == "end":
-            self._end(key, str(event[3]), now_ms)
-        elif isinstance(event[3], lrs_pb2.LoadStatsRequest):
-            self._handle_report(key, event[3], event[4])
+        key = StreamKey(event.peer, event.stream)
+        if isinstance(event, StreamOpened):
+            self._open(key, event.method)
+        elif isinstance(event, StreamEnded):
+            self._end(key, event.reason, now_ms)
+        elif isinstance(event.message, lrs_pb2.LoadStatsRequest):
+            self._handle_report(key, event.message, event.data)
         elif key in self.streams:
             try:
-                self._handle_request(key, event[3], now_ms)
+                self._handle_request(key, event.message, now_ms)
             except StreamError as error:
                 self.log.warning("stream ended", proxy=self._node_of(key), reason=str(error))
                 self._finish(key, error.status, str(error), now_ms)
--- a/quillstep/xds/server.py
+++ b/quillstep/xds/server.py
@@ -11,6 +11,7 @@
 
 from quillstep.config.controller import LimitSettings
 from quillstep.net.poller import Poller
+from quillstep.xds import events
 from quillstep.xds.grpc import INVALID_ARGUMENT, RESOURCE_EXHAUSTED, UNIMPLEMENTED
 from quillstep.xds.http2 import Event, GrpcConnection, MessageReceived, StreamEnded, StreamOpened
 from quillstep.xds.http2 import GrpcPeer as Peer
@@ -23,9 +24,6 @@
     SOTW: discovery_pb2.DiscoveryRequest,
     LOAD: lrs_pb2.LoadStatsRequest,
 }
-StreamEvent = tuple[
-    Any, ...
-]  # ("open", peer, stream, path), ("request", peer, stream, message, its bytes), ("end", peer, stream, why)
 
 
 class ReportReader(Protocol):
@@ -54,7 +52,7 @@
         self,
         listen: str,
         limits: LimitSettings,
-        put: Callable[[StreamEvent], None],
+        put: Callable[[events.StreamEvent], None],
         report_reader: ReportReader | None = None,
     ) -> None:
         self.put, self.report_reader = put, report_reader
@@ -109,7 +107,7 @@
             peer.with_codec(lambda codec: codec.use_manual_flow_control(stream, max_bytes))
             self.report_reader.open_stream(peer, stream)
         else:
-            self.put(("open", peer, stream, method))
+            self.put(events.StreamOpened(peer, stream, method))
 
     def _on_message(self, peer: Peer, stream: int, data: bytes) -> None:
         method = self.methods.get((peer, stream))
@@ -124,9 +122,9 @@
             reason = "a message that is no request"
             self.log.warning("stream ended", reason=reason, method=method)
             self.finish(peer, stream, INVALID_ARGUMENT, reason)
-            self.put(("end", peer, stream, reason))
+            self.put(events.StreamEnded(peer, stream, reason))
             return
-        self.put(("request", peer, stream, message, data))
+        self.put(events.StreamRequest(peer, stream, message, data))
 
     def _on_report(self, reader: ReportReader, peer: Peer, stream: int, data: bytes) -> None:
         if len(data) > reader.max_message_bytes:  # it came with its stream's opening, ahead of the limit
@@ -140,7 +138,7 @@
         if self.report_reader and method == LOAD:
             self.report_reader.end_stream(peer, stream)
         else:
-            self.put(("end", peer, stream, reason))
+            self.put(events.StreamEnded(peer, stream, reason))
 
     def _on_closed(self, peer: Peer, reason: str) -> None:
         streams = sorted(self.streams.pop(peer, ()))
@@ -151,4 +149,4 @@
                 self._end(peer, stream, method, reason)
 
 
-__all__ = ["DELTA", "LOAD", "SOTW", "Peer", "ReportReader", "Server", "StreamEvent"]
+__all__ = ["DELTA", "LOAD", "SOTW", "Peer", "ReportReader", "Server"]
--- a/tests/memory_fleet.py
+++ b/tests/memory_fleet.py
@@ -6,6 +6,7 @@
 from quillstep.config.fleet import ClassSettings, FleetSettings
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.controller.core import ControllerCore
+from quillstep.controller.events import EndpointListReceived
 from quillstep.planner.messages import EndpointEntry
 from quillstep.xds import resources
 from quillstep.xds.delta import DeltaStream
@@ -117,7 +118,8 @@
     def roster(self, kind, numbers, state="in_service", started=0.0):
         zones = self.core.record.fleet.zones
         entries = [EndpointEntry(n, zones[n % len(zones)], state, 1.0, started) for n in numbers]
-        self.core.roster(kind, entries, {n: ("127.0.0.1", 9000 + n) for n in numbers})
+        addresses = {n: ("127.0.0.1", 9000 + n) for n in numbers}
+        self.core.handle_endpoint_list(EndpointListReceived(kind, entries, addresses))
         self.core.heard(self.now)
 
     def join(self, name, zone="a", held=None):
--- a/tests/routing/test_recovery.py
+++ b/tests/routing/test_recovery.py
@@ -6,6 +6,7 @@
 
 from quillstep.config.controller import StoreSettings
 from quillstep.routing.recovery import RecoveredTable, recovery_trust_ms
+from quillstep.store.events import StoreOpened
 from quillstep.xds.resources import LEDS
 
 
@@ -45,7 +46,7 @@
     rows = [
         list(version[:5]) + [1000.0, list(version.weights.items()), [[p, *lv] for p, lv in version.admission.items()]]
     ]
-    again.core.from_store("opened", [1100.0, rows], [])
+    again.core.handle_store_event(StoreOpened(1100.0, rows, []))
     proxies = [again.join(name, zone, proxy.versions) for (name, proxy), zone in zip(first.proxies.items(), "ab")]  # noqa: B905
     again.run(3000)
     for proxy in proxies:
--- a/tests/routing/test_unacknowledged.py
+++ b/tests/routing/test_unacknowledged.py
@@ -3,6 +3,7 @@
 import pytest
 from memory_fleet import MemoryPilot, order
 
+from quillstep.controller.events import EndpointListReceived
 from quillstep.planner.messages import EndpointEntry
 from quillstep.xds.resources import LEDS
 
@@ -15,7 +16,7 @@
     pilot.run(9000)
     core = pilot.core
     held = list(pilot.proxies.values())
-    core.roster("partial", [EndpointEntry(3, "b", "terminated", 1.0, 0.0)], {})
+    core.handle_endpoint_list(EndpointListReceived("partial", [EndpointEntry(3, "b", "terminated", 1.0, 0.0)], {}))
     core.heard(pilot.now)
     for _ in range(60):
         pilot.now += 10.0
@@ -24,7 +25,9 @@
             proxy.pump()
             if at >= stale:
                 proxy.read()
-    core.roster("partial", [EndpointEntry(3, "b", "in_service", 1.0, pilot.now)], {})
+    core.handle_endpoint_list(
+        EndpointListReceived("partial", [EndpointEntry(3, "b", "in_service", 1.0, pilot.now)], {})
+    )
     core.heard(pilot.now)
     core.tables.saturation.warming_up[3] = pilot.now
     order(pilot, lambda tables: (tables.set_weight(0, 3, 2.0), tables.set_ejected(3, False, "")))
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -6,6 +6,7 @@
 
 from quillstep.config.controller import StoreSettings
 from quillstep.routing.versions import TableVersion, version_from_row
+from quillstep.store.events import OperatorRequest, StoreLost, StoreOpened, UpdatesStored
 from quillstep.store.records import (
     INCARNATIONS,
     JOURNAL,
@@ -26,7 +27,7 @@
 
     def put(each):
         events.append(each)
-        if each[1] == "wish":
+        if isinstance(each, OperatorRequest):
             woken.set()
 
     writer = StoreWriter(record, open_store(record), "e", put)
@@ -40,20 +41,21 @@
     writer.submit(2, [writer.command_done_entry(number_key(9).hex())])
     writer.stop()
     thread.join(20.0)
-    assert ("store", "stored", 1, []) in events and ("store", "stored", 2, []) in events
-    (wish,) = [each for each in events if each[1] == "wish"]
-    assert version_from_row(wish[3][1][0][1]).weights == {1: 10.0}
+    assert UpdatesStored(1) in events and UpdatesStored(2) in events
+    (request,) = [each for each in events if isinstance(each, OperatorRequest)]
+    assert version_from_row(request.targets[0].version).weights == {1: 10.0}
     fresh = StoreWriter(record, open_store(record), "f", put)
     assert fresh.store.rows(OPERATOR_COMMANDS) == [] and fresh.store.rows(INCARNATIONS)[0][1].ended_ms > 0
-    kind, what, versions, pins = fresh.start_news()
-    assert (kind, what, len(versions[1])) == ("store", "opened", 1) and pins[0][1:] == ["rollback", "op"]
+    recovered = fresh.opened_event()
+    assert isinstance(recovered, StoreOpened)
+    assert len(recovered.versions) == 1 and recovered.pins[0][1:] == ("rollback", "op")
 
 
 def test_a_pin_whose_version_is_gone_is_skipped_with_a_log_line(tmp_path, capsys):
     record = StoreSettings(folder=str(tmp_path / "s"))
     store = open_store(record)
     store.write([Entry(PINS, number_key(0), PinRow(0, "gone", "op", 5.0))])
-    assert StoreWriter(record, store, "e", print).start_news()[3] == []
+    assert StoreWriter(record, store, "e", print).opened_event().pins == []
     assert "pin passed over" in "".join(capsys.readouterr())
 
 
@@ -64,13 +66,13 @@
     for at in range(200):
         writer.submit(at, [Entry(JOURNAL, number_key(at + 1), ["e", at, 0.0, ["x" * 20000]])])
     writer.run()
-    assert events[-1][1] == "lost" and "full" in writer.failure or "no room" in writer.failure
+    assert isinstance(events[-1], StoreLost) and "full" in writer.failure or "no room" in writer.failure
 
 
 def test_an_update_waits_to_be_durable_unless_it_ejects_or_the_disk_is_late():
     pilot = MemoryPilot(record=pilot_record(store=StoreSettings(folder="x", max_durability_wait_ms=500.0)))
     proxy, core = pilot.join("p0"), pilot.core
-    core.from_store("stored", 10**9, [])
+    core.handle_store_event(UpdatesStored(10**9))
     pilot.run(4000)
     core.durable = core.tables.revision
     module_wrote = core.tables.revision
@@ -82,12 +84,12 @@
     number = core.tables.revision
     pilot.run(100)
     assert core.tables.proxies[0].released_revision <= module_wrote
-    core.from_store("stored", number, [])
+    core.handle_store_event(UpdatesStored(number))
     pilot.run(20)
     assert core.tables.proxies[0].released_revision >= number
     core.durable = 0.0
     pilot.roster("partial", [4], "terminating")
     pilot.run(200)
     assert any("withdrawn/4" in each for each in proxy.held(LEDS))
-    core.from_store("lost", "no disk", [])
+    core.handle_store_event(StoreLost("no disk"))
     assert core.durable == float("inf")
