--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -53,7 +53,7 @@
             self.core.from_store(*news[1:])
         elif news[0] == "files":
             if self.files:
-                self.files.take(news, now_ms)
+                self.files.handle_event(news, now_ms)
         else:
             self.streams.handle_event(news, now_ms)
 
--- a/quillstep/controller/event_codec.py
+++ b/quillstep/controller/event_codec.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from quillstep.files.front import Hello, Parked
+from quillstep.files.registration import RegisteredProxy, Registration
 from quillstep.recording.format import Record
 from quillstep.routing import Resource
 
@@ -37,15 +37,15 @@
     _, kind, what, data, more = news
     if kind == "written":
         return [kind, what.directory, [what.generation.number, data], more]
-    if isinstance(data, Parked):
-        contents = [[list(key), c.version, [*c.content]] for key, c in data.contents.items()]
-        return [kind, what, [msgspec.to_builtins(data.hello), data.newest, data.holds, contents], more]
+    if isinstance(data, RegisteredProxy):
+        contents = [[list(key), c.version, [*c.content]] for key, c in data.resources.items()]
+        return [kind, what, [msgspec.to_builtins(data.registration), data.newest, data.held, contents], more]
     return [kind, what, data, more]
 
 
-def parked_of(told: list[Any] | str) -> Parked | str:
+def parked_of(told: list[Any] | str) -> RegisteredProxy | str:
     if isinstance(told, str):
         return told
     hello, newest, holds, contents = told
     made = {tuple(key): Resource(version, tuple(what)) for key, version, what in contents}
-    return Parked(msgspec.convert(hello, Hello), newest, holds, made)
+    return RegisteredProxy(msgspec.convert(hello, Registration), newest, holds, made)
--- a/quillstep/files/disk.py
+++ b/quillstep/files/disk.py
@@ -1,17 +1,16 @@
-"""The writing side on disk: one directory a proxy below one root, generations swapped in by one rename.
+"""The file front's disk: one directory a proxy below one root, generations swapped in by one rename.
 
-    root/.lock                       held by the one pilot that writes here
-    root/.alive                      touched by that pilot
+    root/.lock                       held by the one controller that writes here
+    root/.alive                      touched by that controller
     root/.objects/<hash>             files, each once, linked into every generation that holds it
     root/<proxy>/hello.json          written by the proxy: who it is and what it holds
-    root/<proxy>/generations/<n>/    a whole set and its manifest.json
+    root/<proxy>/generations/<n>/    a full set and its manifest.json
     root/<proxy>/current             a symlink to generations/<n>
     root/<proxy>/ack.json, load/     written by the proxy
 
-Many proxies' generations are prepared, brought to the disk by one sync of its file system, then pointed to: one sync
-for each would make a drain wait for hundreds (played: 262 proxies, a drain 8 s late of 3).  Steps of a swap are
-named, so that a test can stop at each.  All paths are opened from directory descriptors without
-following links; what others could have laid is refused.
+Many proxies' generations are prepared, brought to the disk by one sync of its file system, then swapped in: one sync
+for each would make a drain wait for hundreds.  Steps of a swap are named, so that a test can stop at each.  All paths
+are opened from directory descriptors without following links; what others could have placed there is rejected.
 """
 
 import contextlib
@@ -23,20 +22,45 @@
 import stat
 import threading
 from collections.abc import Callable
-from typing import Any
+from pathlib import Path
+from typing import Any, NamedTuple
 
 import msgspec
 
-from quillstep.files.generation_files import MANIFEST, Manifest, Packed
+from quillstep.errors import QuillstepError
+from quillstep.files.generation_files import MANIFEST, GenerationFile, Manifest
 
+MAX_FILE_BYTES = 2**20
+MAX_GENERATION_FILE_BYTES = 16 * 2**20
+MAX_REASON = 500  # characters of a proxy's reason that are kept
+NEW = "new-"  # before the names of what is not complete yet
 NAME = re.compile(r"[A-Za-z0-9_%~][A-Za-z0-9._%~-]{0,199}")
 LIBC = ctypes.CDLL(None, use_errno=True)
 DIRECTORY = os.O_RDONLY | os.O_DIRECTORY | os.O_NOFOLLOW | os.O_CLOEXEC
 STEPS = ("objects", "directory", "links", "manifest", "renamed", "synced", "symlink", "swapped", "cleared")
 
 
-class UnusableFileError(Exception):
-    """A path that this pilot will not write to; the text says which and why."""
+class UnusableFileError(QuillstepError):
+    """A path that this controller will not read or write; the text says which and why."""
+
+
+class MalformedAckError(QuillstepError, ValueError):
+    """An acknowledgement can't be read."""
+
+
+class Stamp(NamedTuple):
+    """What tells a file's change, without reading it."""
+
+    modified_ns: int
+    size_bytes: int
+    inode: int
+
+
+class FileContent(NamedTuple):
+    """A file that was read."""
+
+    data: bytes
+    stamp: Stamp
 
 
 def safe_name(node: str) -> str:
@@ -46,61 +70,71 @@
 
 
 def open_directory(name: str, at: int | None = None) -> int:
-    """A descriptor of a directory that is ours alone to write; raises Refused, OSError."""
+    """A descriptor of a directory that is ours alone to write.
+
+    Raises:
+        UnusableFileError: It is a link, no directory, or others may write it.
+        OSError: It can't be opened.
+    """
     try:
         held = os.open(name, DIRECTORY, dir_fd=at)
-    except OSError as trouble:
-        if trouble.errno in (errno.ELOOP, errno.ENOTDIR):
-            raise UnusableFileError(f"{name} is a link or no directory") from None
+    except OSError as error:
+        if error.errno in (errno.ELOOP, errno.ENOTDIR):
+            raise UnusableFileError(f"{name} is a link or no directory") from error
         raise
     try:
-        check(os.fstat(held), name)
+        _check_owner(os.fstat(held), name)
     except UnusableFileError:
         os.close(held)
         raise
     return held
 
 
-def check(found: os.stat_result, name: str) -> None:
+def _check_owner(found: os.stat_result, name: str) -> None:
     if found.st_mode & stat.S_IWOTH:
         raise UnusableFileError(f"{name} may be written by everybody (mode {stat.S_IMODE(found.st_mode):o})")
     if found.st_uid not in (os.geteuid(), 0):
         raise UnusableFileError(f"{name} belongs to user {found.st_uid}")
 
 
-def ensure_directory(name: str, at: int) -> int:
+def _ensure_directory(name: str, at: int) -> int:
     with contextlib.suppress(FileExistsError):
         os.mkdir(name, 0o755, dir_fd=at)
     return open_directory(name, at)
 
 
 class Disk:
-    """One root and its lock; raises Refused where another pilot holds it."""
+    """One root and its lock.
+
+    Raises:
+        UnusableFileError: Another controller holds the lock.
+    """
 
     def __init__(self, root: str, fsync: bool = True, step: Callable[[str], None] = lambda name: None) -> None:
         self.root, self.step = root, step
         self.fsync = fsync
-        os.makedirs(root, 0o755, exist_ok=True)
+        Path(root).mkdir(0o755, parents=True, exist_ok=True)
         self.fd = open_directory(root)
         self.lock = os.open(".lock", os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC, 0o644, dir_fd=self.fd)
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError:
+        except BlockingIOError as error:
             os.close(self.lock)
             os.close(self.fd)
-            raise UnusableFileError(f"{root} is written by another pilot") from None
-        self.objects = ensure_directory(".objects", self.fd)
-        self.known: set[str] = set(os.listdir(self.objects))
-        for name in [name for name in self.known if name.startswith("new-")]:
+            raise UnusableFileError(f"{root} is written by another pilot") from error
+        self.objects = _ensure_directory(".objects", self.fd)
+        self.known: set[str] = set(_entries(self.objects))
+        for name in [name for name in self.known if name.startswith(NEW)]:
             os.unlink(name, dir_fd=self.objects)  # a writer was killed while it wrote this
             self.known.discard(name)
 
     def close(self) -> None:
+        """Gives the lock up."""
         for held in (self.objects, self.lock, self.fd):
             os.close(held)
 
     def alive(self) -> None:
-        """Tell proxies that their pilot is there."""
+        """Tells proxies that their controller is there."""
         held = os.open(".alive", os.O_WRONLY | os.O_CREAT | os.O_NOFOLLOW, 0o644, dir_fd=self.fd)
         os.utime(held)
         os.close(held)
@@ -112,7 +146,7 @@
 
     # reading what proxies write
 
-    def inside(self, *names: str) -> int:
+    def open_below(self, *names: str) -> int:
         """A descriptor of a directory below the root, no link followed on the way."""
         at = os.dup(self.fd)
         for name in names:
@@ -123,44 +157,48 @@
             at = held
         return at
 
-    def read(self, name: str, *inside: str, most: int = 2**20) -> tuple[bytes, tuple] | None:
-        """A file below the root and its stamp; None where there is none.  Links and what is too large: refused."""
+    def read(self, name: str, *inside: str, max_bytes: int = MAX_FILE_BYTES) -> FileContent | None:
+        """A file below the root; None where there is none.
+
+        Raises:
+            UnusableFileError: It is a link, no file, or too large.
+        """
         path = "/".join((*inside, name))
         try:
-            at = self.inside(*inside)
+            at = self.open_below(*inside)
         except FileNotFoundError:
             return None
         try:
             held = os.open(name, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC | os.O_NONBLOCK, dir_fd=at)
         except FileNotFoundError:
             return None
-        except OSError as trouble:
-            raise UnusableFileError(f"{path}: {trouble.strerror}") from None
+        except OSError as error:
+            raise UnusableFileError(f"{path}: {error.strerror}") from error
         finally:
             os.close(at)
         try:
             found = os.fstat(held)
-            if not stat.S_ISREG(found.st_mode) or found.st_size > most:
-                raise UnusableFileError(f"{path} is no file of at most {most} bytes")
-            return os.read(held, most), stamp(found)
+            if not stat.S_ISREG(found.st_mode) or found.st_size > max_bytes:
+                raise UnusableFileError(f"{path} is no file of at most {max_bytes} bytes")
+            return FileContent(os.read(held, max_bytes), _stamp(found))
         finally:
             os.close(held)
 
-    def stamp(self, proxy: str, name: str) -> tuple | None:
-        """What tells a file's change, without reading it."""
+    def stamp(self, proxy: str, name: str) -> Stamp | None:
+        """What tells the change of a file in a proxy's directory; None where there is none."""
         try:
-            return stamp(os.stat(f"{proxy}/{name}", dir_fd=self.fd, follow_symlinks=False))
+            return _stamp(os.stat(f"{proxy}/{name}", dir_fd=self.fd, follow_symlinks=False))
         except OSError:
             return None
 
     def names(self, *inside: str) -> list[str]:
         """What a directory below the root holds, sorted; empty where there is none."""
         try:
-            at = self.inside(*inside)
+            at = self.open_below(*inside)
         except FileNotFoundError:
             return []
         try:
-            return sorted(os.listdir(at))
+            return sorted(_entries(at))
         finally:
             os.close(at)
 
@@ -169,8 +207,9 @@
         return [name for name in self.names(proxy, "load") if name.endswith(".pb") and NAME.fullmatch(name)]
 
     def drop_report(self, proxy: str, name: str) -> None:
+        """Removes a load report that was read."""
         with contextlib.suppress(OSError, UnusableFileError):
-            at = self.inside(proxy, "load")
+            at = self.open_below(proxy, "load")
             try:
                 os.unlink(name, dir_fd=at)
             finally:
@@ -178,14 +217,14 @@
 
     # writing
 
-    def put_object(self, packed: Packed) -> None:
+    def _put_object(self, file: GenerationFile) -> None:
         """A file's content, once, whole before it has its name."""
-        if packed.digest in self.known:
+        if file.digest in self.known:
             return
-        new = f"new-{threading.get_native_id()}-{packed.digest}"  # two writers may want the same at once
+        new = f"{NEW}{threading.get_native_id()}-{file.digest}"  # two writers may want the same at once
         held = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW, 0o644, dir_fd=self.objects)
         try:
-            view = memoryview(packed.data)
+            view = memoryview(file.data)
             while view:
                 view = view[os.write(held, view) :]
         except OSError:
@@ -194,87 +233,92 @@
             raise
         finally:
             os.close(held)
-        os.rename(new, packed.digest, src_dir_fd=self.objects, dst_dir_fd=self.objects)
-        self.known.add(packed.digest)
+        os.rename(new, file.digest, src_dir_fd=self.objects, dst_dir_fd=self.objects)
+        self.known.add(file.digest)
+
+    def swap(self, proxy: str, number: int, files: list[GenerationFile], manifest: bytes, keep: set[int]) -> None:
+        """Writes one generation and swaps it in.
 
-    def swap(self, proxy: str, number: int, files: list[Packed], manifest: bytes, keep: set[int]) -> None:
-        """Write one generation and swap it in.  Raises OSError, Refused; readers then see the last one whole."""
+        Raises:
+            OSError: It can't be written; readers then see the one before.
+            UnusableFileError: A path is not ours to write.
+        """
         self.prepare(proxy, number, files, manifest)
-        self.settle()
-        self.point(proxy, number, keep)
+        self.sync()
+        self.swap_in(proxy, number, keep)
 
-    def prepare(self, proxy: str, number: int, files: list[Packed], manifest: bytes) -> None:
-        """A generation complete under its number, which nobody is pointed to yet."""
-        for packed in files:
-            self.put_object(packed)
+    def prepare(self, proxy: str, number: int, files: list[GenerationFile], manifest: bytes) -> None:
+        """Writes a generation under its number, not swapped in yet."""
+        for file in files:
+            self._put_object(file)
         self.step("objects")
-        at = self.inside(proxy)
+        at = self.open_below(proxy)
         try:
-            generations = ensure_directory("generations", at)
+            generations = _ensure_directory("generations", at)
         finally:
             os.close(at)
         try:
-            self.fill(generations, number, files, manifest)
+            self._fill(generations, number, files, manifest)
         finally:
             os.close(generations)
 
-    def settle(self) -> None:
+    def sync(self) -> None:
         """All that was prepared, and every earlier swap, is on the disk from here on."""
         if self.fsync and LIBC.syncfs(self.fd):
             code = ctypes.get_errno()
             raise OSError(code, os.strerror(code))
         self.step("synced")
 
-    def fill(self, generations: int, number: int, files: list[Packed], manifest: bytes) -> None:
+    def _fill(self, generations: int, number: int, files: list[GenerationFile], manifest: bytes) -> None:
         """The directory of a generation, complete before it has its name."""
-        new = f"new-{number}"
-        remove(new, generations)
+        new = f"{NEW}{number}"
+        _remove(new, generations)
         os.mkdir(new, 0o755, dir_fd=generations)
         held = open_directory(new, generations)
         try:
             self.step("directory")
-            for packed in files:
-                self.link(packed, held)
+            for file in files:
+                self._link(file, held)
             self.step("links")
-            told = os.open(MANIFEST, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW, 0o644, dir_fd=held)
+            descriptor = os.open(MANIFEST, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW, 0o644, dir_fd=held)
             try:
-                os.write(told, manifest)
+                os.write(descriptor, manifest)
             finally:
-                os.close(told)
+                os.close(descriptor)
             self.step("manifest")
         finally:
             os.close(held)
-        remove(str(number), generations)
+        _remove(str(number), generations)
         os.rename(new, str(number), src_dir_fd=generations, dst_dir_fd=generations)
         self.step("renamed")
 
-    def link(self, packed: Packed, held: int) -> None:
+    def _link(self, file: GenerationFile, held: int) -> None:
         try:
-            os.link(packed.digest, packed.name, src_dir_fd=self.objects, dst_dir_fd=held)
+            os.link(file.digest, file.name, src_dir_fd=self.objects, dst_dir_fd=held)
         except FileNotFoundError:  # cleared away meanwhile
-            self.known.discard(packed.digest)
-            self.put_object(packed)
-            os.link(packed.digest, packed.name, src_dir_fd=self.objects, dst_dir_fd=held)
+            self.known.discard(file.digest)
+            self._put_object(file)
+            os.link(file.digest, file.name, src_dir_fd=self.objects, dst_dir_fd=held)
 
-    def point(self, proxy: str, number: int, keep: set[int]) -> None:
+    def swap_in(self, proxy: str, number: int, keep: set[int]) -> None:
         """The one rename that swaps a generation in; generations that nobody holds go.
 
         The one that was current until now stays: on the disk it may still be, until the next sync.
         """
-        at = self.inside(proxy)
+        at = self.open_below(proxy)
         try:
             with contextlib.suppress(FileNotFoundError):
                 os.unlink("current.new", dir_fd=at)
-            before = pointed(at)
+            before = _current(at)
             os.symlink(f"generations/{number}", "current.new", dir_fd=at)
             self.step("symlink")
             os.rename("current.new", "current", src_dir_fd=at, dst_dir_fd=at)
             self.step("swapped")
             generations = open_directory("generations", at)
             try:
-                for name in os.listdir(generations):
-                    if name.startswith("new-") or (name.isdigit() and int(name) not in keep | {number, before}):
-                        remove(name, generations)
+                for name in _entries(generations):
+                    if name.startswith(NEW) or (name.isdigit() and int(name) not in keep | {number, before}):
+                        _remove(name, generations)
             finally:
                 os.close(generations)
             self.step("cleared")
@@ -282,38 +326,38 @@
             os.close(at)
 
     def clear_objects(self) -> int:
-        """Contents that no generation links go; returns how many went."""
-        gone = 0
+        """Removes files that no generation links; returns how many."""
+        removed = 0
         for name in list(self.known):
             with contextlib.suppress(OSError):
                 if os.stat(name, dir_fd=self.objects).st_nlink == 1:
                     os.unlink(name, dir_fd=self.objects)
                     self.known.discard(name)
-                    gone += 1
-        return gone
+                    removed += 1
+        return removed
 
     def newest(self, proxy: str) -> int:
-        """The highest generation number on disk, whole or not, so that none is used again."""
-        numbers = [name.removeprefix("new-") for name in self.names(proxy, "generations")]
+        """The highest generation number on disk, complete or not, so that none is used again."""
+        numbers = [name.removeprefix(NEW) for name in self.names(proxy, "generations")]
         return max((int(name) for name in numbers if name.isdigit()), default=0)
 
     def generation(self, proxy: str, number: int) -> tuple[Manifest, dict[str, bytes]] | None:
-        """The manifest and files of a generation on disk; None where it does not read whole."""
+        """The manifest and files of a generation on disk; None where it can't be read in full."""
         where = (proxy, "generations", str(number))
         try:
-            found = self.read(MANIFEST, *where, most=16 * 2**20)
-            if found is None:
+            file = self.read(MANIFEST, *where, max_bytes=MAX_GENERATION_FILE_BYTES)
+            if file is None:
                 return None
-            told = msgspec.json.decode(found[0], type=Manifest)
-            files = {name: self.read(name, *where, most=16 * 2**20) for name in told.files}
+            manifest = msgspec.json.decode(file.data, type=Manifest)
+            files = {name: self.read(name, *where, max_bytes=MAX_GENERATION_FILE_BYTES) for name in manifest.files}
         except (UnusableFileError, msgspec.DecodeError, OSError):
             return None
         if any(file is None for file in files.values()):
             return None
-        return told, {name: file[0] for name, file in files.items() if file}
+        return manifest, {name: file.data for name, file in files.items() if file}
 
 
-def pointed(at: int) -> int:
+def _current(at: int) -> int:
     """The generation that is current in a proxy's directory; 0 where there is none."""
     try:
         name = os.readlink("current", dir_fd=at).rpartition("/")[2]
@@ -322,11 +366,17 @@
     return int(name) if name.isdigit() else 0
 
 
-def stamp(found: os.stat_result) -> tuple:
-    return (found.st_mtime_ns, found.st_size, found.st_ino)
+def _stamp(found: os.stat_result) -> Stamp:
+    return Stamp(found.st_mtime_ns, found.st_size, found.st_ino)
+
 
+def _entries(directory: int) -> list[str]:
+    """Names in a directory, by its descriptor."""
+    with os.scandir(directory) as entries:
+        return [entry.name for entry in entries]
 
-def remove(name: str, at: int) -> None:
+
+def _remove(name: str, at: int) -> None:
     """A flat directory and what is in it, if it is there."""
     try:
         held = os.open(name, DIRECTORY, dir_fd=at)
@@ -336,7 +386,7 @@
         os.unlink(name, dir_fd=at)
         return
     try:
-        for entry in os.listdir(held):
+        for entry in _entries(held):
             os.unlink(entry, dir_fd=held)
     finally:
         os.close(held)
@@ -344,12 +394,16 @@
 
 
 def read_ack(data: bytes) -> tuple[int, str]:
-    """An acknowledgement: generation, reason of a refusal (empty: none).  Raises ValueError."""
+    """An acknowledgement: generation, and reason of a rejection (empty: none).
+
+    Raises:
+        MalformedAckError: It can't be read.
+    """
     try:
         found: Any = msgspec.json.decode(data)
         number, reason = found["generation"], found.get("refused", "")
-    except (msgspec.DecodeError, KeyError, AttributeError, TypeError) as trouble:
-        raise ValueError(str(trouble) or type(trouble).__name__) from None
+    except (msgspec.DecodeError, KeyError, AttributeError, TypeError) as error:
+        raise MalformedAckError(str(error) or type(error).__name__) from error
     if not isinstance(number, int) or isinstance(number, bool) or not isinstance(reason, str):
-        raise ValueError("generation is no whole number, or refused no text")
-    return number, reason[:500]
+        raise MalformedAckError("generation is no whole number, or refused no text")
+    return number, reason[:MAX_REASON]
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -162,8 +162,8 @@
         self.core.probes, self.core.moves, self.core.asked, self.core.granted = [], [], [], []
         self.core.versions.clear()
         if self.decider.files:
-            while not self.decider.files.jobs.empty():
-                job = self.decider.files.jobs.get()
+            while not self.decider.files.writer.queue.empty():
+                job = self.decider.files.writer.queue.get()
                 if job:
                     self.jobs[job.directory, job.generation.number] = job
 
--- a/quillstep/testbed/file_subscriber.py
+++ b/quillstep/testbed/file_subscriber.py
@@ -148,7 +148,7 @@
         removed = [n for url, old in versions.items() for n in old if n not in new.get(url, {})]
         note: dict[str, Any] = {"type": "files", "nonce": f"{told.origin}.g{told.generation}", "changed": changed,
                 "removed": removed, "bytes": sum(len(data) for data in files.values()),
-                "system": f"{told.origin}/{told.order}/{told.ordered_ms:.1f}"}  # fmt: skip
+                "system": f"{told.origin}/{told.revision}/{told.ordered_ms:.1f}"}  # fmt: skip
         with self.proxy.lock:
             time.sleep(self.proxy.host.proxies["line_ms"] * (len(changed) + len(removed)) / 1000.0)
         answer: dict[str, Any] = {"generation": told.generation}
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -18,7 +18,7 @@
 from quillstep.config.loading import load
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.config.start_settings import planner_config_from_start
-from quillstep.files.generation_files import Packer, manifest
+from quillstep.files.generation_files import GenerationEncoder, encode_manifest
 from quillstep.net.framing import add_length
 from quillstep.planner.messages import DownstreamStats, UpstreamStats
 from quillstep.platform import configuration, endpoint_list
@@ -297,9 +297,11 @@
     rows.update({("line", 1, at): ("127.0.0.1", 9000 + at, 2.0) for at in range(3, 9)})
     rows["out", 9] = ("127.0.0.1", 9009, "draining")
     pilot = MemoryPilot()
-    files = Packer(pilot.encoder, form, 4).files({key: make_resource(key, what) for key, what in rows.items()})
+    files = GenerationEncoder(pilot.encoder, form, 4).files(
+        {key: make_resource(key, what) for key, what in rows.items()}
+    )
     found = {file.name: file.data.hex() for file in files}
-    found["manifest"] = manifest("pilot-0-17", 5, 12, 1234.5, files).hex()
+    found["manifest"] = encode_manifest("pilot-0-17", 5, 12, 1234.5, files).hex()
     return found
 
 
--- a/tests/file_generations.py
+++ b/tests/file_generations.py
@@ -1,6 +1,6 @@
 """Generations of files for tests."""
 
-from quillstep.files.generation_files import Packer, manifest
+from quillstep.files.generation_files import GenerationEncoder, encode_manifest
 from quillstep.routing.resources import make_resource
 
 
@@ -13,7 +13,7 @@
 
 
 def packed(pilot, number, weight, form="protobuf"):
-    packer = Packer(pilot.encoder, form, 4)
+    encoder = GenerationEncoder(pilot.encoder, form, 4)
     made = contents(weight)
-    files = packer.files(made)
-    return files, manifest("e", number, number, 0.0, files)
+    files = encoder.files(made)
+    return files, encode_manifest("e", number, number, 0.0, files)
--- a/tests/files/test_files.py
+++ b/tests/files/test_files.py
@@ -17,8 +17,8 @@
 from quillstep.config.controller import FileSettings
 from quillstep.files.disk import STEPS, Disk, UnusableFileError, read_ack, safe_name
 from quillstep.files.front import FileFront
-from quillstep.files.generation_files import contents_of, decode
-from quillstep.files.lane import Lane
+from quillstep.files.generation_files import decode, read_resources
+from quillstep.files.proxy_generations import ProxyGenerations
 from quillstep.routing.resources import CLUSTER, EJECTED, ROUTES, WEIGHT
 from quillstep.testbed.file_subscriber import read_generation
 
@@ -52,7 +52,7 @@
     done = subprocess.run([sys.executable, "-c", WRITER, str(root), step], timeout=60, check=False)
     assert done.returncode == -signal.SIGKILL
     told, files = read_generation(root / "p")
-    found = contents_of(files)
+    found = read_resources(files)
     pilot = MemoryPilot()
     swapped = STEPS.index(step) >= STEPS.index("swapped")
     assert told.generation == (2 if swapped else 1)
@@ -64,7 +64,7 @@
     disk.swap("p", number, *packed(pilot, number, 9.0), {told.generation})
     after, files = read_generation(root / "p")
     assert after.generation == number
-    assert contents_of(files)[WEIGHT, 0, 12].version == contents(9.0)[WEIGHT, 0, 12].version
+    assert read_resources(files)[WEIGHT, 0, 12].version == contents(9.0)[WEIGHT, 0, 12].version
     assert sorted(os.listdir(root / "p" / "generations")) == sorted({str(told.generation), str(number)})
     assert not [name for name in os.listdir(root / ".objects") if name.startswith("new-")]
     disk.close()
@@ -89,7 +89,7 @@
 def test_files_of_both_forms_read_back_as_what_was_written(form):
     pilot = MemoryPilot()
     files, _ = packed(pilot, 1, 5.0, form)
-    found = contents_of({file.name: file.data for file in files})
+    found = read_resources({file.name: file.data for file in files})
     assert {k: c.version for k, c in found.items()} == {k: c.version for k, c in contents().items()}
     for file in files:
         response = decode(file.name, file.data)
@@ -118,7 +118,7 @@
             continue
         outcomes["whole"] += 1
         expected = contents(float(told.generation))
-        assert {k: c.version for k, c in contents_of(files).items()} == {k: c.version for k, c in expected.items()}
+        assert {k: c.version for k, c in read_resources(files).items()} == {k: c.version for k, c in expected.items()}
     assert outcomes["whole"] >= 20 and outcomes["cleared"] >= 20
     disk.close()
 
@@ -187,7 +187,7 @@
     (tmp_path / "p" / name).unlink()
     (tmp_path / "p" / name).write_bytes(b"x" * 2000)
     with pytest.raises(UnusableFileError):
-        disk.read(name, "p", most=1000)
+        disk.read(name, "p", max_bytes=1000)
     disk.close()
 
 
@@ -215,45 +215,45 @@
         read_ack(data)
 
 
-# the lane
+# the generations
 
 
-def lane_of(pilot, name="p0"):
-    """A file proxy's lane on a core; `step` writes what is due and returns the generation."""
+def generations_of(pilot, name="p0"):
+    """A file proxy's generations on a core; `step` writes what is due and returns the generation."""
     proxy = pilot.core.join(name, "a", 5.0, {}, True)
-    lane = Lane(proxy, 0, {})
+    generations = ProxyGenerations(proxy, 0, {})
 
     def step(ms=2000.0):
         until = pilot.now + ms
         while pilot.now < until:
             pilot.now += 10.0
             pilot.core.step(pilot.now)
-            made = lane.next(pilot.core.tables, pilot.now)
+            made = generations.next(pilot.core.tables, pilot.now)
             if made:
-                lane.written()
+                generations.mark_written()
                 return made
         return None
 
-    return lane, step
+    return generations, step
 
 
 def test_the_first_generation_is_whole_and_the_next_holds_the_change_alone_as_changed():
     pilot = MemoryPilot()
-    lane, step = lane_of(pilot)
+    generations, step = generations_of(pilot)
     first = step()
-    assert {(CLUSTER, 0), (ROUTES,)} <= first.contents.keys()
-    assert sum(key[0] == WEIGHT for key in first.contents) == 6
-    assert lane.word(pilot.core.tables, first.number, "", pilot.now).acknowledged
+    assert {(CLUSTER, 0), (ROUTES,)} <= first.resources.keys()
+    assert sum(key[0] == WEIGHT for key in first.resources) == 6
+    assert generations.handle_ack(pilot.core.tables, first.number, "", pilot.now).acknowledged
     order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     second = step()
-    assert (second.changed, second.removed) == (1, 0) and len(second.contents) == len(first.contents)
+    assert (second.updated, second.removed) == (1, 0) and len(second.resources) == len(first.resources)
 
 
 def test_a_refused_generation_is_not_written_again_and_its_drain_goes_without_the_rest():
     pilot = MemoryPilot()
-    lane, step = lane_of(pilot)
+    generations, step = generations_of(pilot)
     tables = pilot.core.tables
-    lane.word(tables, step().number, "", pilot.now)
+    generations.handle_ack(tables, step().number, "", pilot.now)
 
     def write(tables):
         tables.set_ejected(4, True, "draining")
@@ -261,71 +261,71 @@
 
     order(pilot, write)
     refused = step()
-    assert lane.word(tables, refused.number, "bad line", pilot.now).refusal
+    assert generations.handle_ack(tables, refused.number, "bad line", pilot.now).nack
     drain = step()
-    assert (EJECTED, 4) in drain.contents and drain.contents[WEIGHT, 0, 3] != refused.contents[WEIGHT, 0, 3]
-    assert lane.word(tables, drain.number, "", pilot.now).acknowledged
+    assert (EJECTED, 4) in drain.resources and drain.resources[WEIGHT, 0, 3] != refused.resources[WEIGHT, 0, 3]
+    assert generations.handle_ack(tables, drain.number, "", pilot.now).acknowledged
     alone = step()
-    assert alone.contents[WEIGHT, 0, 3] == refused.contents[WEIGHT, 0, 3]
-    assert lane.word(tables, alone.number, "bad line", pilot.now).refusal.is_isolated
-    assert step(3000.0) is None or lane.newest[WEIGHT, 0, 3] != refused.contents[WEIGHT, 0, 3]
+    assert alone.resources[WEIGHT, 0, 3] == refused.resources[WEIGHT, 0, 3]
+    assert generations.handle_ack(tables, alone.number, "bad line", pilot.now).nack.is_isolated
+    assert step(3000.0) is None or generations.newest[WEIGHT, 0, 3] != refused.resources[WEIGHT, 0, 3]
 
 
 def test_a_content_that_comes_round_again_is_held_by_its_own_generations_word_alone():
     pilot = MemoryPilot()
-    lane, step = lane_of(pilot)
+    generations, step = generations_of(pilot)
     tables = pilot.core.tables
-    lane.word(tables, step().number, "", pilot.now)
+    generations.handle_ack(tables, step().number, "", pilot.now)
     made = []
     for weight in (55.0, 66.0, 55.0):
         order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
         made.append(step())
-    ledger = tables.proxies[lane.proxy]
-    assert made[0].contents[WEIGHT, 0, 3] == made[2].contents[WEIGHT, 0, 3] and made[0].number < made[2].number
-    lane.word(tables, made[0].number, "", pilot.now)
+    ledger = tables.proxies[generations.proxy]
+    assert made[0].resources[WEIGHT, 0, 3] == made[2].resources[WEIGHT, 0, 3] and made[0].number < made[2].number
+    generations.handle_ack(tables, made[0].number, "", pilot.now)
     assert (WEIGHT, 0, 3) in ledger.in_flight
-    lane.word(tables, made[2].number, "", pilot.now)
-    assert not ledger.in_flight_updates and ledger.acknowledged[WEIGHT, 0, 3] == made[2].contents[WEIGHT, 0, 3].version
+    generations.handle_ack(tables, made[2].number, "", pilot.now)
+    assert not ledger.in_flight_updates and ledger.acknowledged[WEIGHT, 0, 3] == made[2].resources[WEIGHT, 0, 3].version
 
 
 @pytest.mark.parametrize("number", [-1, 99, 7])
 def test_an_acknowledgement_of_a_generation_that_never_was_is_void(number):
     pilot = MemoryPilot()
-    lane, step = lane_of(pilot)
+    generations, step = generations_of(pilot)
     step()
-    word = lane.word(pilot.core.tables, number, "", pilot.now)
-    assert word.trouble and not word.acknowledged
-    assert not pilot.core.tables.proxies[lane.proxy].acknowledged
+    word = generations.handle_ack(pilot.core.tables, number, "", pilot.now)
+    assert word.error and not word.acknowledged
+    assert not pilot.core.tables.proxies[generations.proxy].acknowledged
 
 
 def test_what_could_not_be_written_is_written_next_with_what_came_since():
     pilot = MemoryPilot()
-    lane, step = lane_of(pilot)
+    generations, step = generations_of(pilot)
     tables = pilot.core.tables
-    lane.word(tables, step().number, "", pilot.now)
+    generations.handle_ack(tables, step().number, "", pilot.now)
     order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
-    made = lane.next(tables, pilot.now)
+    made = generations.next(tables, pilot.now)
     order(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
-    assert lane.next(tables, pilot.now) is None  # one at a time
-    lane.failed(tables.proxies[lane.proxy], made.number, pilot.now, 200.0)
-    assert lane.next(tables, pilot.now) is None  # and not at once after a failure
+    assert generations.next(tables, pilot.now) is None  # one at a time
+    generations.mark_failed(tables.proxies[generations.proxy], made.number, pilot.now, 200.0)
+    assert generations.next(tables, pilot.now) is None  # and not at once after a failure
     again = step()
-    assert again.contents[WEIGHT, 0, 3] == made.contents[WEIGHT, 0, 3] and (EJECTED, 4) in again.contents
+    assert again.resources[WEIGHT, 0, 3] == made.resources[WEIGHT, 0, 3] and (EJECTED, 4) in again.resources
 
 
 def test_an_endpoint_withdrawn_while_a_generation_is_written_leaves_with_the_next_at_once():
     pilot = MemoryPilot()
-    lane, step = lane_of(pilot)
+    generations, step = generations_of(pilot)
     tables = pilot.core.tables
-    lane.word(tables, step().number, "", pilot.now)
+    generations.handle_ack(tables, step().number, "", pilot.now)
     order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
-    assert lane.next(tables, pilot.now)
+    assert generations.next(tables, pilot.now)
     order(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
-    lane.written()
-    after = lane.next(tables, pilot.now)
-    assert (EJECTED, 4) in after.contents and after.changed == 1
-    assert lane.word(tables, after.number, "", pilot.now).acknowledged
-    assert not tables.proxies[lane.proxy].in_flight_updates  # the newer set has the older in it
+    generations.mark_written()
+    after = generations.next(tables, pilot.now)
+    assert (EJECTED, 4) in after.resources and after.updated == 1
+    assert generations.handle_ack(tables, after.number, "", pilot.now).acknowledged
+    assert not tables.proxies[generations.proxy].in_flight_updates  # the newer set has the older in it
 
 
 def test_a_proxy_that_comes_from_a_stream_loses_nothing_on_its_first_generation():
@@ -335,15 +335,15 @@
     held = dict(pilot.core.tables.proxies[stream.number].acknowledged)
     stream.leave()
     proxy = pilot.core.join("p1", "a", 5.0, held, False)
-    lane = Lane(proxy, 0, {})
+    generations = ProxyGenerations(proxy, 0, {})
     made = None
     while made is None:
         pilot.now += 10.0
         pilot.core.step(pilot.now)
         order(pilot, lambda tables: tables.set_ejected(5, True, "lost"))
-        made = lane.next(pilot.core.tables, pilot.now)
-    assert held.keys() <= made.contents.keys() and (EJECTED, 5) in made.contents
-    assert sum(made.contents[key].version != version for key, version in held.items()) <= made.changed
+        made = generations.next(pilot.core.tables, pilot.now)
+    assert held.keys() <= made.resources.keys() and (EJECTED, 5) in made.resources
+    assert sum(made.resources[key].version != version for key, version in held.items()) <= made.updated
 
 
 # the whole front on a disk of its own
@@ -382,7 +382,7 @@
                 news, self.news = self.news, []
             self.pilot.now += 10.0
             for each in news:
-                self.front.take(each, self.pilot.now)
+                self.front.handle_event(each, self.pilot.now)
             self.pilot.core.step(self.pilot.now)
             stirred, self.pilot.core.tables.pending_proxies = self.pilot.core.tables.pending_proxies, set()
             self.front.pump(self.pilot.now, stirred)
@@ -438,7 +438,7 @@
     stream = fronted.pilot.join("s/1")  # a proxy on a stream beside it
     fronted.until(lambda: fronted.pilot.core.tables.proxies[stream.number].assignments)
     order(fronted.pilot, lambda tables: tables.set_ejected(4, True, "draining"))
-    fronted.until(lambda: next(iter(fronted.front.lanes.values())).fails >= 2)
+    fronted.until(lambda: next(iter(fronted.front.generations.values())).failures >= 2)
     assert current(here) == 1 and read_generation(here)[0].generation == 1
     catch_up(stream)  # its neighbour's drain does not wait for the disk
     assert any(
@@ -446,7 +446,7 @@
         for name in stream.versions["type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"]
     )
     failing.clear()
-    fronted.until(lambda: current(here) > 1 and (EJECTED, 4) in contents_of(read_generation(here)[1]))
+    fronted.until(lambda: current(here) > 1 and (EJECTED, 4) in read_resources(read_generation(here)[1]))
     fronted.front.stop()
 
 
@@ -460,7 +460,7 @@
     fronted = Fronted(tmp_path, step)
     here = fronted.hello(tmp_path, "p/1")
     stream = fronted.pilot.join("s/1")
-    fronted.until(lambda: fronted.front.lanes and next(iter(fronted.front.lanes.values())).writing)
+    fronted.until(lambda: fronted.front.generations and next(iter(fronted.front.generations.values())).is_writing)
     fronted.until(lambda: fronted.pilot.core.tables.proxies[stream.number].assignments)
     catch_up(stream)
     assert "exchanges" in stream.versions["type.googleapis.com/envoy.config.route.v3.RouteConfiguration"]
@@ -476,7 +476,7 @@
     os.rename(here, tmp_path / "mallory")
     other = fronted.hello(tmp_path, "p/2")
     fronted.until(lambda: current(other))
-    assert list(fronted.front.lanes) == [safe_name("p/2")]
+    assert list(fronted.front.generations) == [safe_name("p/2")]
     fronted.front.stop()
 
 
@@ -489,12 +489,12 @@
     fronted.front.disk.close()
     again = Fronted(tmp_path)
     fronted.hello(tmp_path, "p/1", generation=number)
-    again.until(lambda: again.front.lanes and again.pilot.core.tables.proxies[0].assignments)
+    again.until(lambda: again.front.generations and again.pilot.core.tables.proxies[0].assignments)
     ledger = again.pilot.core.tables.proxies[0]
     assert ledger.acknowledged and not ledger.in_flight_updates
     order(again.pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     again.until(lambda: current(here) > number)
     sent = [fields for what, fields in again.taps if what == "send"]
     assert not sent or sent[0]["lines"] <= 2
-    assert contents_of(read_generation(here)[1])[WEIGHT, 0, 3]
+    assert read_resources(read_generation(here)[1])[WEIGHT, 0, 3]
     again.front.stop()
