--- a/quillstep/testbed/process.py
+++ b/quillstep/testbed/process.py
@@ -8,6 +8,7 @@
 import threading
 import time
 from collections.abc import Callable
+from pathlib import Path
 from typing import Any
 
 import msgspec
@@ -25,7 +26,7 @@
     """Appends JSON lines to a file from any thread; a daemon thread of its own writes them out until the end."""
 
     def __init__(self, path: str) -> None:
-        self.file = open(path, "ab", buffering=0)  # noqa: SIM115 (held for the life of the process)
+        self.file = Path(path).open("ab", buffering=0)  # noqa: SIM115 (held for the life of the process)
         self.encode = msgspec.json.Encoder().encode
         self.lines: list[bytes] = []
         threading.Thread(target=self._run, name="event-log", daemon=True).start()
