--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -75,7 +75,7 @@
         "service": service_quality(day.fleet, evidence.requests)["service"],
         "writes": len(sent), "lines": lines, "bytes": carried, "bytes_a_line": round(carried / max(1, lines), 1),
         "drain_to_last_ack_ms": round(max(drains, default=0.0), 1), "turn_to_last_ack_ms": turn_ms(evidence, proxies),
-        "pilot_cpu_of_a_core": round(arm.cpu_s / arm.took_s, 3), "stolen": round(arm.stolen, 3),
+        "pilot_cpu_of_a_core": round(arm.controller_cpu_s / arm.duration_s, 3), "stolen": round(arm.stolen_share, 3),
         "longest_channel": round(longest_queue(evidence), 1),
     }  # fmt: skip
 
--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -13,7 +13,8 @@
 from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, day_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
-from quillstep.testbed.scenarios.runner import Arm, play_arm
+from quillstep.testbed.scenarios.arm import Arm
+from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 
 SPAN_S = 8.0  # of reports, then of none
@@ -126,11 +127,11 @@
     row["ratio_p99"] = round(part(loud, 0.99) / max(1.0, part(quiet, 0.99)), 2)
     row["channel_of_limit"] = round(longest_queue(evidence) / limit, 3)
     row["rounds_late_ms"] = list(word.get("rounds_late_ms", {}).values())
-    row["deciding_cpu"] = round(cpu.get("deciding", 0.0) / arm.took_s, 3)
-    row["pilot_cpu"] = round(cpu.get("process", 0.0) / arm.took_s, 3)
-    row["readers_cpu"] = round(sum(readers.values()) / arm.took_s, 3)
+    row["deciding_cpu"] = round(cpu.get("deciding", 0.0) / arm.duration_s, 3)
+    row["pilot_cpu"] = round(cpu.get("process", 0.0) / arm.duration_s, 3)
+    row["readers_cpu"] = round(sum(readers.values()) / arm.duration_s, 3)
     row["reader_parts_s"] = {name: parts for name, parts in cpu.items() if isinstance(parts, dict)}
-    row["stolen"] = round(arm.stolen, 3)
+    row["stolen"] = round(arm.stolen_share, 3)
     return row
 
 
--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -114,7 +114,7 @@
     for capture in (False, True):
         day = ScenarioSettings.model_validate({**plain.model_dump(), "capture": capture})
         arm = play_arm(day, folder / f"cost-{capture}")
-        used[capture] = arm.cpu_s / arm.took_s
+        used[capture] = arm.controller_cpu_s / arm.duration_s
     return {
         "day": f"{proxies} proxies, captured or not", "pilot_cpu_without": round(used[False], 4),
         "pilot_cpu_with": round(used[True], 4), "with_over_without": round(used[True] / used[False], 3),
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -22,8 +22,10 @@
 from quillstep.routing.resources import WEIGHT, make_resource
 from quillstep.store import Store
 from quillstep.store.records import OPERATOR_COMMANDS, VERSIONS, Entry, OperatorCommand, VersionRow, number_key
+from quillstep.testbed.process import now_ms
+from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.plan import plan_scenario
-from quillstep.testbed.scenarios.runner import Arm, now_ms, play_arm
+from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 from quillstep.xds.resources import name
 
@@ -206,7 +208,7 @@
         rows.append({
             "what": "cost", "arm": kept or "without", "proxies": proxies,
             "rules_broken": len(check_invariants(evidence)),
-            "pilot_cpu_of_a_core": round(arm.cpu_s / arm.took_s, 4),
+            "pilot_cpu_of_a_core": round(arm.controller_cpu_s / arm.duration_s, 4),
             "slowest_drain_ms": round(longest_drain_ms(evidence), 1), **(commits(arm) if kept else {}),
         })  # fmt: skip
     return rows
--- a/quillstep/bench/streams.py
+++ b/quillstep/bench/streams.py
@@ -93,9 +93,9 @@
         "rules_broken": len(violations), "breaks": [violation.to_row() for violation in violations[:5]],
         "drains": len(drains), "drain_to_last_ack_ms": round(max(drains, default=0.0), 1),
         "last_try_after_drain_ms": round(longest_drain_ms(evidence), 1),
-        "pilot_cpu_ms_a_proxy_a_s": round(arm.cpu_s * 1000.0 / arm.took_s / proxies, 3),
-        "pilot_cpu_of_a_core": round(arm.cpu_s / arm.took_s / pilots, 3),
-        "stolen": round(arm.stolen, 3),
+        "pilot_cpu_ms_a_proxy_a_s": round(arm.controller_cpu_s * 1000.0 / arm.duration_s / proxies, 3),
+        "pilot_cpu_of_a_core": round(arm.controller_cpu_s / arm.duration_s / pilots, 3),
+        "stolen": round(arm.stolen_share, 3),
         "longest_channel": round(longest_queue(evidence), 1), "responses": len(sent),
         **line_costs(evidence),
     }  # fmt: skip
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -14,7 +14,8 @@
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, Rule, check_invariants
 from quillstep.model_checking.runner import check_all
-from quillstep.testbed.scenarios.runner import Arm, play_arm
+from quillstep.testbed.scenarios.arm import Arm
+from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 from quillstep.tracing.report import lineage_of, summary
 from quillstep.tracing.spans import read
@@ -101,7 +102,8 @@
     record, spans = ARMS[name]
     arm = play_arm(day.model_copy(update={"record": record, "spans": spans}), folder)
     row: dict[str, Any] = {
-        "arm": name, "pilot_cpu_of_a_core": round(arm.cpu_s / arm.took_s, 4), "stolen": round(arm.stolen, 3),
+        "arm": name, "pilot_cpu_of_a_core": round(arm.controller_cpu_s / arm.duration_s, 4),
+        "stolen": round(arm.stolen_share, 3),
     }  # fmt: skip
     evidence = arm.evidence()
     row["exchanges_per_s"] = round(len(evidence.requests) / day.seconds, 1)
--- a/quillstep/testbed/scenarios/__init__.py
+++ b/quillstep/testbed/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted days: starts all parts on loopback, plays a script of troubles, has the record judged."""
+"""Scripted scenarios: all programs run on loopback, faults are injected, and the sockets' record is judged."""
--- a/quillstep/testbed/scenarios/child_processes.py
+++ b/quillstep/testbed/scenarios/child_processes.py
@@ -1,4 +1,4 @@
-"""Child processes that take commands on standard input and answer on standard output, a JSON line each."""
+"""Child processes that take commands on standard input and answer on standard output, one JSON object a line."""
 
 import contextlib
 import os
@@ -19,43 +19,41 @@
 
 
 class ChildError(QuillstepError):
-    """A child process that did not answer or has ended; the text names it."""
+    """A child process that did not answer in time or has ended; the message names it."""
 
 
-class Child:
-    """One child process, which ends once its standard input is closed.
+class ChildProcess:
+    """One Python program as a child; it ends when its standard input is closed.
 
-    A daemon thread reads its answers until the process ends.
+    The owner calls `stop` or `kill`.  A thread reads the child's answers into a queue until its output ends; it is
+    not joined, as it ends with the child.
+
+    Attributes:
+        name: Name of the child, and of its log below the folder.
+        process: The process itself.
+        last_answer: The answer that was last waited for.
     """
 
     def __init__(self, name: str, arguments: list[str], folder: Path) -> None:
-        """Start a module of this program; its standard error goes to a file in the folder."""
         self.name = name
-        self.log = (folder / f"{name}.log").open("ab")
+        self.last_answer: dict[str, Any] = {}
+        self._log = (folder / f"{name}.log").open("ab")
         self.process = subprocess.Popen(
             [sys.executable, "-m", *arguments],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
-            stderr=self.log,
+            stderr=self._log,
             start_new_session=True,
             env={**os.environ, "PYTHONUNBUFFERED": "1"},
         )
-        self.last_answer: dict[str, Any] = {}  # the one that `wait_for` returned from
-        self.answers: queue.Queue[dict[str, Any] | None] = queue.Queue()
-        threading.Thread(target=self._read, name=f"answers-{name}", daemon=True).start()
-
-    def _read(self) -> None:
-        assert self.process.stdout
-        for line in self.process.stdout:
-            with contextlib.suppress(msgspec.DecodeError):
-                self.answers.put(msgspec.json.decode(line))
-        self.answers.put(None)
+        self._answers: queue.Queue[dict[str, Any] | None] = queue.Queue()
+        threading.Thread(target=self._read_answers, daemon=True, name=f"answers-{name}").start()
 
     def send(self, **command: Any) -> None:
-        """Send a command.
+        """Sends a command.
 
         Raises:
-            ChildError: The process has ended.
+            ChildError: The child has ended.
         """
         assert self.process.stdin
         try:
@@ -65,29 +63,29 @@
             raise ChildError(f"{self.name} has ended: {error}") from error
 
     def wait_for(self, key: str, timeout_s: float = ANSWER_TIMEOUT_S) -> Any:
-        """Return the value of this key in the next answer that has it; other answers are skipped.
+        """Returns the value of a key in the next answer that has it; other answers are dropped.
 
         Raises:
-            ChildError: No such answer came in time, or the process has ended.
+            ChildError: No such answer came in time, or the child ended before.
         """
         while True:
             try:
-                answer = self.answers.get(timeout=timeout_s)
+                answer = self._answers.get(timeout=timeout_s)
             except queue.Empty as error:
                 raise ChildError(f"{self.name} gave no {key!r} within {timeout_s:g} s") from error
             if answer is None:
-                raise ChildError(f"{self.name} ended before it gave {key!r}; see {self.log.name}")
+                raise ChildError(f"{self.name} ended before it gave {key!r}; see {self._log.name}")
             if key in answer:
                 self.last_answer = answer
                 return answer[key]
 
     def kill(self) -> None:
-        """Kill the process at once."""
+        """Ends the process at once and waits for its end."""
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
 
     def stop(self) -> None:
-        """Close the process's input and wait for its end; kill it if that takes too long."""
+        """Closes the child's input and waits for its end; a child that does not end in time is killed."""
         with contextlib.suppress(OSError):
             if self.process.stdin:
                 self.process.stdin.close()
@@ -95,4 +93,11 @@
             self.process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.kill()
-        self.log.close()
+        self._log.close()
+
+    def _read_answers(self) -> None:
+        assert self.process.stdout
+        for line in self.process.stdout:
+            with contextlib.suppress(msgspec.DecodeError):
+                self._answers.put(msgspec.json.decode(line))
+        self._answers.put(None)
--- a/quillstep/testbed/scenarios/plan.py
+++ b/quillstep/testbed/scenarios/plan.py
@@ -1,18 +1,20 @@
-"""What a scenario means for one fleet: which endpoints and proxies exist, and which command comes when.
+"""What a scenario means for one fleet: its endpoints and proxies, and the commands that inject its faults.
 
-Everything is drawn from the scenario's seed, without I/O, so that every arm of a comparison meets the same requests and
-faults.  The order of draws decides what comes out.
+Everything follows from the scenario's seed; there is no I/O here.  The order of random draws is part of a
+scenario: a plan must not change with the code.
 """
 
 import random
-from collections.abc import Iterator
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any, NamedTuple
 
-from quillstep.config.scenario import FaultSettings, ScenarioSettings
+import msgspec
 
-# The command to a proxy for each fault of the settings.
-PROXY_COMMANDS = {
+from quillstep.config.scenario import EndpointKindSettings, FaultSettings, ScenarioSettings
+
+# What proxies are told to do for a fault, by the fault's name in scenario files.
+PROXY_ACTIONS = {
     "proxy_moves": "moves",
     "proxy_stall": "stall",
     "proxy_refuses": "refuse",
@@ -25,143 +27,251 @@
     "reports_heavy": "reports_heavy",
     "reports_cut": "reports_cut",
 }
-MIN_PROXY_SIZE = 0.05  # relative to the mean
+
+
+class ControllerAction(StrEnum):
+    """What happens to a controller's process."""
+
+    KILL = "kill"
+    RESTART = "restart"
+    PAUSE = "pause"
+    RESUME = "resume"
+
+
+class EndpointCommand(NamedTuple):
+    """A command to the program of an endpoint; the parameters are sent by their names."""
+
+    endpoint: int
+    action: str
+    parameters: dict[str, float]
+
+
+class DiscoveryCommand(NamedTuple):
+    """A change of the endpoint list; `is_start`: the endpoint starts with it."""
+
+    endpoint: int
+    state: str
+    is_start: bool = False
+
+
+class ProxyCommand(NamedTuple):
+    """A command to the program of a proxy."""
+
+    proxy: str
+    action: str
+    for_ms: float
+    factor: float
+
+
+class ControllerCommand(NamedTuple):
+    """An action on one controller's process."""
+
+    controller: int
+    action: ControllerAction
+
+
+class TightenCommand(NamedTuple):
+    """A class becomes unsafe in the settings of all controllers; gives up after `for_ms`."""
+
+    class_name: str
+    for_ms: float
+
+
+Command = EndpointCommand | DiscoveryCommand | ProxyCommand | ControllerCommand | TightenCommand
 
 
 class Step(NamedTuple):
-    """One command of the scenario."""
+    """A command and its time from the scenario's begin."""
 
     at_s: float
-    target: str  # endpoint, proxy, pilot, roster or settings
-    command: dict[str, Any]
+    command: Command
+
+
+@dataclass(slots=True)
+class PlannedEndpoint:
+    """One endpoint; `is_up` is false for a reserve that no fault starts."""
+
+    kind: EndpointKindSettings
+    zone: str
+    number: int
+    state: str
+    is_up: bool
+
+    def to_row(self) -> dict[str, Any]:
+        """The endpoint as the programs of the testbed read it."""
+        row = self.kind.model_dump(exclude={"each_zone"})
+        return {**row, "zone": self.zone, "state": self.state, "id": self.number, "up": self.is_up}
+
+
+class PlannedProxy(msgspec.Struct, rename={
+    "requests_per_s": "usual", "initial_endpoints": "standing", "controllers": "pilots", "uses_files": "files",
+    "uses_sotw": "sotw",
+}):  # fmt: skip
+    """One proxy; it tries its controllers in this order.  It is encoded as the programs of the testbed read it."""
+
+    name: str
+    zone: str
+    requests_per_s: float
+    initial_endpoints: list[int]
+    controllers: list[int]
+    uses_files: bool
+    uses_sotw: bool
 
 
 @dataclass(slots=True)
 class ScenarioPlan:
-    """Endpoints and proxies as their stand-ins are set up, and the steps in the order of time."""
+    """The endpoints, the proxies, and the steps in order of time."""
 
-    endpoints: list[dict[str, Any]] = field(default_factory=list)
-    proxies: list[dict[str, Any]] = field(default_factory=list)
+    endpoints: list[PlannedEndpoint] = field(default_factory=list)
+    proxies: list[PlannedProxy] = field(default_factory=list)
     steps: list[Step] = field(default_factory=list)
 
 
 def plan_scenario(scenario: ScenarioSettings) -> ScenarioPlan:
-    """Return the plan of a scenario."""
-    draw = random.Random(scenario.seed)
+    """Returns the plan, the same for every arm of a scenario, so that all meet the same requests and faults."""
+    chance = random.Random(scenario.seed)
     plan = ScenarioPlan()
-    for zone in scenario.fleet.zones:
-        _add_endpoints(plan, scenario, zone, draw)
-    sizes = [draw.expovariate(1.0) ** scenario.callers_skew + MIN_PROXY_SIZE for _ in range(scenario.proxies)]
-    for number in range(scenario.proxies):
-        requests_per_s = scenario.requests_per_s * sizes[number] / sum(sizes)
-        plan.proxies.append(_proxy(plan, scenario, number, requests_per_s, draw))
+    plan.endpoints = plan_endpoints(scenario, chance)
+    plan.proxies = plan_proxies(scenario, plan.endpoints, chance)
     for fault in scenario.faults:
-        plan.steps.extend(_steps_of_fault(plan, fault, scenario, draw))
+        plan.steps += steps_of_fault(fault, scenario, plan, chance)
     plan.steps.sort(key=lambda step: step.at_s)
     return plan
 
 
-def _add_endpoints(plan: ScenarioPlan, scenario: ScenarioSettings, zone: str, draw: random.Random) -> None:
-    for kind in scenario.endpoints:
-        row = {**kind.model_dump(exclude={"each_zone"}), "zone": zone, "state": "in_service"}
-        for _ in range(kind.each_zone):
-            plan.endpoints.append({**row, "id": draw.randrange(1, 2**32), "up": True})
-    first_kind = {**scenario.endpoints[0].model_dump(exclude={"each_zone"}), "zone": zone}
-    for _ in range(scenario.reserves):
-        plan.endpoints.append({**first_kind, "id": draw.randrange(1, 2**32), "up": False, "state": "terminated"})
-
-
-def _proxy(
-    plan: ScenarioPlan, scenario: ScenarioSettings, number: int, requests_per_s: float, draw: random.Random
-) -> dict[str, Any]:
-    zone = scenario.fleet.zones[number % len(scenario.fleet.zones)]
-    in_zone = [row["id"] for row in plan.endpoints if row["up"] and row["zone"] == zone]
-    initial_table = draw.sample(in_zone, min(len(in_zone), scenario.fleet.proxies.initial_table_size))
-    first_controller = draw.randrange(scenario.controllers)
-    return {
-        "name": f"proxy/{number}",
-        "zone": zone,
-        "usual": requests_per_s,
-        "standing": initial_table,
-        "pilots": [(first_controller + offset) % scenario.controllers for offset in range(scenario.controllers)],
-        "files": number >= scenario.proxies - round(scenario.file_proxies * scenario.proxies),
-        "sotw": number < round(scenario.sotw_proxies * scenario.proxies),
-    }
-
-
-def _steps_of_fault(
-    plan: ScenarioPlan, fault: FaultSettings, scenario: ScenarioSettings, draw: random.Random
-) -> Iterator[Step]:
+def plan_endpoints(scenario: ScenarioSettings, chance: random.Random) -> list[PlannedEndpoint]:
+    """Draws the endpoints zone by zone, each zone's reserves last."""
+    endpoints = []
+    for zone in scenario.fleet.zones:
+        for kind in scenario.endpoints:
+            for _ in range(kind.each_zone):
+                number = chance.randrange(1, 2**32)
+                endpoints.append(PlannedEndpoint(kind, zone, number, "in_service", is_up=True))
+        for _ in range(scenario.reserves):
+            number = chance.randrange(1, 2**32)
+            endpoints.append(PlannedEndpoint(scenario.endpoints[0], zone, number, "terminated", is_up=False))
+    return endpoints
+
+
+def plan_proxies(
+    scenario: ScenarioSettings, endpoints: list[PlannedEndpoint], chance: random.Random
+) -> list[PlannedProxy]:
+    """Draws the proxies' traffic, their initial endpoints in the own zone, and the controller that each tries first."""
+    zones = scenario.fleet.zones
+    sizes = [chance.expovariate(1.0) ** scenario.callers_skew + 0.05 for _ in range(scenario.proxies)]
+    first_with_files = scenario.proxies - round(scenario.file_proxies * scenario.proxies)
+    sotw_count = round(scenario.sotw_proxies * scenario.proxies)
+    proxies = []
+    for at in range(scenario.proxies):
+        zone = zones[at % len(zones)]
+        near = [endpoint.number for endpoint in endpoints if endpoint.is_up and endpoint.zone == zone]
+        initial = chance.sample(near, min(len(near), scenario.fleet.proxies.initial_table_size))
+        first = chance.randrange(scenario.controllers)
+        proxies.append(PlannedProxy(
+            name=f"proxy/{at}", zone=zone, requests_per_s=scenario.requests_per_s * sizes[at] / sum(sizes),
+            initial_endpoints=initial,
+            controllers=[(first + offset) % scenario.controllers for offset in range(scenario.controllers)],
+            uses_files=at >= first_with_files, uses_sotw=at < sotw_count,
+        ))  # fmt: skip
+    return proxies
+
+
+def steps_of_fault(
+    fault: FaultSettings, scenario: ScenarioSettings, plan: ScenarioPlan, chance: random.Random
+) -> list[Step]:
+    """Draws whom a fault meets and returns its steps."""
     if fault.what == "tighten":
-        command = {"do": fault.what, "kind": fault.class_name, "for_ms": fault.for_s * 1000.0}
-        yield Step(fault.at_s, "settings", command)
-    elif fault.what.startswith("pilot"):
-        for controller in draw.sample(range(scenario.controllers), min(fault.count, scenario.controllers)):
-            yield Step(fault.at_s, "pilot", {"do": fault.what, "pilot": controller})
-            yield Step(fault.at_s + fault.for_s, "pilot", {"do": f"{fault.what}_over", "pilot": controller})
-    elif fault.what.startswith(("proxy", "reports")):
-        yield from _steps_of_proxy_fault(plan, fault, draw)
+        return [Step(fault.at_s, TightenCommand(fault.class_name, fault.for_s * 1000.0))]
+    if fault.what in ("pilot_kill", "pilot_stall"):
+        return steps_at_controllers(fault, scenario.controllers, chance)
+    if fault.what in PROXY_ACTIONS:
+        return steps_at_proxies(fault, plan.proxies, chance)
+    return steps_at_endpoints(fault, plan.endpoints, chance)
+
+
+def steps_at_controllers(fault: FaultSettings, controllers: int, chance: random.Random) -> list[Step]:
+    """Kills or pauses controllers, each until the fault is over."""
+    if fault.what == "pilot_kill":
+        begin, end = ControllerAction.KILL, ControllerAction.RESTART
     else:
-        yield from _steps_of_endpoint_fault(plan, fault, draw)
+        begin, end = ControllerAction.PAUSE, ControllerAction.RESUME
+    steps = []
+    for controller in chance.sample(range(controllers), min(fault.count, controllers)):
+        steps.append(Step(fault.at_s, ControllerCommand(controller, begin)))
+        steps.append(Step(fault.at_s + fault.for_s, ControllerCommand(controller, end)))
+    return steps
 
 
-def _steps_of_proxy_fault(plan: ScenarioPlan, fault: FaultSettings, draw: random.Random) -> Iterator[Step]:
-    candidates = [row["name"] for row in plan.proxies if _is_suited(row, fault)]
-    do, for_ms = PROXY_COMMANDS[fault.what], fault.for_s * 1000.0
-    for name in draw.sample(candidates, min(fault.count, len(candidates))):
-        yield Step(fault.at_s, "proxy", {"do": do, "proxy": name, "for_ms": for_ms, "factor": fault.factor})
+def steps_at_proxies(fault: FaultSettings, proxies: list[PlannedProxy], chance: random.Random) -> list[Step]:
+    """One command to each proxy met, which ends the fault itself."""
+    candidates = [proxy.name for proxy in proxies if can_be_met(proxy, fault)]
+    action, for_ms = PROXY_ACTIONS[fault.what], fault.for_s * 1000.0
+    return [
+        Step(fault.at_s, ProxyCommand(name, action, for_ms, fault.factor))
+        for name in chance.sample(candidates, min(fault.count, len(candidates)))
+    ]
 
 
-def _is_suited(proxy: dict[str, Any], fault: FaultSettings) -> bool:
-    if fault.zone not in ("", proxy["zone"]):
+def can_be_met(proxy: PlannedProxy, fault: FaultSettings) -> bool:
+    """Whether a fault makes sense at a proxy."""
+    if fault.zone not in ("", proxy.zone):
         return False
-    if fault.what == "proxy_loses":  # a client of whole states has one response at a time: no later one follows
-        return not (proxy["sotw"] or proxy["files"])
-    if fault.what == "proxy_moves":  # whole states give no versions of lines to take along
-        return not proxy["sotw"]
+    if fault.what == "proxy_loses":
+        # A state-of-the-world client has one response of a type at a time: after a lost one none comes.
+        return not (proxy.uses_sotw or proxy.uses_files)
+    if fault.what == "proxy_moves":
+        # A state-of-the-world client knows no versions of single resources to take along.
+        return not proxy.uses_sotw
     return True
 
 
-def _steps_of_endpoint_fault(plan: ScenarioPlan, fault: FaultSettings, draw: random.Random) -> Iterator[Step]:
-    is_up = fault.what != "join"
-    candidates = [row for row in plan.endpoints if fault.zone in ("", row["zone"]) and row["up"] == is_up]
+def steps_at_endpoints(fault: FaultSettings, endpoints: list[PlannedEndpoint], chance: random.Random) -> list[Step]:
+    """Steps at the endpoints met: those that run or, for `join`, reserves, which count as running from then on."""
+    is_join = fault.what == "join"
+    candidates = [
+        endpoint for endpoint in endpoints if fault.zone in ("", endpoint.zone) and endpoint.is_up == (not is_join)
+    ]
     count = len(candidates) if fault.what == "zone_loss" else min(fault.count, len(candidates))
-    for row in draw.sample(candidates, count):
-        yield from _steps_at_endpoint(row["id"], fault)
-        if fault.what == "join":
-            row["up"] = True
+    steps = []
+    for endpoint in chance.sample(candidates, count):
+        steps += steps_at_endpoint(fault, endpoint.number)
+        if is_join:
+            endpoint.is_up = True
+    return steps
 
 
-def _steps_at_endpoint(endpoint: int, fault: FaultSettings) -> list[Step]:
+def steps_at_endpoint(fault: FaultSettings, number: int) -> list[Step]:
+    """The steps of a fault at one endpoint, from its begin to its end."""
     begin_s, end_s = fault.at_s, fault.at_s + fault.for_s
-
-    def order(at_s: float, do: str, **arguments: Any) -> Step:
-        return Step(at_s, "endpoint", {"do": do, "endpoint": endpoint, **arguments})
-
-    def list_as(at_s: float, state: str, **arguments: Any) -> Step:
-        return Step(at_s, "roster", {"id": endpoint, "state": state, **arguments})
-
+    start = EndpointCommand(number, "start", {})
+    die = EndpointCommand(number, "die", {})
     match fault.what:
         case "die" | "zone_loss":
             return [
-                order(begin_s, "die"),
-                list_as(begin_s, "terminated"),
-                order(end_s, "start"),
-                list_as(end_s, "in_service", began=True),
+                Step(begin_s, die),
+                Step(begin_s, DiscoveryCommand(number, "terminated")),
+                Step(end_s, start),
+                Step(end_s, DiscoveryCommand(number, "in_service", is_start=True)),
             ]
         case "drain":
             return [
-                list_as(begin_s, "terminating"),
-                order(begin_s, "drain"),
-                order(end_s, "die"),
-                list_as(end_s, "terminated"),
+                Step(begin_s, DiscoveryCommand(number, "terminating")),
+                Step(begin_s, EndpointCommand(number, "drain", {})),
+                Step(end_s, die),
+                Step(end_s, DiscoveryCommand(number, "terminated")),
             ]
         case "join":
-            return [order(begin_s, "start"), list_as(begin_s, "in_service", began=True)]
+            return [Step(begin_s, start), Step(begin_s, DiscoveryCommand(number, "in_service", is_start=True))]
         case "slow":
-            return [order(begin_s, "slow", factor=fault.factor), order(end_s, "slow", factor=1.0)]
+            return [
+                Step(begin_s, EndpointCommand(number, "slow", {"factor": fault.factor})),
+                Step(end_s, EndpointCommand(number, "slow", {"factor": 1.0})),
+            ]
         case "fail" | "lose_answers":
-            factor = 1.0 - 1.0 / max(1.0, fault.factor)
-            return [order(begin_s, fault.what, factor=factor), order(end_s, fault.what, factor=0.0)]
+            share = 1.0 - 1.0 / max(1.0, fault.factor)
+            return [
+                Step(begin_s, EndpointCommand(number, fault.what, {"factor": share})),
+                Step(end_s, EndpointCommand(number, fault.what, {"factor": 0.0})),
+            ]
         case _:
-            return [order(begin_s, fault.what, for_ms=fault.for_s * 1000.0)]
+            return [Step(begin_s, EndpointCommand(number, fault.what, {"for_ms": fault.for_s * 1000.0}))]
--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -7,6 +7,7 @@
 import sys
 import time
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 from envoy.service.discovery.v3 import discovery_pb2
@@ -18,8 +19,9 @@
 from quillstep.invariants import check_invariants, longest_queue
 from quillstep.recording import lives, read_life
 from quillstep.replay.faithful import Replay
-from quillstep.testbed.scenarios.plan import plan_scenario
-from quillstep.testbed.scenarios.runner import Arm, play_arm
+from quillstep.testbed.scenarios.arm import Arm
+from quillstep.testbed.scenarios.plan import Step, plan_scenario
+from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED
 from quillstep.xds.http2 import MessageReceived, StreamEnded
@@ -52,14 +54,18 @@
     assert out.strip() == "[]"
 
 
+class KillReaders(NamedTuple):
+    """A command that only `ReaderKiller` knows."""
+
+
 class ReaderKiller(Arm):
-    """An arm whose script may kill the pilot's reading processes."""
+    """An arm whose plan may kill the controller's reader processes."""
 
-    def step(self, part, command):
-        if part != "reader":
-            super().step(part, command)
+    def execute(self, command):
+        if not isinstance(command, KillReaders):
+            super().execute(command)
             return
-        pid = self.pilots[0].process.pid
+        pid = self.controllers.processes[0].process.pid
         for task in Path(f"/proc/{pid}/task").iterdir():
             for child in (task / "children").read_text().split():
                 os.kill(int(child), signal.SIGKILL)
@@ -78,9 +84,9 @@
             {"at_s": 2.7, "for_s": 3.0, "what": "drain", "zone": "a", "count": 1},
         ],
     )  # fmt: skip
-    made = plan_scenario(day)
-    made.steps = sorted([*made.steps, (3.2, "reader", {})], key=lambda step: step[0])
-    arm = ReaderKiller(day, made, "learnt", tmp_path / "learnt")
+    plan = plan_scenario(day)
+    plan.steps = sorted([*plan.steps, Step(3.2, KillReaders())], key=lambda step: step.at_s)
+    arm = ReaderKiller(day, plan, "learnt", tmp_path / "learnt")
     try:
         arm.start()
         arm.play(time.monotonic() * 1000.0 + day.warm_up_s * 1000.0)
@@ -126,10 +132,9 @@
     arm = Arm(day, plan_scenario(day), "learnt", tmp_path / "learnt")
     try:
         arm.start_endpoints()
-        arm.start_roster()
-        arm.pilots, arm.addresses = [None], ["127.0.0.1:0"]
-        arm.start_pilot(0)
-        client = GrpcClient(arm.addresses[0], 1000.0)
+        arm.start_discovery()
+        arm.controllers.start(0)
+        client = GrpcClient(arm.controllers.addresses[0], 1000.0)
         tables, loads = client.open(DELTA), client.open(LOAD)
         first = discovery_pb2.DeltaDiscoveryRequest(type_url=CDS)
         first.node.id = "large"
--- a/tests/store/test_operator_commands.py
+++ b/tests/store/test_operator_commands.py
@@ -24,8 +24,8 @@
     number_key,
 )
 from quillstep.store.store import SCHEMA_KEY
+from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.plan import plan_scenario
-from quillstep.testbed.scenarios.runner import Arm
 from quillstep.xds.resources import name
 
 
@@ -87,8 +87,8 @@
     until(lambda: len(lines_held(played)) == 4 and all(held == wanted for held in lines_held(played).values()))
     held = said(played, "held")["proxies"]
     assert len(held) == 6 and {row["life"] for row in held} == {held[0]["life"]} and min(r["order"] for r in held) > 0
-    played.pilots[0].kill()
-    played.start_pilot(0)
+    played.controllers.processes[0].kill()
+    played.controllers.start(0)
     mark = len(played.evidence().applied_updates)
     until(lambda: sum(r["what"] == "join" for r in played.evidence().channel_rows) >= 10)
     assert [str(each) for each in said(played, "log")["pins"][0]] == ["0", "feed0001"]
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Whole days on loopback: pilots killed, zones lost, answers lost; judged from the record of the sockets."""
+"""Whole scenarios on loopback: controllers killed, zones lost, responses lost; judged from the sockets' record."""
 
 import base64
 import socket
@@ -12,13 +12,13 @@
 
 from quillstep.controller.health_checker import parse_load_report
 from quillstep.invariants import check_invariants
-from quillstep.testbed.scenarios.child_processes import Child
-from quillstep.testbed.scenarios.plan import plan_scenario
+from quillstep.testbed.scenarios.child_processes import ChildProcess
+from quillstep.testbed.scenarios.plan import ControllerAction, ControllerCommand, ProxyCommand, plan_scenario
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 
 KEYED = {**TIMES, "name": "save", "credit": 2.0, "semantics": "keyed", "scope": "all"}
-ROUGH = [
+MANY_FAULTS = [
     {"at_s": 0.5, "for_s": 5.0, "what": "lose_answers", "count": 1, "factor": 2.0},
     {"at_s": 1.0, "for_s": 1.5, "what": "drain", "zone": "a", "count": 1},
     {"at_s": 2.0, "for_s": 1.5, "what": "pilot_kill", "count": 1},
@@ -29,41 +29,41 @@
 ]
 
 
-def played(day, folder):
-    arm = play_arm(day, folder / "learnt")
+def play(scenario, folder):
+    arm = play_arm(scenario, folder / "learnt")
     return arm, arm.evidence()
 
 
 @pytest.fixture(scope="module")
-def rough(tmp_path_factory):
+def many_faults(tmp_path_factory):
     fleet = small_day().fleet.model_dump()
     fleet["classes"].append({**KEYED, "window_ms": 3000.0})
-    day = small_day(
+    scenario = small_day(
         seconds=8.0,
         fleet=fleet,
-        troubles=ROUGH,
+        troubles=MANY_FAULTS,
         endpoints=[{"each_zone": 3}],
         proxies=6,
         pilots=2,
         sotw_proxies=0.17,
     )
-    return played(day, tmp_path_factory.mktemp("rough"))
+    return play(scenario, tmp_path_factory.mktemp("many_faults"))
 
 
-def test_a_rough_day_keeps_the_rules(rough):
-    _, evidence = rough
+def test_a_scenario_with_many_faults_keeps_all_invariants(many_faults):
+    _, evidence = many_faults
     assert check_invariants(evidence) == []
     assert len(evidence.requests) > 300
 
 
-def test_what_may_have_run_is_never_sent_again_unless_its_class_allows_it(rough):
-    _, evidence = rough
-    lost = [row for row in evidence.requests if any(try_[3] in ("reset", "time-out") for try_ in row["tries"])]
-    assert {row["class"] for row in lost} >= {"lookup", "issue"}  # the script did lose answers of both
+def test_an_attempt_that_may_have_run_is_not_retried_unless_its_class_allows_it(many_faults):
+    _, evidence = many_faults
+    lost = [row for row in evidence.requests if any(attempt[3] in ("reset", "time-out") for attempt in row["tries"])]
+    assert {row["class"] for row in lost} >= {"lookup", "issue"}  # the scenario did lose responses of both
     for row in lost:
         if row["class"] == "issue":
             assert row["tries"][-1][3] in ("reset", "time-out") or all(
-                try_[3] == "no connection" for try_ in row["tries"][:-1]
+                attempt[3] == "no connection" for attempt in row["tries"][:-1]
             )
     effects = [
         row["exchange"] for row in evidence.served_requests if row["effect"] and row["class"] in ("issue", "save")
@@ -71,9 +71,13 @@
     assert len(effects) == len(set(effects))
 
 
-def test_a_killed_pilots_proxies_keep_what_they_hold_and_dial_the_other(rough):
-    arm, evidence = rough
-    killed = next(step[2]["pilot"] for step in arm.made.steps if step[2].get("do") == "pilot_kill")
+def test_proxies_of_a_killed_controller_keep_their_tables_and_connect_to_another(many_faults):
+    arm, evidence = many_faults
+    killed = next(
+        step.command.controller
+        for step in arm.plan.steps
+        if isinstance(step.command, ControllerCommand) and step.command.action is ControllerAction.KILL
+    )
     spans = evidence.stream_spans()
     moved = [name for name, rows in spans.items() if {row[2] for row in rows} == {"pilot-0", "pilot-1"}]
     assert moved
@@ -84,14 +88,14 @@
     assert sum(epoch.startswith(f"pilot-{killed}-") for epoch in epochs) <= 2 and len(epochs) >= 2
 
 
-def test_a_zone_that_came_back_cold_is_used_again_without_a_fall(rough):
-    _, evidence = rough
+def test_a_zone_that_restarts_is_used_again_without_an_overload(many_faults):
+    _, evidence = many_faults
     cold = {row["endpoint"] for row in evidence.endpoint_starts if row["cold"]}
     assert len(cold) == 3 and not any(row["outcome"] == "fell" for row in evidence.served_requests)
 
 
-def test_every_answer_went_by_a_line_that_its_proxy_had_acknowledged(rough):
-    _, evidence = rough
+def test_every_response_used_a_weight_that_its_proxy_had_acknowledged(many_faults):
+    _, evidence = many_faults
     acknowledged = {(row["proxy"], row["nonce"]) for row in evidence.channel_rows if row["what"] == "ack"}
     applied = {}
     for row in evidence.applied_updates:
@@ -108,7 +112,7 @@
     assert traced > 100
 
 
-def test_a_day_on_both_fronts_keeps_the_rules_while_proxies_move_between_them(tmp_path):
+def test_invariants_hold_while_proxies_move_between_streams_and_files(tmp_path):
     troubles = [
         {"at_s": 0.5, "for_s": 1.5, "what": "drain", "zone": "a", "count": 1},
         {"at_s": 1.0, "for_s": 0.5, "what": "proxy_refuses", "count": 2},
@@ -117,18 +121,22 @@
         {"at_s": 4.0, "for_s": 1.5, "what": "drain", "zone": "b", "count": 1},
     ]
     rows = {"endpoints": [{"each_zone": 3}], "proxies": 6, "pilots": 2, "file_proxies": 0.5}
-    arm, evidence = played(small_day(seconds=6.0, troubles=troubles, **rows), tmp_path)
+    arm, evidence = play(small_day(seconds=6.0, troubles=troubles, **rows), tmp_path)
     assert check_invariants(evidence) == []
     by_files = {row["proxy"] for row in evidence.applied_updates if row["type"] == "files"}
     by_streams = {row["proxy"] for row in evidence.applied_updates if row["type"] != "files"}
-    moved = {step[2]["proxy"] for step in arm.made.steps if step[2].get("do") == "moves"}
+    moved = {
+        step.command.proxy
+        for step in arm.plan.steps
+        if isinstance(step.command, ProxyCommand) and step.command.action == "moves"
+    }
     assert moved <= by_files & by_streams and by_files - moved and by_streams - moved
     assert not evidence.unroutable and all(row["outcome"] != "bare" for row in evidence.requests)
 
 
 def test_endpoints_drop_keyed_repeats_within_the_window_and_not_after(tmp_path):
     rows = [{**KEYED, "name": "long", "window_ms": 60000.0}, {**KEYED, "name": "short", "window_ms": 0.001}]
-    host = Child("endpoints-0", ["quillstep.testbed.endpoints"], tmp_path)
+    host = ChildProcess("endpoints-0", ["quillstep.testbed.endpoints"], tmp_path)
     try:
         host.send(
             endpoints=[{"id": 1, "zone": "a", "cores": 1, "speed": 1.0, "connections_most": 9, "waiting_most": 9,
@@ -150,10 +158,10 @@
     ]  # fmt: skip
 
 
-def test_the_command_plays_a_day_and_says_how_it_went(tmp_path):
-    day = small_day(seconds=2.5)
+def test_the_command_plays_a_scenario_and_prints_the_result(tmp_path):
+    scenario = small_day(seconds=2.5)
     script = tmp_path / "small.cue"
-    script.write_bytes(msgspec.json.encode(day.model_dump()))
+    script.write_bytes(msgspec.json.encode(scenario.model_dump()))
     command = [sys.executable, "-m", "quillstep.cli", "scenario", str(script), "--record", str(tmp_path / "out")]
     done = subprocess.run([*command, "--arm", "learnt", "--arm", "even"], capture_output=True, timeout=120, check=False)
     found = msgspec.json.decode(done.stdout.splitlines()[-1])
@@ -163,18 +171,18 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ('name: "p"\nroster: ":1"\nfleet: {zones: [], classes: []}', "p.cue:3: fleet.zones: found a list"),
         ('name: 5\nroster: ":1"', "p.cue:1: name: found 5"),
         ('name: "p"\nroster: ":1"\nfleet: {', "p.cue:"),
     ],
 )
-def test_a_pilot_refuses_to_start_on_settings_that_do_not_check(tmp_path, text, said):
+def test_a_controller_does_not_start_on_invalid_settings(tmp_path, text, message):
     (tmp_path / "p.cue").write_text(text)
     command = [sys.executable, "-m", "quillstep.cli", "controller", "--settings", str(tmp_path / "p.cue")]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
-    assert done.returncode == 2 and said in done.stderr and "expected" in done.stderr
+    assert done.returncode == 2 and message in done.stderr and "expected" in done.stderr
 
 
 REPORT = OrcaLoadReport(cpu_utilization=0.25, rps_fractional=7.5, named_metrics={"queue": 3.0})
@@ -196,14 +204,14 @@
         ("", {}),
     ],
 )
-def test_load_is_read_in_each_published_form_and_what_is_none_is_left_out(header, load):
+def test_load_is_parsed_in_each_published_form_and_the_rest_is_ignored(header, load):
     assert parse_load_report(header) == load
 
 
-def test_the_plan_of_a_day_follows_from_its_seed():
-    day = small_day(troubles=ROUGH)
-    assert plan_scenario(day) == plan_scenario(day)
-    assert plan_scenario(day) != plan_scenario(day.model_copy(update={"seed": 2}))
+def test_the_plan_of_a_scenario_follows_from_its_seed():
+    scenario = small_day(troubles=MANY_FAULTS)
+    assert plan_scenario(scenario) == plan_scenario(scenario)
+    assert plan_scenario(scenario) != plan_scenario(scenario.model_copy(update={"seed": 2}))
 
 
 @pytest.mark.parametrize(
@@ -216,7 +224,7 @@
         (5.0, "failed", 0.0),
     ],
 )
-def test_service_is_credit_in_time_over_credit_asked(took, outcome, earned):
+def test_service_is_the_priority_weight_earned_over_the_weight_offered(took, outcome, earned):
     fleet = small_day().fleet
     late = [row.model_copy(update={"late_priority_weight": 0.2}) for row in CLASSES]
     fleet = fleet.model_copy(update={"classes": late})
--- a/tests/tracing/test_tracing.py
+++ b/tests/tracing/test_tracing.py
@@ -7,8 +7,8 @@
 
 from quillstep.cli.main import cli
 from quillstep.invariants import Evidence, check_invariants
+from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.plan import plan_scenario
-from quillstep.testbed.scenarios.runner import Arm
 from quillstep.tracing.causes import concerns, why
 from quillstep.tracing.chain import Lineage
 from quillstep.tracing.report import lineage_of, summary
--- a/tests/xds/test_streams.py
+++ b/tests/xds/test_streams.py
@@ -14,8 +14,8 @@
 from hyperframe.frame import ContinuationFrame, DataFrame, HeadersFrame, PingFrame, SettingsFrame
 from memory_fleet import small_day
 
+from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.plan import plan_scenario
-from quillstep.testbed.scenarios.runner import Arm
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.resources import CDS, COLLECTION, EDS, EJECTED_COLLECTION, LDS, LEDS, RDS
 from quillstep.xds.server import DELTA, LOAD, SOTW
@@ -31,9 +31,8 @@
     made = Arm(day, plan_scenario(day), "learnt", tmp_path_factory.mktemp("streams") / "learnt")
     try:
         made.start_endpoints()
-        made.start_roster()
-        made.pilots, made.addresses = [None], ["127.0.0.1:0"]
-        made.start_pilot(0)
+        made.start_discovery()
+        made.controllers.start(0)
         yield made
     finally:
         made.stop()
@@ -124,13 +123,13 @@
 
 
 def change(arm, number, state):
-    arm.roster.send(id=number, state=state)
+    arm.discovery.send(id=number, state=state)
 
 
 def test_a_standard_client_subscribes_acknowledges_and_can_read_what_it_gets(arm):
-    client = DeltaClient(arm.addresses[0], "interop/1")
+    client = DeltaClient(arm.controllers.addresses[0], "interop/1")
     client.until(routed)
-    ports = {arm.ports[row["id"]] for row in arm.made.endpoints}
+    ports = {arm.ports[row.number] for row in arm.plan.endpoints}
     met = set()
     for (url, _), resource in client.held.items():
         if url == LEDS:
@@ -145,13 +144,13 @@
 
 
 def test_a_client_that_comes_back_is_sent_only_what_differs(arm):
-    client = DeltaClient(arm.addresses[0], "interop/2")
+    client = DeltaClient(arm.controllers.addresses[0], "interop/2")
     client.until(routed)
     # Levels and weights may move while it is away; what it lost is certain to differ.
     client.close()
     lost = next(key for key in client.held if key[0] == LEDS)
     held = {key: value for key, value in client.held.items() if key != lost}
-    again = DeltaClient(arm.addresses[0], "interop/2", held)
+    again = DeltaClient(arm.controllers.addresses[0], "interop/2", held)
     met = again.until(lambda c: lost in c.held)
     sent = {(m.type_url, r.name) for m in met for r in m.resources}
     assert lost in sent and (CDS, "table-0") not in sent and (EDS, "table-0") not in sent
@@ -159,9 +158,9 @@
 
 
 def test_a_drain_that_a_client_refuses_is_logged_and_tried_again_until_it_holds(arm):
-    client = DeltaClient(arm.addresses[0], "interop/3")
+    client = DeltaClient(arm.controllers.addresses[0], "interop/3")
     client.until(routed)
-    number = arm.made.endpoints[0]["id"]
+    number = arm.plan.endpoints[0].number
     change(arm, number, "terminating")
     refused = None
     while refused is None:
@@ -178,7 +177,7 @@
 
 
 def test_an_unknown_type_gets_a_readable_answer_and_the_stream_goes_on(arm):
-    client = DeltaClient(arm.addresses[0], "interop/4")
+    client = DeltaClient(arm.controllers.addresses[0], "interop/4")
     url = "type.googleapis.com/envoy.service.runtime.v3.Runtime"
     client.out.put(client.request(url, "x"))
     while (answer := client.next()).type_url != url:
@@ -190,7 +189,7 @@
 
 
 def test_unsubscribed_lines_come_no_more_and_come_back_when_asked_for_again(arm):
-    client = DeltaClient(arm.addresses[0], "interop/5")
+    client = DeltaClient(arm.controllers.addresses[0], "interop/5")
     client.until(routed)
     table = f"{COLLECTION}table-0/*"
     client.out.put(discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, resource_names_unsubscribe=[table]))
@@ -202,7 +201,7 @@
 
 
 def test_a_client_without_deltas_gets_whole_states(arm):
-    client = Stream(arm.addresses[0], SOTW, discovery_pb2.DiscoveryRequest, discovery_pb2.DiscoveryResponse)
+    client = Stream(arm.controllers.addresses[0], SOTW, discovery_pb2.DiscoveryRequest, discovery_pb2.DiscoveryResponse)
 
     def say(url, names=(), response=None):
         request = discovery_pb2.DiscoveryRequest(type_url=url, resource_names=names)
@@ -227,14 +226,14 @@
 
 
 def test_load_reports_are_asked_for_and_an_unknown_method_is_refused(arm):
-    client = Stream(arm.addresses[0], LOAD, lrs_pb2.LoadStatsRequest, lrs_pb2.LoadStatsResponse)
+    client = Stream(arm.controllers.addresses[0], LOAD, lrs_pb2.LoadStatsRequest, lrs_pb2.LoadStatsResponse)
     request = lrs_pb2.LoadStatsRequest()
     request.node.id = "interop/7"
     client.out.put(request)
     answer = client.next()
     assert answer.send_all_clusters and answer.load_reporting_interval.ToMilliseconds() == 300
     client.close()
-    odd = Stream(arm.addresses[0], "/no.Such/Method", lrs_pb2.LoadStatsRequest, lrs_pb2.LoadStatsResponse)
+    odd = Stream(arm.controllers.addresses[0], "/no.Such/Method", lrs_pb2.LoadStatsRequest, lrs_pb2.LoadStatsResponse)
     with pytest.raises(grpc.RpcError) as refused:
         odd.next()
     assert refused.value.code() == grpc.StatusCode.UNIMPLEMENTED
@@ -243,7 +242,7 @@
 
 def test_a_request_without_a_node_ends_its_stream_with_a_readable_status(arm):
     kinds = (discovery_pb2.DeltaDiscoveryRequest, discovery_pb2.DeltaDiscoveryResponse)
-    client = Stream(arm.addresses[0], DELTA, *kinds)
+    client = Stream(arm.controllers.addresses[0], DELTA, *kinds)
     client.out.put(kinds[0](type_url=CDS))
     with pytest.raises(grpc.RpcError) as refused:
         client.next()
@@ -287,7 +286,7 @@
 def test_a_peer_that_breaks_the_protocol_harms_nobody_else_and_is_logged(arm, kind):
     log = arm.folder / "pilot-0.log"
     before = log.read_text().count("\n")
-    host, port = arm.addresses[0].split(":")
+    host, port = arm.controllers.addresses[0].split(":")
     with socket.create_connection((host, int(port)), WAIT_S) as peer:
         peer.settimeout(WAIT_S)
         peer.sendall(PEERS[kind])
@@ -300,7 +299,7 @@
                     break
         except ConnectionResetError:
             pass
-    client = DeltaClient(arm.addresses[0], "interop/8")
+    client = DeltaClient(arm.controllers.addresses[0], "interop/8")
     client.until(routed)
     client.close()
     lines = log.read_text().splitlines()[before:]
@@ -317,7 +316,7 @@
 
 
 def test_a_flood_of_pings_that_reads_no_answers_is_cut_off(arm):
-    host, port = arm.addresses[0].split(":")
+    host, port = arm.controllers.addresses[0].split(":")
     pings = PingFrame(0, b"12345678").serialize() * 4000
     with socket.create_connection((host, int(port)), WAIT_S) as peer:
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -330,7 +329,7 @@
 
 def test_a_proxy_that_reads_nothing_costs_its_own_stream_alone(arm):
     """Its stream is ended when it acknowledges nothing; drains reach the others meanwhile."""
-    stuck = GrpcClient(arm.addresses[0], 1000.0)
+    stuck = GrpcClient(arm.controllers.addresses[0], 1000.0)
     stuck.queue.maxsize = 1
     stream = stuck.open(DELTA)
     first = discovery_pb2.DeltaDiscoveryRequest(type_url=CDS)
@@ -339,9 +338,9 @@
     for url, names in ((LEDS, [EJECTED_COLLECTION]), (EDS, ["table-0"])):
         request = discovery_pb2.DeltaDiscoveryRequest(type_url=url, resource_names_subscribe=names)
         stuck.send(stream, request.SerializeToString())
-    client = DeltaClient(arm.addresses[0], "interop/9")
+    client = DeltaClient(arm.controllers.addresses[0], "interop/9")
     client.until(routed)
-    number = arm.made.endpoints[2]["id"]
+    number = arm.plan.endpoints[2].number
     change(arm, number, "terminating")
     client.until(lambda c: any(name.endswith(f"withdrawn/{number}") for name in c.names(LEDS)))
     change(arm, number, "in_service")
