--- a/quillstep/controller/event_codec.py
+++ b/quillstep/controller/event_codec.py
@@ -11,8 +11,8 @@
 from quillstep.controller.decision_loop import ControllerEvent
 from quillstep.controller.events import EndpointListReceived
 from quillstep.files.events import AcknowledgementRead, FileEvent, GenerationWritten, LoadReportRead, RegistrationRead
+from quillstep.files.proxy_generations import PendingGeneration
 from quillstep.files.registration import RegisteredProxy, Registration
-from quillstep.files.writer import PendingGeneration
 from quillstep.load_reports.events import ReportsSummarized
 from quillstep.load_reports.summary import ReportSummary
 from quillstep.planner.messages import EndpointEntry, HealthCheckResult
--- a/quillstep/files/events.py
+++ b/quillstep/files/events.py
@@ -1,12 +1,9 @@
 """Events that the file front's own threads hand to the deciding thread."""
 
-from __future__ import annotations
+from typing import NamedTuple
 
-from typing import TYPE_CHECKING, NamedTuple
-
-if TYPE_CHECKING:
-    from quillstep.files.registration import RegisteredProxy
-    from quillstep.files.writer import PendingGeneration
+from quillstep.files.proxy_generations import PendingGeneration
+from quillstep.files.registration import RegisteredProxy
 
 
 class RegistrationRead(NamedTuple):
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -13,10 +13,10 @@
 from quillstep.files.disk import Disk, read_ack
 from quillstep.files.events import AcknowledgementRead, FileEvent, GenerationWritten, LoadReportRead, RegistrationRead
 from quillstep.files.generation_files import GenerationEncoder, encode_manifest
-from quillstep.files.proxy_generations import Generation, ProxyGenerations
+from quillstep.files.proxy_generations import Generation, PendingGeneration, ProxyGenerations
 from quillstep.files.registration import RegisteredProxy
 from quillstep.files.watcher import DirectoryWatcher
-from quillstep.files.writer import GenerationWriter, PendingGeneration
+from quillstep.files.writer import GenerationWriter
 from quillstep.routing import Key, Tables
 from quillstep.xds import resources
 from quillstep.xds.load_stats import Hooks, read_report
--- a/quillstep/files/proxy_generations.py
+++ b/quillstep/files/proxy_generations.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from quillstep.files.generation_files import RAW
+from quillstep.files.generation_files import RAW, GenerationFile
 from quillstep.routing import Change, Key, Nack, ProxyState, Resource, Tables
 from quillstep.routing.resources import CLUSTER, ROUTES
 
@@ -150,6 +150,18 @@
         return {self.number, self.accepted_number}
 
 
+class PendingGeneration(NamedTuple):
+    """A generation on its way to the disk."""
+
+    directory: str
+    generations: ProxyGenerations
+    generation: Generation
+    files: list[GenerationFile]
+    manifest: bytes
+    keep: set[int]  # other generations that stay on disk
+    size_bytes: int  # of what has changed
+
+
 def _apply(resources: dict[Key, Resource], changes: list[Change]) -> tuple[dict[Key, Resource], list[Change]]:
     """A set with the changes in it; no changes where they would leave routes to a table that is not there.
 
--- a/quillstep/files/writer.py
+++ b/quillstep/files/writer.py
@@ -4,29 +4,15 @@
 import threading
 import time
 from collections.abc import Callable
-from typing import NamedTuple
 
 from quillstep.files.disk import Disk, UnusableFileError
 from quillstep.files.events import GenerationWritten
-from quillstep.files.generation_files import GenerationFile
-from quillstep.files.proxy_generations import Generation, ProxyGenerations
+from quillstep.files.proxy_generations import PendingGeneration
 
 MAX_BATCH = 512  # generations between two syncs
 CLEANUP_SWAPS = 2000  # between two cleanups of files that no generation links
 
 
-class PendingGeneration(NamedTuple):
-    """A generation on its way to the disk."""
-
-    directory: str
-    generations: ProxyGenerations
-    generation: Generation
-    files: list[GenerationFile]
-    manifest: bytes
-    keep: set[int]  # other generations that stay on disk
-    size_bytes: int  # of what has changed
-
-
 class GenerationWriter:
     """Writes the generations of its queue; `put` gets an event for each that is written or has failed."""
 
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -17,7 +17,7 @@
 from quillstep.controller.event_codec import ORDERS, SENT, STEP, EventDecoder
 from quillstep.files.disk import Disk
 from quillstep.files.events import FileEvent
-from quillstep.files.writer import PendingGeneration
+from quillstep.files.proxy_generations import PendingGeneration
 from quillstep.recording import Header, Record, record_of
 from quillstep.xds.server import Peer, Server
 
