--- a/quillstep/testbed/discovery_server.py
+++ b/quillstep/testbed/discovery_server.py
@@ -1,7 +1,7 @@
-"""A stand-in roster: xDS endpoint discovery of the whole fleet as one collection, late by its settings.
+"""A stand-in for xDS endpoint discovery: the whole fleet as one collection, delayed by its settings.
 
-It knows what its parent tells it, and tells each subscriber each change after a time drawn for it, in sequence.
-It writes down when it told whom of what.
+Its parent sends it each change of an endpoint; it sends the change to each subscriber after a delay drawn for it, in
+order, and logs what it sent to whom.
 """
 
 import heapq
@@ -18,96 +18,111 @@
 from quillstep.testbed.process import STACK_BYTES, EventLog, answer, now_ms, read_setup, serve
 from quillstep.xds.events import StreamEnded, StreamEvent, StreamRequest
 from quillstep.xds.resources import LEDS
-from quillstep.xds.server import DELTA, Peer, Server
+from quillstep.xds.server import Peer, Server
 
-FLEET = "xdstp://roster/envoy.config.endpoint.v3.LbEndpoint/fleet/"
-STATUS = {"in_service": health_check_pb2.HEALTHY, "terminating": health_check_pb2.DRAINING}
+COLLECTION = "xdstp://roster/envoy.config.endpoint.v3.LbEndpoint/fleet/"
+HEALTH_STATUS = {"in_service": health_check_pb2.HEALTHY, "terminating": health_check_pb2.DRAINING}
+MAX_QUEUED_EVENTS = 4096
+MAX_WAIT_S = 1.0
+WEIGHT_UNITS = 100  # of the wire's whole numbers, for a listed weight of 1
+MIN_DELAY, MAX_DELAY = 0.5, 1.5  # of a change, relative to the settings' delay
 
 
 class Subscriber:
-    """One pilot's stream: what it holds, and when its next news may be told."""
+    """One controller's stream: the versions that it holds, and when its next change may be sent at the earliest."""
 
-    def __init__(self, peer: Peer, stream: int, node: str) -> None:
+    def __init__(self, peer: Peer, stream: int, node: str, held_versions: dict[str, str]) -> None:
         self.peer, self.stream, self.node = peer, stream, node
-        self.held: dict[str, str] = {}
-        self.ready_ms = 0.0
+        self.held_versions = held_versions  # by resource name
+        self.next_due_ms = 0.0
         self.nonce = 0
 
 
 class EndpointChanged(NamedTuple):
-    """The parent says what an endpoint is from now on."""
+    """The parent's command: what an endpoint is from now on."""
 
     row: dict[str, Any]
 
 
+class PendingChange(NamedTuple):
+    """A change that is to be sent later; ordered by time, then by number."""
+
+    due_ms: float
+    number: int
+    subscriber: Subscriber
+    endpoints: list[int]
+
+
 class DiscoveryServer:
-    """The list, its subscribers and the news under way."""
+    """The endpoint list, its subscribers and the changes under way; all belong to the thread that calls `run`."""
 
     def __init__(self, setup: dict[str, Any]) -> None:
+        """Listen, and answer the parent with the address."""
         threading.stack_size(STACK_BYTES)
-        self.late_ms = setup["late_ms"]
-        self.draw = random.Random(setup["seed"]).uniform
+        self.delay_ms = setup["late_ms"]
+        self.draw_uniform = random.Random(setup["seed"]).uniform
         self.record = EventLog(setup["record"])
-        self.list: dict[int, dict[str, Any]] = {row["id"]: dict(row, version=1) for row in setup["endpoints"]}
+        self.endpoints: dict[int, dict[str, Any]] = {row["id"]: dict(row, version=1) for row in setup["endpoints"]}
         self.subscribers: dict[tuple[Peer, int], Subscriber] = {}
-        self.later: list[tuple[float, int, Subscriber, list[int]]] = []
-        self.counter = 0
-        self.inbox: queue.Queue[StreamEvent | EndpointChanged] = queue.Queue(4096)
-        self.server = Server(setup.get("listen", "127.0.0.1:0"), LimitSettings(), self.inbox.put)
+        self.pending: list[PendingChange] = []  # a heap
+        self.pending_count = 0  # of all changes so far
+        self.events: queue.Queue[StreamEvent | EndpointChanged] = queue.Queue(MAX_QUEUED_EVENTS)
+        self.server = Server(setup.get("listen", "127.0.0.1:0"), LimitSettings(), self.events.put)
         self.server.start()
         answer(ready=self.server.address)
 
     def run(self) -> None:
+        """Handle events and send pending changes, until the process ends."""
         while True:
-            wait = (self.later[0][0] - now_ms()) / 1000.0 if self.later else 1.0
+            wait_s = (self.pending[0].due_ms - now_ms()) / 1000.0 if self.pending else MAX_WAIT_S
             try:
-                self.take(self.inbox.get(timeout=max(0.0, min(1.0, wait))))
+                self._handle(self.events.get(timeout=max(0.0, min(MAX_WAIT_S, wait_s))))
             except queue.Empty:
                 pass
-            while self.later and self.later[0][0] <= now_ms():
-                _, _, subscriber, changed = heapq.heappop(self.later)
-                self.tell(subscriber, changed)
+            while self.pending and self.pending[0].due_ms <= now_ms():
+                change = heapq.heappop(self.pending)
+                self._send(change.subscriber, change.endpoints)
 
-    def take(self, event: StreamEvent | EndpointChanged) -> None:
+    def _handle(self, event: StreamEvent | EndpointChanged) -> None:
         match event:
             case EndpointChanged(row):
-                self.change(row)
+                self._change(row)
             case StreamEnded(peer, stream):
                 self.subscribers.pop((peer, stream), None)
             case StreamRequest(peer, stream, request):
-                known = self.subscribers.get((peer, stream))
-                if known is None and request.resource_names_subscribe:
-                    known = self.subscribers[peer, stream] = Subscriber(peer, stream, request.node.id)
-                    known.held = dict(request.initial_resource_versions)
-                    self.tell(known, list(self.list))
-
-    def change(self, row: dict[str, Any]) -> None:
-        """An endpoint is as the parent says from now on; each subscriber hears of it later."""
-        before = self.list.get(row["id"], {"version": 0})
-        self.list[row["id"]] = {**before, **row, "version": before["version"] + 1}
+                if (peer, stream) not in self.subscribers and request.resource_names_subscribe:
+                    held_versions = dict(request.initial_resource_versions)
+                    subscriber = Subscriber(peer, stream, request.node.id, held_versions)
+                    self.subscribers[peer, stream] = subscriber
+                    self._send(subscriber, list(self.endpoints))
+
+    def _change(self, row: dict[str, Any]) -> None:
+        before = self.endpoints.get(row["id"], {"version": 0})
+        self.endpoints[row["id"]] = {**before, **row, "version": before["version"] + 1}
         self.record.put(what="change", at=now_ms(), endpoint=row["id"], state=row.get("state"))
         for subscriber in self.subscribers.values():
-            # News keeps its sequence, so none is earlier than the one before.
-            at = max(subscriber.ready_ms, now_ms() + self.draw(0.5, 1.5) * self.late_ms)
-            subscriber.ready_ms = at
-            self.counter += 1
-            heapq.heappush(self.later, (at, self.counter, subscriber, [row["id"]]))
-
-    def tell(self, subscriber: Subscriber, changed: list[int]) -> None:
+            # Changes keep their order: none is sent earlier than the one before.
+            delay_ms = self.draw_uniform(MIN_DELAY, MAX_DELAY) * self.delay_ms
+            subscriber.next_due_ms = max(subscriber.next_due_ms, now_ms() + delay_ms)
+            self.pending_count += 1
+            change = PendingChange(subscriber.next_due_ms, self.pending_count, subscriber, [row["id"]])
+            heapq.heappush(self.pending, change)
+
+    def _send(self, subscriber: Subscriber, endpoints: list[int]) -> None:
         if (subscriber.peer, subscriber.stream) not in self.subscribers:
             return
         subscriber.nonce += 1
         response = discovery_pb2.DeltaDiscoveryResponse(type_url=LEDS, nonce=str(subscriber.nonce))
-        for number in changed:
-            row = self.list[number]
-            name, version = f"{FLEET}{number}", str(row["version"])
+        for number in endpoints:
+            row = self.endpoints[number]
+            name, version = f"{COLLECTION}{number}", str(row["version"])
             if row["state"] == "terminated":
-                subscriber.held.pop(name, None)
+                subscriber.held_versions.pop(name, None)
                 response.removed_resources.append(name)
-            elif subscriber.held.get(name) != version:
-                subscriber.held[name] = version
+            elif subscriber.held_versions.get(name) != version:
+                subscriber.held_versions[name] = version
                 resource = response.resources.add(name=name, version=version)
-                resource.resource.Pack(line_of(row))
+                resource.resource.Pack(make_resource(row))
             else:
                 continue
             self.record.put(
@@ -117,26 +132,26 @@
         subscriber.peer.send(subscriber.stream, response.SerializeToString())
 
 
-def line_of(row: dict[str, Any]) -> endpoint_components_pb2.LbEndpoint:
-    line = endpoint_components_pb2.LbEndpoint(health_status=STATUS[row["state"]])
-    address = line.endpoint.address.socket_address
+def make_resource(row: dict[str, Any]) -> endpoint_components_pb2.LbEndpoint:
+    """Return an endpoint of the list as its xDS resource."""
+    resource = endpoint_components_pb2.LbEndpoint(health_status=HEALTH_STATUS[row["state"]])
+    address = resource.endpoint.address.socket_address
     address.address, address.port_value = "127.0.0.1", row["port"]
-    line.load_balancing_weight.value = max(1, round(row["listed"] * 100))
-    fields = line.metadata.filter_metadata["quillstep"].fields
+    resource.load_balancing_weight.value = max(1, round(row["listed"] * WEIGHT_UNITS))
+    fields = resource.metadata.filter_metadata["quillstep"].fields
     fields["id"].number_value = row["id"]
     fields["zone"].string_value = row["zone"]
     if row.get("started_ms"):
         fields["started_ms"].number_value = row["started_ms"]
-    return line
+    return resource
 
 
 def main() -> None:
-    roster = DiscoveryServer(read_setup())
-    threading.Thread(target=roster.run, daemon=True).start()
-    serve(lambda command: roster.inbox.put(EndpointChanged(command)), roster.record)
-
+    """Serve the list that the parent sets up."""
+    discovery = DiscoveryServer(read_setup())
+    threading.Thread(target=discovery.run, name="discovery", daemon=True).start()
+    serve(lambda command: discovery.events.put(EndpointChanged(command)), discovery.record)
 
-__all__ = ["DELTA", "DiscoveryServer", "main"]
 
 if __name__ == "__main__":
     main()
