--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -19,6 +19,7 @@
 from quillstep.store.events import StoreEvent
 from quillstep.xds.events import StreamEvent
 from quillstep.xds.front import XdsFront
+from quillstep.xds.proxy_front import FrontContext
 
 ControllerEvent = StreamEvent | FileEvent | StoreEvent | EndpointListReceived | HealthCheckResult | ReportsSummarized
 
@@ -37,14 +38,14 @@
         disk: Any = None,
     ) -> None:
         self.core = ControllerCore(record)
-        ordered = self.core.ordered_ms
-        self.streams = XdsFront(record, self.core.tables, self.core, epoch, ordered, tap)
+        context = FrontContext(record, self.core.tables, self.core, epoch, self.core.ordered_ms, tap)
+        self.streams = XdsFront(context)
         self.fronts: list[Any] = [self.streams]
         self.tap = tap
         self.log = structlog.get_logger("pilot")
         self.files: FileFront | None = None
         if record.files.root:
-            self.files = FileFront(record, self.core.tables, self.core, epoch, ordered, tap, put, disk)
+            self.files = FileFront(context, put, disk)
             self.fronts.append(self.files)
         self.handlers: dict[type, Callable[[Any, float], None]] = {
             **dict.fromkeys(get_args(StreamEvent), self.streams.handle_event),
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -9,7 +9,6 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.config.controller import ControllerSettings
 from quillstep.files.disk import Disk, read_ack
 from quillstep.files.events import AcknowledgementRead, FileEvent, GenerationWritten, LoadReportRead, RegistrationRead
 from quillstep.files.generation_files import GenerationEncoder, encode_manifest
@@ -17,10 +16,10 @@
 from quillstep.files.registration import RegisteredProxy
 from quillstep.files.watcher import DirectoryWatcher
 from quillstep.files.writer import GenerationWriter
-from quillstep.routing import Key, Tables
+from quillstep.routing import Key
 from quillstep.xds import resources
-from quillstep.xds.load_stats import Hooks, read_report
-from quillstep.xds.proxy_front import ProxyFront
+from quillstep.xds.load_stats import read_report
+from quillstep.xds.proxy_front import FrontContext, ProxyFront
 
 MAINTENANCE_SHARE = 0.25  # of the idle timeout
 MIN_RETRY_MS = 1.0
@@ -33,28 +32,11 @@
     while its queue is full.
     """
 
-    def __init__(
-        self,
-        settings: ControllerSettings,
-        tables: Tables,
-        hooks: Hooks,
-        epoch: str,
-        ordered_ms: Callable[[int], float],
-        tap: Callable[..., None],
-        put: Callable[[FileEvent], None],
-        disk: Disk | None = None,
-    ) -> None:
+    def __init__(self, context: FrontContext, put: Callable[[FileEvent], None], disk: Disk | None = None) -> None:
+        settings = context.settings
         self.file_settings = settings.files
-        super().__init__(
-            settings,
-            tables,
-            hooks,
-            epoch,
-            ordered_ms,
-            tap,
-            logger="files",
-            maintenance_interval_ms=MAINTENANCE_SHARE * settings.files.idle_timeout_ms,
-        )
+        interval_ms = MAINTENANCE_SHARE * settings.files.idle_timeout_ms
+        super().__init__(context, logger="files", maintenance_interval_ms=interval_ms)
         self.disk = disk or Disk(settings.files.root, settings.files.fsync)
         self.watcher = DirectoryWatcher(self.disk, settings.files, put)
         self.writer = GenerationWriter(self.disk, put)
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -1,18 +1,15 @@
 """The streaming front in the deciding thread: requests to ledgers, responses to peers, and the reports among them."""
 
-from collections.abc import Callable
 from typing import Any, NamedTuple
 
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from quillstep.config.controller import ControllerSettings
-from quillstep.routing import Tables
 from quillstep.routing.ack_latency import IN_TIME, AckDelay
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.events import StreamEnded, StreamEvent, StreamOpened
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED, UNAVAILABLE
-from quillstep.xds.load_stats import Hooks, life_of, load_request, read_report
-from quillstep.xds.proxy_front import ProxyFront
+from quillstep.xds.load_stats import life_of, load_request, read_report
+from quillstep.xds.proxy_front import FrontContext, ProxyFront
 from quillstep.xds.server import DELTA, LOAD, Peer, Server
 from quillstep.xds.sotw import SotwStream
 from quillstep.xds.stream import Response, StreamError
@@ -33,25 +30,8 @@
 class XdsFront(ProxyFront):
     """All streams of one controller."""
 
-    def __init__(
-        self,
-        settings: ControllerSettings,
-        tables: Tables,
-        hooks: Hooks,
-        epoch: str,
-        ordered_ms: Callable[[int], float],
-        tap: Callable[..., None],
-    ) -> None:
-        super().__init__(
-            settings,
-            tables,
-            hooks,
-            epoch,
-            ordered_ms,
-            tap,
-            logger="xds",
-            maintenance_interval_ms=MAINTENANCE_INTERVAL_MS,
-        )
+    def __init__(self, context: FrontContext) -> None:
+        super().__init__(context, logger="xds", maintenance_interval_ms=MAINTENANCE_INTERVAL_MS)
         self.server: Server | None = None
         self.streams: dict[StreamKey, DiscoveryStream] = {}
         self.by_proxy: dict[int, StreamKey] = {}  # where each proxy's stream is
--- a/quillstep/xds/proxy_front.py
+++ b/quillstep/xds/proxy_front.py
@@ -4,7 +4,7 @@
 """
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import structlog
 
@@ -19,35 +19,30 @@
 MAX_REASON = 500  # characters of a proxy's reason that are logged
 
 
+class FrontContext(NamedTuple):
+    """What every front needs of its controller."""
+
+    settings: ControllerSettings
+    tables: Tables  # what each proxy should hold
+    hooks: Hooks
+    epoch: str  # the controller's incarnation, in nonces and versions
+    ordered_ms: Callable[[int], float]  # when a revision of the tables was made
+    tap: Callable[..., None]  # records what passes between controller and proxies
+
+
 class ProxyFront:
     """The proxies of one front; belongs to the deciding thread."""
 
-    def __init__(
-        self,
-        settings: ControllerSettings,
-        tables: Tables,
-        hooks: Hooks,
-        epoch: str,
-        ordered_ms: Callable[[int], float],
-        tap: Callable[..., None],
-        *,
-        logger: str,
-        maintenance_interval_ms: float,
-    ) -> None:
+    def __init__(self, context: FrontContext, *, logger: str, maintenance_interval_ms: float) -> None:
         """A front without proxies.
 
         Args:
-            settings: The controller's.
-            tables: What each proxy should hold.
-            hooks: The controller, as fronts see it.
-            epoch: The controller's incarnation, in nonces and versions.
-            ordered_ms: When a revision of the tables was made.
-            tap: Records what passes between controller and proxies.
+            context: The controller's side.
             logger: Name of the front's logger.
             maintenance_interval_ms: Time between two checks for proxies that have stopped answering.
         """
-        self.settings, self.tables, self.hooks, self.epoch = settings, tables, hooks, epoch
-        self.ordered_ms, self.tap = ordered_ms, tap
+        self.settings, self.tables, self.hooks, self.epoch, self.ordered_ms, self.tap = context
+        settings = context.settings
         self.encoder = resources.Encoder(settings.fleet.classes, settings.fleet.proxies.attempt_timeout_factor)
         self.nodes: dict[int, str] = {}  # names of proxies
         self.retry_ms: dict[int, float] = {}  # when to try again to send to a proxy
--- a/tests/files/test_front.py
+++ b/tests/files/test_front.py
@@ -16,6 +16,7 @@
 from quillstep.files.generation_files import read_resources
 from quillstep.routing.resources import EJECTED, ROUTES, WEIGHT
 from quillstep.testbed.file_subscriber import read_generation
+from quillstep.xds.proxy_front import FrontContext
 
 WAIT_S = 20.0
 
@@ -32,7 +33,8 @@
         self.taps = []
         core = self.pilot.core
         disk = Disk(str(root), fsync=False, step=step)
-        self.front = FileFront(record, core.tables, core, "e", core.ordered_ms, self.tap, self.put, disk)
+        context = FrontContext(record, core.tables, core, "e", core.ordered_ms, self.tap)
+        self.front = FileFront(context, self.put, disk)
         self.front.start()
 
     def tap(self, what, at_ms, **fields):
