--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -85,9 +85,9 @@
     """Both kinds of rollbacks on one fleet, one after the other."""
     day = day_of(proxies, 0.5 * proxies, 3.0, 1)
     scale = max(1.0, proxies / 262.0)
-    channel = day.fleet.channel.model_copy(update={"lines_per_s": 3900.0 * scale, "lines_waiting_most": 7000.0 * scale})
+    channel = day.fleet.channel.model_copy(update={"lines_per_s": 3900.0 * scale, "max_queued_lines": 7000.0 * scale})
     day = day.model_copy(update={
-        "fleet": day.fleet.model_copy(update={"channel": channel}), "troubles": [],
+        "fleet": day.fleet.model_copy(update={"channel": channel}), "faults": [],
         "store": StoreSettings(folder="store"),
     })  # fmt: skip
     arm = Arm(day, plan_scenario(day), "learnt", folder)
