--- a/quillstep/cli/scenario.py
+++ b/quillstep/cli/scenario.py
@@ -33,10 +33,10 @@
     except ConfigError as error:
         fail(error)
     from quillstep.testbed.scenarios.child_processes import ChildError
-    from quillstep.testbed.scenarios.runner import play_day
+    from quillstep.testbed.scenarios.runner import play_scenario
 
     try:
-        result = play_day(record, Path(folder), list(arms) or None)
+        result = play_scenario(record, Path(folder), list(arms) or None)
     except ChildError as error:
         fail(error, status=1)
     _print_summary(result)
--- a/quillstep/testbed/scenarios/runner.py
+++ b/quillstep/testbed/scenarios/runner.py
@@ -54,7 +54,7 @@
     return arm
 
 
-def play_day(scenario: ScenarioSettings, folder: Path, arms: list[str] | None = None) -> dict[str, Any]:
+def play_scenario(scenario: ScenarioSettings, folder: Path, arms: list[str] | None = None) -> dict[str, Any]:
     """Plays all arms at once, each below the folder, and returns the result as `quillstep scenario` prints it.
 
     Args:
