--- a/quillstep/bench/crash.py
+++ b/quillstep/bench/crash.py
@@ -1,7 +1,8 @@
-"""Kills a store's writer at its write points, one life after another on one store, and checks what is found after each.
+"""Kills a store's writer at its write points, one incarnation after another on one store, and checks what remains.
 
-Points are counted from a life's start: the begin of a commit, each row of it, just before it, just after it.  A commit
-is a version, what some proxies hold, and the pin: all of it or nothing must be there, and all that was told durable.
+Points are counted from an incarnation's start: the begin of a commit, each row of it, just before its end and just
+after.  A commit holds a version, the acknowledged updates of some proxies, and the pin: after a kill all of it or
+nothing must be there, and all that had been reported durable.
 """
 
 import os
@@ -24,95 +25,122 @@
     numbers_of,
 )
 
-COMMITS, PROXIES = 6, 3
-ROWS = PROXIES + 2
-POINTS = COMMITS * (ROWS + 3)
-LIFE_S = 20
-KEPT = 40  # versions that stay; a store that is killed again and again must not grow for ever
+COMMITS = 6  # of one incarnation
+PROXIES = 3
+ROWS_PER_COMMIT = PROXIES + 2
+POINTS = COMMITS * (ROWS_PER_COMMIT + 3)  # a begin and two ends of each commit
+MAX_INCARNATION_S = 20
+MAX_REPORT_BYTES = 65536
+NUMBER_BYTES = 8
+KEPT_VERSIONS = 40  # guards against a store that grows for ever while it is killed again and again
 
 
-def points(seed: int, count: int) -> Iterator[int]:
-    """All points forwards and backwards, then drawn ones."""
-    drawn = random.Random(seed).randint
+def kill_points(seed: int, count: int) -> Iterator[int]:
+    """Yields so many points, counted from 1: all forwards, all backwards, then drawn ones."""
+    draw = random.Random(seed).randint
     for at in range(count):
-        yield at + 1 if at < POINTS else 2 * POINTS - at if at < 2 * POINTS else drawn(1, POINTS)
-
-
-def commit_of(number: int) -> list[Entry]:
-    row = VersionRow(f"v{number}", 0, f"v{number - 1}", "module", "", 1000.0, "e", number, [(1, 10.0)], [(0, 5.0, 1)])
-    held = [
-        Entry(ACKNOWLEDGED_UPDATES, f"p{at}".encode(), AcknowledgedUpdate(f"p{at}", "e", number, 0.0))
-        for at in range(PROXIES)
-    ]
-    pin = Entry(PINS, number_key(0), PinRow(0, row.name, "op", 0.0))
-    return [Entry(VERSIONS, number_key(0, number), row), *held, pin]
-
-
-def life(folder: Path, kill_at: int, told: int) -> None:
-    """Commits in sequence; says in a pipe which are durable; ends itself at one of its write points."""
-    count = 0
-
-    def step(_: str) -> None:
-        nonlocal count
-        count += 1
-        if count == kill_at:
-            os.kill(os.getpid(), signal.SIGKILL)
+        if at < POINTS:
+            yield at + 1
+        elif at < 2 * POINTS:
+            yield 2 * POINTS - at
+        else:
+            yield draw(1, POINTS)
+
+
+def run(folder: Path, points: Iterable[int]) -> dict[str, Any]:
+    """Kills one incarnation at each point; stops at the first fault.
+
+    Returns:
+        The number of kills, the last commit found, and the fault, empty if there is none.
+    """
+    kills = commits = 0
+    fault = ""
+    for point in points:
+        durable = kill_incarnation(folder, point)
+        kills += 1
+        try:
+            store = Store(folder)
+            fault = find_fault(store, commits, durable)
+            commits = store.last_number(VERSIONS, number_key(0))
+            store.apply_retention(2000.0, KEPT_VERSIONS, 1e12, 0)
+            store.close()
+        except StoreError as error:
+            fault = str(error)
+        if fault:
+            fault = f"kill {kills} at point {point}: {fault}"
+            break
+    return {"kills": kills, "commits": commits, "fault": fault}
 
-    store = Store(folder, on_step=step)
-    begin = store.last_number(VERSIONS, number_key(0))
-    for number in range(begin + 1, begin + COMMITS + 1):
-        store.write(commit_of(number))
-        os.write(told, number.to_bytes(8, "big"))
 
+def kill_incarnation(folder: Path, point: int) -> int:
+    """Runs one incarnation in a process of its own until it ends itself at a point.
 
-def kill(folder: Path, kill_at: int) -> int:
-    """One life; the last commit that it told of, 0: none."""
-    read, write = os.pipe()
+    Returns:
+        The last commit that it reported durable; 0 if none.
+    """
+    read_end, write_end = os.pipe()
     pid = os.fork()
     if pid == 0:
-        signal.alarm(LIFE_S)  # a life that hangs is ended too: one more moment to be killed at
+        signal.alarm(MAX_INCARNATION_S)  # one that hangs is ended too: one more moment to be killed at
         try:
-            life(folder, kill_at, write)
+            write_commits(folder, point, write_end)
         finally:
             os._exit(0)
-    os.close(write)
+    os.close(write_end)
     os.waitpid(pid, 0)
-    told = os.read(read, 65536)
-    os.close(read)
-    return int.from_bytes(told[-8:], "big")
+    report = os.read(read_end, MAX_REPORT_BYTES)
+    os.close(read_end)
+    return int.from_bytes(report[-NUMBER_BYTES:], "big")
 
 
-def fault(store: Store, before: int, told: int) -> str:
-    """What is wrong with a store after a kill; empty: nothing."""
+def write_commits(folder: Path, point: int, report_fd: int) -> None:
+    """Writes commits in sequence and reports each that is durable; kills its own process at a write point."""
+    passed = 0
+
+    def count_point(_: str) -> None:
+        nonlocal passed
+        passed += 1
+        if passed == point:
+            os.kill(os.getpid(), signal.SIGKILL)
+
+    store = Store(folder, on_step=count_point)
     last = store.last_number(VERSIONS, number_key(0))
-    if not before <= last <= before + COMMITS or last < told or last > max(told, before) + 1:
-        return f"it stands at commit {last}, {before} stood before and {told} was told durable"
+    for number in range(last + 1, last + COMMITS + 1):
+        store.write(entries_of_commit(number))
+        os.write(report_fd, number.to_bytes(NUMBER_BYTES, "big"))
+
+
+def entries_of_commit(number: int) -> list[Entry]:
+    """The entries of one commit: a version, what each proxy has acknowledged, and a pin on the version."""
+    version = VersionRow(
+        f"v{number}", 0, f"v{number - 1}", "module", "", 1000.0, "e", number, [(1, 10.0)], [(0, 5.0, 1)]
+    )
+    entries = [Entry(VERSIONS, number_key(0, number), version)]
+    for at in range(PROXIES):
+        update = AcknowledgedUpdate(f"p{at}", "e", number, 0.0)
+        entries.append(Entry(ACKNOWLEDGED_UPDATES, f"p{at}".encode(), update))
+    entries.append(Entry(PINS, number_key(0), PinRow(0, version.name, "op", 0.0)))
+    return entries
+
+
+def find_fault(store: Store, before: int, durable: int) -> str:
+    """What is wrong with a store after a kill; empty if nothing is.
+
+    Args:
+        store: The store, opened again.
+        before: The last commit before the incarnation that was killed.
+        durable: The last commit that it reported durable.
+    """
+    last = store.last_number(VERSIONS, number_key(0))
+    if not before <= last <= before + COMMITS or last < durable or last > max(durable, before) + 1:
+        return f"the last commit is {last}, it was {before} before, and {durable} was reported durable"
     if not last:
         return ""
-    pins = [pin.name for _, pin in store.rows(PINS)]
-    if pins != [f"v{last}"] or {hold.revision for _, hold in store.rows(ACKNOWLEDGED_UPDATES)} != {last}:
+    pinned = [pin.name for _, pin in store.rows(PINS)]
+    revisions = {update.revision for _, update in store.rows(ACKNOWLEDGED_UPDATES)}
+    if pinned != [f"v{last}"] or revisions != {last}:
         return f"commit {last} is there in part"
     numbers = [numbers_of(key)[1] for key, _ in store.rows(VERSIONS)]
-    return "" if numbers == list(range(numbers[0], last + 1)) else "versions are missing in between"
-
-
-def run(folder: Path, at: Iterable[int]) -> dict[str, Any]:
-    """Kills at these points; stops at the first fault."""
-    found: dict[str, Any] = {"kills": 0, "commits": 0, "fault": ""}
-    before = 0
-    for kill_at in at:
-        told = kill(folder, kill_at)
-        found["kills"] += 1
-        try:
-            store = Store(folder)
-            found["fault"] = fault(store, before, told)
-            before = store.last_number(VERSIONS, number_key(0))
-            store.apply_retention(2000.0, KEPT, 1e12, 0)
-            store.close()
-        except StoreError as trouble:
-            found["fault"] = str(trouble)
-        if found["fault"]:
-            found["fault"] = f"kill {found['kills']} at point {kill_at}: {found['fault']}"
-            break
-    found["commits"] = before
-    return found
+    if numbers != list(range(numbers[0], last + 1)):
+        return "versions are missing in between"
+    return ""
--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -4,12 +4,12 @@
 table), `files whole` (a table is one file).  Each is a played day at one size with the same script.
 """
 
-import platform
 import statistics
 from collections import defaultdict
 from pathlib import Path
 from typing import Any
 
+from quillstep.bench.results import machine_name
 from quillstep.bench.streams import day_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
@@ -86,6 +86,6 @@
     rows = [measure(name, size, exchanges_per_s * size / most, seconds, folder) for size in sizes for name in ARMS]
     return {
         "bench": "fronts",
-        "machine": f"{platform.machine()}, Python {platform.python_version()}",
+        "machine": machine_name(),
         "rows": rows,
     }
--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -6,10 +6,10 @@
 """
 
 import json
-import platform
 from pathlib import Path
 from typing import Any
 
+from quillstep.bench.results import machine_name
 from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, day_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
@@ -140,5 +140,5 @@
 ) -> dict[str, Any]:
     """All sizes by all ways, one after another."""
     rows = [measure(size, way, exchanges_per_s, spans, folder, more) for size in sizes for way in ways]
-    machine = f"{platform.machine()}, Python {platform.python_version()}"
+    machine = machine_name()
     return {"bench": "reports", "machine": machine, "rows": rows}
--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -3,13 +3,13 @@
 The days are played first, with captures; then everything is measured on one core.
 """
 
-import platform
 import resource
 import time
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 from typing import Any
 
+from quillstep.bench.results import machine_name
 from quillstep.bench.streams import day_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.recording import lives, read_life
@@ -137,6 +137,6 @@
     rows += [fidelity(kind, each) for kind, each in zip(KINDS, folders, strict=True)]
     return {
         "bench": "replay",
-        "machine": f"{platform.machine()}, Python {platform.python_version()}",
+        "machine": machine_name(),
         "rows": rows,
     }
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -7,14 +7,15 @@
 """
 
 import json
-import platform
 import time
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 from shutil import rmtree
 from typing import Any
 
-from quillstep.bench import crash as killing
+from quillstep.bench.crash import kill_points
+from quillstep.bench.crash import run as run_kills
+from quillstep.bench.results import machine_name
 from quillstep.bench.streams import day_of
 from quillstep.config.controller import StoreSettings
 from quillstep.config.scenario import ScenarioSettings
@@ -217,7 +218,7 @@
 def run(sizes: list[int], seeds: int, seconds: float, kills: int, folder: Path) -> dict[str, Any]:
     """All of it, one after another."""
     rmtree(folder / "kills", ignore_errors=True)
-    killed = killing.run(folder / "kills", killing.points(1, kills))
+    killed = run_kills(folder / "kills", kill_points(1, kills))
     costs = cost(folder, max(size for size in sizes if size <= 262), seconds)
     back = [rollbacks(size, folder / f"rollback-{size}") for size in sizes]
     crashes = []
@@ -232,7 +233,7 @@
         return round(sum(values) / len(values), 4)
 
     return {
-        "bench": "store", "machine": f"{platform.machine()}, Python {platform.python_version()}", "rows": rows,
+        "bench": "store", "machine": machine_name(), "rows": rows,
         "cpu_store_over_without": round(costs[1]["pilot_cpu_of_a_core"] / costs[0]["pilot_cpu_of_a_core"], 3),
         "service_after_crash": {arm: mean(arm, "service_after") for arm in ("store", "without")},
         "right_again_ms": {arm: mean(arm, "right_again_ms") for arm in ("store", "without")},
--- a/quillstep/bench/streams.py
+++ b/quillstep/bench/streams.py
@@ -3,11 +3,11 @@
 Each size is one played day with real sockets; figures come from the sockets' record and from the processes' CPU time.
 """
 
-import platform
 from collections import defaultdict
 from pathlib import Path
 from typing import Any
 
+from quillstep.bench.results import machine_name
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_drain_ms, longest_queue
 from quillstep.testbed.scenarios.runner import play_arm
@@ -107,6 +107,6 @@
     rows = [measure(size, exchanges_per_s * size / most, seconds, pilots, folder) for size in sizes]
     return {
         "bench": "streams",
-        "machine": f"{platform.machine()}, Python {platform.python_version()}",
+        "machine": machine_name(),
         "rows": rows,
     }
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -5,11 +5,11 @@
 apply slowly and lose a pilot, is played with and without spreading.
 """
 
-import platform
 from collections import Counter, defaultdict
 from pathlib import Path
 from typing import Any
 
+from quillstep.bench.results import machine_name
 from quillstep.bench.streams import day_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, Rule, check_invariants
@@ -146,7 +146,7 @@
     model = check_all(depth)
     traced = [row for row in rows if "untraced" in row]
     return {
-        "bench": "lineage", "machine": f"{platform.machine()}, Python {platform.python_version()}",
+        "bench": "lineage", "machine": machine_name(),
         "proxies": proxies, "rows": rows, "slow": slow, "model": model,
         "cpu_record_over_bare": round(cpu["record"] / max(1e-9, cpu["bare"]), 3),
         "cpu_spans_over_record": round(cpu["spans"] / max(1e-9, cpu["record"]), 3),
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -143,7 +143,7 @@
 
 
 def test_a_writer_killed_at_any_write_point_leaves_all_of_a_commit_or_nothing(tmp_path):
-    found = crash.run(tmp_path / "s", crash.points(1, 250))
+    found = crash.run(tmp_path / "s", crash.kill_points(1, 250))
     assert found["fault"] == "" and found["kills"] == 250 and found["commits"] > 400
 
 
@@ -153,17 +153,17 @@
     whole = Store.write
 
     def write(self, entries):
-        if len(entries) == crash.ROWS and twin == "two commits":
+        if len(entries) == crash.ROWS_PER_COMMIT and twin == "two commits":
             whole(self, entries[:1])
             whole(self, entries[1:])
-        elif len(entries) == crash.ROWS and self.late:
+        elif len(entries) == crash.ROWS_PER_COMMIT and self.late:
             whole(self, self.late.pop())
             self.late.append(entries)
-        elif len(entries) == crash.ROWS:
+        elif len(entries) == crash.ROWS_PER_COMMIT:
             self.late.append(entries)
         else:
             whole(self, entries)
 
     monkeypatch.setattr(Store, "late", property(lambda self: self.__dict__.setdefault("kept", [])), raising=False)
     monkeypatch.setattr(Store, "write", write)
-    assert crash.run(tmp_path / "s", crash.points(1, 150))["fault"]
+    assert crash.run(tmp_path / "s", crash.kill_points(1, 150))["fault"]
