--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -7,14 +7,15 @@
 """
 
 import json
-import platform
 import time
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 from shutil import rmtree
 from typing import Any
 
-from quillstep.bench import crash as killing
+from quillstep.bench.crash import kill_points
+from quillstep.bench.crash import run as run_kills
+from quillstep.bench.results import machine_name
 from quillstep.bench.streams import day_of
 from quillstep.config.controller import StoreSettings
 from quillstep.config.scenario import ScenarioSettings
@@ -85,9 +86,9 @@
     """Both kinds of rollbacks on one fleet, one after the other."""
     day = day_of(proxies, 0.5 * proxies, 3.0, 1)
     scale = max(1.0, proxies / 262.0)
-    channel = day.fleet.channel.model_copy(update={"lines_per_s": 3900.0 * scale, "lines_waiting_most": 7000.0 * scale})
+    channel = day.fleet.channel.model_copy(update={"lines_per_s": 3900.0 * scale, "max_queued_lines": 7000.0 * scale})
     day = day.model_copy(update={
-        "fleet": day.fleet.model_copy(update={"channel": channel}), "troubles": [],
+        "fleet": day.fleet.model_copy(update={"channel": channel}), "faults": [],
         "store": StoreSettings(folder="store"),
     })  # fmt: skip
     arm = Arm(day, plan_scenario(day), "learnt", folder)
@@ -217,7 +218,7 @@
 def run(sizes: list[int], seeds: int, seconds: float, kills: int, folder: Path) -> dict[str, Any]:
     """All of it, one after another."""
     rmtree(folder / "kills", ignore_errors=True)
-    killed = killing.run(folder / "kills", killing.points(1, kills))
+    killed = run_kills(folder / "kills", kill_points(1, kills))
     costs = cost(folder, max(size for size in sizes if size <= 262), seconds)
     back = [rollbacks(size, folder / f"rollback-{size}") for size in sizes]
     crashes = []
@@ -232,7 +233,7 @@
         return round(sum(values) / len(values), 4)
 
     return {
-        "bench": "store", "machine": f"{platform.machine()}, Python {platform.python_version()}", "rows": rows,
+        "bench": "store", "machine": machine_name(), "rows": rows,
         "cpu_store_over_without": round(costs[1]["pilot_cpu_of_a_core"] / costs[0]["pilot_cpu_of_a_core"], 3),
         "service_after_crash": {arm: mean(arm, "service_after") for arm in ("store", "without")},
         "right_again_ms": {arm: mean(arm, "right_again_ms") for arm in ("store", "without")},
