--- a/quillstep/controller/event_codec.py
+++ b/quillstep/controller/event_codec.py
@@ -39,20 +39,20 @@
 
     def __init__(self) -> None:
         self._peer_numbers: dict[Peer, int] = {}
-        self._encoders: dict[type, Callable[[Any], Record]] = {
+        self._encoders: dict[type, Callable[[Any, float, float], Record]] = {
             StreamOpened: self._stream_opened,
             StreamRequest: self._stream_request,
             StreamEnded: self._stream_ended,
             EndpointListReceived: _endpoint_list,
-            HealthCheckResult: lambda event: ["probe", *event],
-            ReportsSummarized: lambda event: ["reports", *event],
+            HealthCheckResult: lambda event, arrived, taken: ["probe", arrived, taken, *event],
+            ReportsSummarized: lambda event, arrived, taken: ["reports", arrived, taken, *event],
             RegistrationRead: _registration,
-            AcknowledgementRead: lambda event: ["files", "ack", *event],
-            LoadReportRead: lambda event: ["files", "load", *event, 0.0],
+            AcknowledgementRead: lambda event, arrived, taken: ["files", arrived, taken, "ack", *event],
+            LoadReportRead: lambda event, arrived, taken: ["files", arrived, taken, "load", *event, 0.0],
             GenerationWritten: _generation_written,
             StoreOpened: _store_opened,
-            UpdatesStored: lambda event: ["store", "stored", event.number, []],
-            StoreLost: lambda event: ["store", "lost", event.reason, []],
+            UpdatesStored: lambda event, arrived, taken: ["store", arrived, taken, "stored", event.number, []],
+            StoreLost: lambda event, arrived, taken: ["store", arrived, taken, "lost", event.reason, []],
             OperatorRequest: _operator_request,
         }
 
@@ -62,44 +62,57 @@
 
     def encode(self, event: ControllerEvent, arrived_ms: float, taken_ms: float) -> Record:
         """An event as a record: its kind, both times, its fields."""
-        record = self._encoders[type(event)](event)
-        record[1:1] = (arrived_ms, taken_ms)
-        return record
+        return self._encoders[type(event)](event, arrived_ms, taken_ms)
 
-    def _stream_opened(self, event: StreamOpened) -> Record:
-        return ["open", self.peer_number(event.peer), event.stream, event.method]
+    def _stream_opened(self, event: StreamOpened, arrived: float, taken: float) -> Record:
+        return ["open", arrived, taken, self.peer_number(event.peer), event.stream, event.method]
 
-    def _stream_request(self, event: StreamRequest) -> Record:
-        return ["request", self.peer_number(event.peer), event.stream, "", event.data]
+    def _stream_request(self, event: StreamRequest, arrived: float, taken: float) -> Record:
+        return ["request", arrived, taken, self.peer_number(event.peer), event.stream, "", event.data]
 
-    def _stream_ended(self, event: StreamEnded) -> Record:
-        return ["end", self.peer_number(event.peer), event.stream, event.reason]
+    def _stream_ended(self, event: StreamEnded, arrived: float, taken: float) -> Record:
+        return ["end", arrived, taken, self.peer_number(event.peer), event.stream, event.reason]
 
 
-def _endpoint_list(event: EndpointListReceived) -> Record:
+def _endpoint_list(event: EndpointListReceived, arrived: float, taken: float) -> Record:
     addresses = [[endpoint, host, port] for endpoint, (host, port) in event.addresses.items()]
-    return ["roster", event.kind, [list(entry) for entry in event.entries], addresses]
+    return ["roster", arrived, taken, event.kind, [list(entry) for entry in event.entries], addresses]
 
 
-def _registration(event: RegistrationRead) -> Record:
+def _registration(event: RegistrationRead, arrived: float, taken: float) -> Record:
     content: Any = event.content
     if isinstance(content, RegisteredProxy):
         resources = [[list(key), resource.version, [*resource.content]] for key, resource in content.resources.items()]
         content = [msgspec.to_builtins(content.registration), content.newest, content.held, resources]
-    return ["files", "hello", event.directory, content, event.age_ms]
+    return ["files", arrived, taken, "hello", event.directory, content, event.age_ms]
 
 
-def _generation_written(event: GenerationWritten) -> Record:
+def _generation_written(event: GenerationWritten, arrived: float, taken: float) -> Record:
     pending = event.pending
-    return ["files", "written", pending.directory, [pending.generation.number, event.written_ms], event.error]
-
-
-def _store_opened(event: StoreOpened) -> Record:
-    return ["store", "opened", [event.wall_ms, event.versions], [list(pin) for pin in event.pins]]
-
-
-def _operator_request(event: OperatorRequest) -> Record:
-    return ["store", "wish", event.key, [event.kind, [list(target) for target in event.targets], event.operator]]
+    return [
+        "files",
+        arrived,
+        taken,
+        "written",
+        pending.directory,
+        [pending.generation.number, event.written_ms],
+        event.error,
+    ]
+
+
+def _store_opened(event: StoreOpened, arrived: float, taken: float) -> Record:
+    return ["store", arrived, taken, "opened", [event.wall_ms, event.versions], [list(pin) for pin in event.pins]]
+
+
+def _operator_request(event: OperatorRequest, arrived: float, taken: float) -> Record:
+    return [
+        "store",
+        arrived,
+        taken,
+        "wish",
+        event.key,
+        [event.kind, [list(target) for target in event.targets], event.operator],
+    ]
 
 
 class EventDecoder:
--- a/quillstep/xds/events.py
+++ b/quillstep/xds/events.py
@@ -1,11 +1,13 @@
 """Events that the xDS server hands to the deciding thread."""
 
-from typing import Any, NamedTuple
+from typing import Any
+
+import msgspec
 
 from quillstep.xds.http2 import GrpcPeer
 
 
-class StreamOpened(NamedTuple):
+class StreamOpened(msgspec.Struct, frozen=True, gc=False):
     """A peer has opened a stream of one of the served methods."""
 
     peer: GrpcPeer
@@ -13,7 +15,7 @@
     method: str
 
 
-class StreamRequest(NamedTuple):
+class StreamRequest(msgspec.Struct, frozen=True, gc=False):
     """A message has come on an open stream, as a protobuf message and as the bytes that were sent."""
 
     peer: GrpcPeer
@@ -22,7 +24,7 @@
     data: bytes
 
 
-class StreamEnded(NamedTuple):
+class StreamEnded(msgspec.Struct, frozen=True, gc=False):
     """A stream has ended, or its connection has."""
 
     peer: GrpcPeer
