--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from quillstep.bench.results import machine_name
-from quillstep.bench.streams import day_of
+from quillstep.bench.results import acknowledgement_times, machine_name
+from quillstep.bench.streams import scenario_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
 from quillstep.testbed.scenarios.runner import play_arm
@@ -26,7 +26,7 @@
 
 def answered(evidence: Evidence) -> dict[tuple[str, int], list[tuple[float, float]]]:
     """For each pilot's life and order: when it was ordered and when each proxy's acknowledgement came."""
-    acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.channel_rows if row["what"] == "ack"}
+    acks = acknowledgement_times(evidence)
     found: dict[tuple[str, int], list[tuple[float, float]]] = defaultdict(list)
     for row in evidence.channel_rows:
         if row["what"] == "send" and (row["proxy"], row["nonce"]) in acks:
@@ -61,7 +61,7 @@
 
 def measure(name: str, proxies: int, exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
     """One arm at one size."""
-    base = day_of(proxies, exchanges_per_s, seconds, 1).model_dump()
+    base = scenario_of(proxies, exchanges_per_s, seconds, 1).model_dump()
     day = ScenarioSettings.model_validate({**base, **ARMS[name], "name": f"{name} {proxies}"})
     arm = play_arm(day, folder / f"{name.replace(' ', '-')}-{proxies}")
     evidence = arm.evidence()
--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from quillstep.bench.results import machine_name
-from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, day_of
+from quillstep.bench.results import acknowledgement_times, machine_name
+from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, scenario_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
 from quillstep.testbed.scenarios.arm import Arm
@@ -30,7 +30,7 @@
 def scaled_day(proxies: int, way: str, exchanges_per_s: float, spans: int, more: dict[str, Any]) -> ScenarioSettings:
     """Spans with and without reports in turn, drains in each; the channel grows with the fleet."""
     seconds = SPAN_S * spans
-    base = day_of(proxies, exchanges_per_s, seconds, 1).model_dump()
+    base = scenario_of(proxies, exchanges_per_s, seconds, 1).model_dump()
     base["troubles"] = [
         {
             "at_s": SPAN_S * span + 1.0 + at * (SPAN_S - 3.5) / DRAINS_A_SPAN,
@@ -58,7 +58,7 @@
 def acknowledged(evidence: Evidence, begin_ms: float) -> tuple[list[float], list[float], list[float], list[float]]:
     """Milliseconds from the roster's word of a drain to each proxy's acknowledgement, and to the last of each drain:
     with reports, without."""
-    acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.channel_rows if row["what"] == "ack"}
+    acks = acknowledgement_times(evidence)
     each: tuple[list[float], list[float]] = ([], [])
     last: tuple[list[float], list[float]] = ([], [])
     drains = {
--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from quillstep.bench.results import machine_name
-from quillstep.bench.streams import day_of
+from quillstep.bench.streams import scenario_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.recording import lives, read_life
 from quillstep.replay.faithful import Replay
@@ -109,7 +109,7 @@
 
 def capture_cost(proxies: int, exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
     """The pilot's processor time with a capture over that without, the same day played twice in one run."""
-    plain = day_of(proxies, exchanges_per_s, seconds, 1)
+    plain = scenario_of(proxies, exchanges_per_s, seconds, 1)
     used = {}
     for capture in (False, True):
         day = ScenarioSettings.model_validate({**plain.model_dump(), "capture": capture})
@@ -124,7 +124,7 @@
 def run(proxies: int, exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
     """The large day first, then five small ones side by side."""
     large = ScenarioSettings.model_validate(
-        {**day_of(proxies, exchanges_per_s, seconds, 1).model_dump(), "capture": True}
+        {**scenario_of(proxies, exchanges_per_s, seconds, 1).model_dump(), "capture": True}
     )
 
     def played(kind: str) -> Path:
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -16,7 +16,7 @@
 from quillstep.bench.crash import kill_points
 from quillstep.bench.crash import run as run_kills
 from quillstep.bench.results import machine_name
-from quillstep.bench.streams import day_of
+from quillstep.bench.streams import scenario_of
 from quillstep.config.controller import StoreSettings
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import check_invariants, longest_drain_ms, longest_queue
@@ -84,7 +84,7 @@
 
 def rollbacks(proxies: int, folder: Path) -> dict[str, Any]:
     """Both kinds of rollbacks on one fleet, one after the other."""
-    day = day_of(proxies, 0.5 * proxies, 3.0, 1)
+    day = scenario_of(proxies, 0.5 * proxies, 3.0, 1)
     scale = max(1.0, proxies / 262.0)
     channel = day.fleet.channel.model_copy(update={"lines_per_s": 3900.0 * scale, "max_queued_lines": 7000.0 * scale})
     day = day.model_copy(update={
@@ -131,7 +131,7 @@
 
 def crash_day(recovery_trust_ms: float, seed: int) -> ScenarioSettings:
     """Slow endpoints that a pilot has learnt, its crash, and drains while it comes back."""
-    base = day_of(32, 150.0, KILL_S + DOWN_S + AFTER_S + 4.0, 1).model_dump()
+    base = scenario_of(32, 150.0, KILL_S + DOWN_S + AFTER_S + 4.0, 1).model_dump()
     for row in base["fleet"]["classes"]:
         row.update(agreed_ms=400.0, cut_off_ms=1500.0)
     base["endpoints"] = [{**base["endpoints"][0], "each_zone": 4}]
@@ -203,7 +203,7 @@
     """One day with and without a store: CPU of the pilot, commits, drains."""
     rows = []
     for kept in ("", "store"):
-        day = day_of(proxies, 3.0 * proxies, seconds, 1).model_copy(update={"store": StoreSettings(folder=kept)})
+        day = scenario_of(proxies, 3.0 * proxies, seconds, 1).model_copy(update={"store": StoreSettings(folder=kept)})
         arm = play_arm(day, folder / f"cost-{kept or 'none'}")
         evidence = arm.evidence()
         rows.append({
--- a/quillstep/bench/streams.py
+++ b/quillstep/bench/streams.py
@@ -1,15 +1,16 @@
-"""How many proxies a pilot carries, how soon a drain reaches the last, what a changed slot costs; on loopback.
+"""How many proxies a controller carries, how soon a drain reaches the last, what a changed slot costs; on loopback.
 
-Each size is one played day with real sockets; figures come from the sockets' record and from the processes' CPU time.
+Each size is one played scenario; figures come from the sockets' record and from the processes' CPU time.
 """
 
 from collections import defaultdict
 from pathlib import Path
 from typing import Any
 
-from quillstep.bench.results import machine_name
+from quillstep.bench.results import MAX_KEPT_VIOLATIONS, acknowledgement_times, machine_name
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_drain_ms, longest_queue
+from quillstep.invariants.evidence import Row
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 
@@ -18,13 +19,13 @@
 TIMES = {"agreed_ms": 1200.0, "cut_off_ms": 3000.0, "late_credit": 0.2}
 
 
-def day_of(proxies: int, exchanges_per_s: float, seconds: float, pilots: int) -> ScenarioSettings:
-    """A plain day at one size: three drains and a return, the rest is traffic."""
+def scenario_of(proxies: int, requests_per_s: float, seconds: float, controllers: int) -> ScenarioSettings:
+    """A plain scenario at one size: three drains, each with a return; the rest is traffic."""
     drains = [{"at_s": at, "for_s": 4.0, "what": "drain", "count": 1} for at in (seconds * k / 5 for k in (1, 2, 3))]
     return ScenarioSettings.model_validate({
-        "name": f"{proxies} proxies", "seed": 5, "seconds": seconds, "proxies": proxies, "pilots": pilots,
-        "warm_up_s": 4.0 + 24000.0 / 3900.0 * proxies / 262.0 / pilots * 2.5,
-        "proxy_processes": max(1, min(4, proxies // 16)), "exchanges_per_s": exchanges_per_s,
+        "name": f"{proxies} proxies", "seed": 5, "seconds": seconds, "proxies": proxies, "pilots": controllers,
+        "warm_up_s": 4.0 + 24000.0 / 3900.0 * proxies / 262.0 / controllers * 2.5,
+        "proxy_processes": max(1, min(4, proxies // 16)), "exchanges_per_s": requests_per_s,
         "fleet": {
             "zones": ZONES,
             "classes": [
@@ -42,71 +43,76 @@
 
 
 def drain_times(evidence: Evidence) -> list[float]:
-    """For each drain: milliseconds from the roster's word to a pilot to the last acknowledgement of its proxies."""
-    acks = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.channel_rows if row["what"] == "ack"}
-    held: dict[str, list[tuple[str, str, float]]] = defaultdict(list)  # resource: proxy, nonce
+    """For each drain and controller: from its notification to the last acknowledgement of its proxies, milliseconds."""
+    acks = acknowledgement_times(evidence)
+    ejections: dict[str, list[Row]] = defaultdict(list)  # updates that proxies applied, by the endpoint they eject
     for row in evidence.applied_updates:
-        for name, _ in row["changed"]:
-            if "/withdrawn/" in name:
-                held[name.rpartition("/")[2]].append((row["proxy"], row["nonce"], row["at"]))
-    found = []
-    for told in evidence.discovery_updates:
-        if told["state"] != "terminating":
+        for resource, _ in row["changed"]:
+            if "/withdrawn/" in resource:
+                ejections[resource.rpartition("/")[2]].append(row)
+    drains_ms = []
+    for update in evidence.discovery_updates:
+        if update["state"] != "terminating":
             continue
-        times = [
-            acks[proxy, nonce] - told["at"]
-            for proxy, nonce, at in held[str(told["endpoint"])]
-            if at >= told["at"] and nonce.startswith(f"{told['pilot']}-") and (proxy, nonce) in acks
-        ]
-        if times:
-            found.append(max(times))
-    return found
+        incarnations = f"{update['pilot']}-"
+        times_ms = []
+        for row in ejections[str(update["endpoint"])]:
+            acknowledged_ms = acks.get((row["proxy"], row["nonce"]))
+            is_later = row["at"] >= update["at"] and row["nonce"].startswith(incarnations)
+            if is_later and acknowledged_ms is not None:
+                times_ms.append(acknowledged_ms - update["at"])
+        if times_ms:
+            drains_ms.append(max(times_ms))
+    return drains_ms
 
 
-def line_costs(evidence: Evidence) -> dict[str, float]:
+def update_sizes(evidence: Evidence) -> dict[str, float]:
     """Bytes and lines of one changed slot, and of a whole table, as they went over the sockets."""
-    lines = [row for row in evidence.applied_updates if row["type"] == "LbEndpoint"]
-    single = [row["bytes"] for row in lines if len(row["changed"]) == 1 and not row["removed"]]
-    whole = [(row["bytes"], len(row["changed"])) for row in lines if len(row["changed"]) >= ENDPOINTS_A_ZONE]
-    if not single or not whole:
+    updates = [row for row in evidence.applied_updates if row["type"] == "LbEndpoint"]
+    slots = [row["bytes"] for row in updates if len(row["changed"]) == 1 and not row["removed"]]
+    tables = [row for row in updates if len(row["changed"]) >= ENDPOINTS_A_ZONE]
+    if not slots or not tables:
         return {}
-    size = sum(each for each, _ in whole) / len(whole)
+    slot_bytes = sum(slots) / len(slots)
+    table_bytes = sum(row["bytes"] for row in tables) / len(tables)
     return {
-        "slot_bytes": round(sum(single) / len(single), 1), "slot_lines": 1, "table_bytes": round(size, 1),
-        "table_lines": round(sum(count for _, count in whole) / len(whole), 1),
-        "bytes_ratio": round(size / (sum(single) / len(single)), 1),
-    }  # fmt: skip
+        "slot_bytes": round(slot_bytes, 1),
+        "slot_lines": 1,
+        "table_bytes": round(table_bytes, 1),
+        "table_lines": round(sum(len(row["changed"]) for row in tables) / len(tables), 1),
+        "bytes_ratio": round(table_bytes / slot_bytes, 1),
+    }
 
 
-def measure(proxies: int, exchanges_per_s: float, seconds: float, pilots: int, folder: Path) -> dict[str, Any]:
-    """One size, played once."""
-    day = day_of(proxies, exchanges_per_s, seconds, pilots)
-    arm = play_arm(day, folder / f"{proxies}")
+def measure(proxies: int, requests_per_s: float, seconds: float, controllers: int, folder: Path) -> dict[str, Any]:
+    """Plays one size once."""
+    scenario = scenario_of(proxies, requests_per_s, seconds, controllers)
+    arm = play_arm(scenario, folder / f"{proxies}")
     evidence = arm.evidence()
-    drains = drain_times(evidence)
+    drains_ms = drain_times(evidence)
     violations = check_invariants(evidence)
-    served = service_quality(day.fleet, evidence.requests)
-    sent = [row for row in evidence.channel_rows if row["what"] == "send"]
     return {
-        "proxies": proxies, "pilots": pilots, "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
-        "exchanges_per_s": round(len(evidence.requests) / seconds, 1), "service": served["service"],
-        "rules_broken": len(violations), "breaks": [violation.to_row() for violation in violations[:5]],
-        "drains": len(drains), "drain_to_last_ack_ms": round(max(drains, default=0.0), 1),
+        "proxies": proxies,
+        "pilots": controllers,
+        "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
+        "exchanges_per_s": round(len(evidence.requests) / seconds, 1),
+        "service": service_quality(scenario.fleet, evidence.requests)["service"],
+        "rules_broken": len(violations),
+        "breaks": [violation.to_row() for violation in violations[:MAX_KEPT_VIOLATIONS]],
+        "drains": len(drains_ms),
+        "drain_to_last_ack_ms": round(max(drains_ms, default=0.0), 1),
         "last_try_after_drain_ms": round(longest_drain_ms(evidence), 1),
         "pilot_cpu_ms_a_proxy_a_s": round(arm.controller_cpu_s * 1000.0 / arm.duration_s / proxies, 3),
-        "pilot_cpu_of_a_core": round(arm.controller_cpu_s / arm.duration_s / pilots, 3),
+        "pilot_cpu_of_a_core": round(arm.controller_cpu_s / arm.duration_s / controllers, 3),
         "stolen": round(arm.stolen_share, 3),
-        "longest_channel": round(longest_queue(evidence), 1), "responses": len(sent),
-        **line_costs(evidence),
-    }  # fmt: skip
+        "longest_channel": round(longest_queue(evidence), 1),
+        "responses": sum(row["what"] == "send" for row in evidence.channel_rows),
+        **update_sizes(evidence),
+    }
 
 
-def run(sizes: list[int], exchanges_per_s: float, seconds: float, pilots: int, folder: Path) -> dict[str, Any]:
-    """All sizes, one after another; traffic in proportion to the largest."""
-    most = max(sizes)
-    rows = [measure(size, exchanges_per_s * size / most, seconds, pilots, folder) for size in sizes]
-    return {
-        "bench": "streams",
-        "machine": machine_name(),
-        "rows": rows,
-    }
+def run(sizes: list[int], requests_per_s: float, seconds: float, controllers: int, folder: Path) -> dict[str, Any]:
+    """Plays all sizes, one after another; traffic is in proportion to the largest."""
+    largest = max(sizes)
+    rows = [measure(size, requests_per_s * size / largest, seconds, controllers, folder) for size in sizes]
+    return {"bench": "streams", "machine": machine_name(), "rows": rows}
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from quillstep.bench.results import machine_name
-from quillstep.bench.streams import day_of
+from quillstep.bench.streams import scenario_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, Rule, check_invariants
 from quillstep.model_checking.runner import check_all
@@ -27,7 +27,7 @@
 
 def traced_day(proxies: int, exchanges_per_s: float, seconds: float) -> ScenarioSettings:
     """The day of `bench streams`, with all that makes orders late or lost."""
-    base = day_of(proxies, exchanges_per_s, seconds, 1).model_dump()
+    base = scenario_of(proxies, exchanges_per_s, seconds, 1).model_dump()
     few = max(2, proxies // 20)
     part = seconds / 10.0
     base["troubles"] += [
@@ -44,7 +44,7 @@
 
 def slow_day(proxies: int, splits_updates: bool) -> ScenarioSettings:
     """Proxies that apply a line in 3 ms and move between two pilots, each of which learns slots of its own."""
-    base = day_of(proxies, 3.0 * proxies, 16.0, 2).model_dump()
+    base = scenario_of(proxies, 3.0 * proxies, 16.0, 2).model_dump()
     for row in base["fleet"]["classes"]:
         row.update(agreed_ms=400.0, cut_off_ms=1500.0)
     base["limits"]["spreads"] = splits_updates
