--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -52,8 +52,8 @@
             **dict.fromkeys(get_args(FileEvent), self.handle_file_event),
             **dict.fromkeys(get_args(StoreEvent), lambda event, _: self.core.handle_store_event(event)),
             EndpointListReceived: self.handle_endpoint_list,
-            HealthCheckResult: lambda event, _: self.core.probed(event),
-            ReportsSummarized: lambda event, _: self.core.gathered(event.summary),
+            HealthCheckResult: lambda event, _: self.core.add_health_check(event),
+            ReportsSummarized: lambda event, _: self.core.add_report_summary(event.summary),
         }
 
     def handle(self, event: ControllerEvent, now_ms: float) -> None:
@@ -64,7 +64,7 @@
     def handle_endpoint_list(self, event: EndpointListReceived, now_ms: float) -> None:
         """Take in an answer of endpoint discovery; the next control interval includes it."""
         self.core.handle_endpoint_list(event)
-        self.core.heard(now_ms)
+        self.core.record_arrival(now_ms)
 
     def handle_file_event(self, event: FileEvent, now_ms: float) -> None:
         """Pass an event on to the file front, where this controller has one."""
@@ -83,14 +83,14 @@
     def tell_ways(self, now_ms: float) -> None:
         """Say of which classes a looser way of trying again than they allow may still be gone by, and when it no longer
         can be: until then whoever drops repeats must go on with it."""
-        changes = self.core.ways.changes(now_ms)
-        nodes = {number: node for node, number in self.core.numbers.items()} if changes else {}
+        changes = self.core.retry_policies.changes(now_ms)
+        nodes = {number: node for node, number in self.core.proxies.numbers.items()} if changes else {}
         for told in changes:
-            kind = self.core.record.fleet.classes[told.class_index].name
+            kind = self.core.settings.fleet.classes[told.class_index].name
             for loose, proxies in ((True, told.exceeding), (False, told.compliant)):
                 for proxy in proxies:
                     self.tap("way", now_ms, kind=kind, proxy=nodes[proxy], loose=loose)
-            known = len(self.core.ways.proxies)
+            known = len(self.core.retry_policies.proxies)
             if not told.count_exceeding:
                 self.log.info("way of trying again in force", kind=kind, proxies=known)
             elif told.count_exceeding == len(told.exceeding):  # the first of them
@@ -102,4 +102,4 @@
     def next_ms(self) -> float:
         """When a turn has something to do without any news."""
         waits = [front.next_ms() for front in self.fronts]
-        return min([self.core.next_ms(), self.core.ways.next_expiry_ms, *waits])
+        return min([self.core.next_ms(), self.core.retry_policies.next_expiry_ms, *waits])
--- a/quillstep/controller/plain_stats.py
+++ b/quillstep/controller/plain_stats.py
@@ -1,57 +1,62 @@
-"""The first pilot's intake, kept as the baseline that `reports.by: "inbox"` brings back.  Without I/O and clocks.
+"""Statistics of load reports as they come: the baseline that `reports.by: "inbox"` selects.  Without I/O and clocks.
 
-Reports come with all other news and add up until the next hand-over; nothing is aged, bounded, sampled or told apart.
+Reports come with all other events and add up until they are drained; nothing is aged, bounded, sampled or checked.
 """
 
 from dataclasses import dataclass, field
 
+from quillstep.load_reports.validation import LoadReport
 from quillstep.planner.messages import DownstreamStats, UpstreamStats
 
 
 @dataclass(slots=True)
-class Sum:
-    """What the proxies of a zone met at one endpoint since the last hand-over."""
+class UpstreamTotals:
+    """What the proxies of a zone met at one endpoint since the last drain."""
 
-    tries: int = 0
-    failed: int = 0
-    good_ms: float = 0.0
+    attempts: int = 0
+    failures: int = 0
+    success_ms: float = 0.0
     load: dict[str, float] = field(default_factory=dict)
 
 
 class PlainStats:
-    """Sums by zone and endpoint, handed over once a period, as one figure each; arrivals as they come."""
+    """Totals by zone and endpoint, drained once a period; downstream statistics as they come."""
 
     def __init__(self, period_ms: float) -> None:
         self.period_ms = period_ms
-        self.since_ms: float | None = None
-        self.sums: dict[tuple[str, int], Sum] = {}
-        self.arrivals: list[DownstreamStats] = []
-
-    def tried(self, zone: str, endpoint: int, tries: int, failed: int, good_ms: float, load: dict[str, float]) -> None:
-        row = self.sums.get((zone, endpoint))
-        if row is None:
-            row = self.sums[zone, endpoint] = Sum()
-        row.tries += tries
-        row.failed += failed
-        row.good_ms += good_ms
-        row.load.update(load)
-
-    def arrived(self, place: int, proxy: int, arrived: int, unanswered: int, covers_ms: float) -> None:
-        self.arrivals.append(DownstreamStats(place, proxy, arrived, unanswered, covers_ms))
+        self.drained_ms: float | None = None
+        self.upstream: dict[tuple[str, int], UpstreamTotals] = {}
+        self.downstream: list[DownstreamStats] = []
+
+    def add_report(self, proxy: int, zone: str, report: LoadReport) -> None:
+        """Adds all of a report, whatever it says."""
+        for row in report.rows:
+            totals = self.upstream.get((zone, row.endpoint))
+            if totals is None:
+                totals = self.upstream[zone, row.endpoint] = UpstreamTotals()
+            totals.attempts += row.succeeded + row.failed
+            totals.failures += row.failed
+            totals.success_ms += row.succeeded_ms
+            totals.load.update({} if row.load is None else {"util": row.load})
+        for arrivals in report.arrivals:
+            stats = DownstreamStats(
+                arrivals.class_index, proxy, arrivals.arrived, arrivals.unanswered, report.window_ms
+            )
+            self.downstream.append(stats)
 
     def due_ms(self) -> float:
-        """When what has gathered is to be handed over; never while there is nothing."""
-        if not (self.sums or self.arrivals):
+        """When the totals are to be drained; infinity where there is nothing."""
+        if not (self.upstream or self.downstream):
             return float("inf")
-        return (self.since_ms or 0.0) + self.period_ms
+        return (self.drained_ms or 0.0) + self.period_ms
 
     def drain(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]]:
-        """Sums and arrivals in the interface's shape; starts anew."""
-        covers = self.period_ms if self.since_ms is None else now_ms - self.since_ms
-        sums = [
-            UpstreamStats(endpoint, s.tries, s.failed, s.good_ms / max(1, s.tries - s.failed), covers, s.load)
-            for (_, endpoint), s in self.sums.items()
-        ]
-        arrivals = self.arrivals
-        self.sums, self.arrivals, self.since_ms = {}, [], now_ms
-        return sums, arrivals
+        """Returns the statistics since the last call."""
+        window_ms = self.period_ms if self.drained_ms is None else now_ms - self.drained_ms
+        upstream = []
+        for (_, endpoint), totals in self.upstream.items():
+            mean_ms = totals.success_ms / max(1, totals.attempts - totals.failures)
+            upstream.append(UpstreamStats(endpoint, totals.attempts, totals.failures, mean_ms, window_ms, totals.load))
+        downstream = self.downstream
+        self.upstream, self.downstream, self.drained_ms = {}, [], now_ms
+        return upstream, downstream
--- /dev/null
+++ b/quillstep/controller/report_intake.py
@@ -0,0 +1,94 @@
+"""Load reports on their way to the planner, and what is requested of proxies for them.  Without I/O and clocks."""
+
+from typing import Any
+
+from quillstep.config.controller import ControllerSettings
+from quillstep.controller.plain_stats import PlainStats
+from quillstep.load_reports.aggregator import ReportAggregator
+from quillstep.load_reports.collector import DRAIN_INTERVAL_PERIODS, ReportCollector
+from quillstep.load_reports.messages import AddEndpoints, MembershipChange, ProxyJoined, ProxyLeft, ReportRequest
+from quillstep.load_reports.readers.connections import log_warnings
+from quillstep.load_reports.summary import ReportSummary
+from quillstep.load_reports.validation import LoadReport, ReportAccount
+from quillstep.planner.messages import DownstreamStats, UpstreamStats
+
+
+class ReportIntake:
+    """The aggregator of reports that come with events, and the collector of all summaries.
+
+    Attributes:
+        is_plain: Whether reports are summed up as they come (`reports.by: "inbox"`), past the collector.
+        requests: What proxies are to be asked for, until the reader is notified.
+        membership_changes: Joins, leaves and endpoints, until the readers are notified.
+    """
+
+    def __init__(self, settings: ControllerSettings) -> None:
+        self.report_interval_ms = settings.fleet.proxies.report_interval_ms
+        self.is_plain = settings.reports.by == "inbox"
+        self.plain_stats = PlainStats(DRAIN_INTERVAL_PERIODS * self.report_interval_ms)
+        self.collector = ReportCollector(settings)
+        self.aggregator = ReportAggregator(settings.reports, settings.fleet)
+        self.requests: list[ReportRequest] = []
+        self.membership_changes: list[MembershipChange] = []
+
+    def add_endpoints(self, numbers: dict[tuple[str, int], int], added: dict[int, tuple[str, int]]) -> None:
+        """Has reports name these endpoints; `numbers` holds all by address, `added` what has been added."""
+        self.aggregator.add_endpoints(numbers)
+        rows = [(host, port, number) for number, (host, port) in added.items()]
+        self.membership_changes.append(AddEndpoints(rows))
+
+    def add_proxy(self, proxy: int, node: str, zone: str, incarnation: str, now_ms: float) -> None:
+        """Takes reports of a proxy that has joined."""
+        usual_ms = self.report_interval_ms
+        self.aggregator.add_proxy(ReportAccount(proxy, zone, incarnation, usual_ms, usual_ms), node)
+        self.collector.add_proxy(proxy, now_ms)
+        self.membership_changes.append(ProxyJoined(node, proxy, zone, incarnation))
+
+    def remove_proxy(self, proxy: int) -> None:
+        """Takes no more reports of a proxy that has left."""
+        node = self.aggregator.names[proxy]
+        self.aggregator.remove_proxy(node)
+        self.collector.remove_proxy(proxy)
+        self.membership_changes.append(ProxyLeft(node))
+
+    def add_report(self, proxy: int, zone: str, report: LoadReport, now_ms: float) -> None:
+        """Adds a report that came with the events."""
+        if self.is_plain:
+            self.plain_stats.add_report(proxy, zone, report)
+        else:
+            self.aggregator.add_report(self.aggregator.names[proxy], report, now_ms, now_ms)
+
+    def add_summary(self, summary: ReportSummary, now_ms: float) -> None:
+        """Adds what a reader's window came to."""
+        self.collector.add_summary(summary, now_ms)
+
+    def update(self, now_ms: float, log: Any) -> None:
+        """Collects the aggregator's window when it is over, and plans what proxies are asked for."""
+        if self.aggregator.due_ms() <= now_ms:
+            self._log_invalid_reports(log)
+            self.collector.add_summary(self.aggregator.drain(now_ms), now_ms)
+        requests = [] if self.is_plain else self.collector.plan_requests(now_ms)
+        for request in requests:
+            self.aggregator.set_request(request)
+        self.requests += requests
+
+    def _log_invalid_reports(self, log: Any) -> None:
+        log_warnings(log, self.aggregator.drain_warnings())
+        for proxy in sorted(self.collector.bounded):
+            name = self.aggregator.names.get(proxy, "")
+            log.warning("invalid load report", proxy=name, reason="over its share of all traffic")
+        self.collector.bounded.clear()
+
+    def stats_due_ms(self) -> float:
+        """When statistics are to be given to the planner."""
+        return min(self.plain_stats.due_ms(), self.collector.due_ms())
+
+    def drain_due(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]] | None:
+        """Returns the statistics since the last call, if they are due."""
+        source = self.plain_stats if self.is_plain else self.collector
+        return source.drain(now_ms) if source.due_ms() <= now_ms else None
+
+    def next_ms(self) -> float:
+        """When `update` has something to do."""
+        due_ms = self.aggregator.due_ms()
+        return due_ms if self.is_plain else min(due_ms, self.collector.plan_due_ms())
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -77,7 +77,7 @@
         self.holds: dict[str, int] = {}  # the order that each proxy acknowledged last, not stored yet
         self.holds_ms = 0.0
         if store or record.capture.folder:
-            self.core.orders = []
+            self.core.recorded_output = []
         if record.capture.folder:
             self.capture = RecordingWriter(
                 record.capture.folder,
@@ -138,17 +138,17 @@
     def keep(self, keeper: StoreWriter, now: float) -> None:
         """Hand the store what this turn brought: versions, pins, the order; once a while what proxies hold."""
         wall_ms = time.time() * 1000.0
-        entries = [keeper.version_entry(version, wall_ms) for version in self.core.versions]
-        self.core.versions.clear()
-        for key, kind, versions in self.core.granted:
+        entries = [keeper.version_entry(version, wall_ms) for version in self.core.new_versions]
+        self.core.new_versions.clear()
+        for key, kind, versions in self.core.operations.completed:
             for version in versions:
                 release = kind == "release"
                 entries.append(keeper.release_entry(version.table) if release else keeper.pin_entry(version, wall_ms))
             entries.append(keeper.command_done_entry(key))
-        self.core.granted = []
+        self.core.operations.completed = []
         number = self.core.tables.revision
         if number != self.kept_number:
-            entries += keeper.journal_entries(number, wall_ms, self.core.orders or [])
+            entries += keeper.journal_entries(number, wall_ms, self.core.recorded_output or [])
         if self.holds and now - self.holds_ms > HOLDS_MS:
             self.holds_ms = now
             entries += [keeper.acknowledged_entry(node, order, wall_ms) for node, order in self.holds.items()]
@@ -198,7 +198,7 @@
         for entry in self.event_queue.drain(BATCH):
             self.handle(*entry)
         now = self.now_ms()
-        rounds = self.core.rounds
+        rounds = self.core.completed_intervals
         due = self.core.due_ms()
         if due <= now:
             self.late.record_value(max(1, min(LATE_MOST, round(10.0 * (now - due)))))
@@ -208,15 +208,15 @@
         if self.capture:
             full = [self.encoder.peer_number(peer) for peer in self.decider.streams.full]
             self.capture.put([STEP, now, now, full])
-            if self.core.rounds != rounds:
+            if self.core.completed_intervals != rounds:
                 number = self.core.tables.revision
-                self.capture.put([ORDERS, now, now, self.core.rounds, self.core.orders, number])
+                self.capture.put([ORDERS, now, now, self.core.completed_intervals, self.core.recorded_output, number])
             self.capture.flush()
-        if self.spans and self.core.rounds != rounds:
+        if self.spans and self.core.completed_intervals != rounds:
             self.spans.round(self.epoch, self.core.tables.revision, now, self.now_ms(), late_ms=max(0.0, now - due))
-        for endpoint, host, port in self.core.probes:
+        for endpoint, host, port in self.core.health_check_requests:
             self.health_checker.request(endpoint, host, port)
-        self.core.probes = []
+        self.core.health_check_requests = []
         self.tell()
         self.socket_record.flush()
         if now - self.said_ms > SAY_MS:
@@ -225,12 +225,12 @@
 
     def tell(self) -> None:
         """Pass on who joined and left, and what proxies are asked for."""
-        moves, asked = self.core.moves, self.core.asked
-        self.core.moves, self.core.asked = [], []
+        moves, asked = self.core.reports.membership_changes, self.core.reports.requests
+        self.core.reports.membership_changes, self.core.reports.requests = [], []
         if self.reader:
             self.reader.notify(moves, asked)
         elif self.processes and (moves or asked):
-            self.processes.notify(moves, asked, self.core.gatherer.names)
+            self.processes.notify(moves, asked, self.core.reports.aggregator.names)
 
     def say(self) -> None:
         """How reports and rounds went so far; what is counted runs from the start."""
@@ -238,14 +238,15 @@
         late["worst"] = self.late.get_max_value() / 10.0 if self.late.get_total_count() else 0.0
         names = [row.name for row in self.record.fleet.classes]
         usual_ms = self.core.tables.line_cost.line_ms()
+        statistics = self.core.reports.collector.statistics(names)
         self.log.info(
-            "reports read", rounds=self.core.rounds, rounds_late_ms=late, **self.core.intake.statistics(names),
+            "reports read", rounds=self.core.completed_intervals, rounds_late_ms=late, **statistics,
             line_ms=usual_ms and round(usual_ms, 3),
             cpu_s={**self.cpu_s, "deciding": round(time.thread_time(), 3), "process": round(time.process_time(), 3)},
         )  # fmt: skip
 
         if self.keeper:
-            self.log.info("store kept", late=self.core.late_stores, **self.keeper.figures())
+            self.log.info("store kept", late=self.core.release.late_count, **self.keeper.figures())
 
     def handle(self, arrived_ms: float, event: ControllerEvent | StopRequested) -> None:
         if isinstance(event, StopRequested):
--- a/quillstep/controller/update_channel.py
+++ b/quillstep/controller/update_channel.py
@@ -1,4 +1,4 @@
-"""The order channel: pushes leave one by one at the settings' lines a second.  Without I/O and clocks."""
+"""The update channel: updates leave one by one at the settings' lines a second.  Without I/O and clocks."""
 
 from collections import deque
 
@@ -6,41 +6,48 @@
 
 
 class UpdateChannel:
-    """Waiting pushes, first in first out; times are milliseconds."""
+    """Queued updates, first in first out; times are milliseconds.
+
+    Attributes:
+        queued_lines: Lines of all queued updates, the one that is being sent included.
+        max_queued_lines: The highest that `queued_lines` has been.
+    """
 
     def __init__(self, lines_per_s: float) -> None:
         self.lines_per_ms = lines_per_s / 1000.0
         self.queue: deque[ProxyUpdate] = deque()
-        self.waiting = 0.0  # lines, the head included
-        self.most = 0.0
-        self.ready_ms = 0.0  # when the head has been sent in full
+        self.queued_lines = 0.0
+        self.max_queued_lines = 0.0
+        self.head_sent_ms = 0.0  # when the head has been sent in full
 
-    def put(self, pushes: list[ProxyUpdate], now_ms: float) -> None:
-        if not pushes:
+    def put(self, updates: list[ProxyUpdate], now_ms: float) -> None:
+        """Queues updates behind all others."""
+        if not updates:
             return
         if not self.queue:
-            self.ready_ms = max(self.ready_ms, now_ms) + pushes[0].lines / self.lines_per_ms
-        self.queue.extend(pushes)
-        self.waiting += sum(push.lines for push in pushes)
-        self.most = max(self.most, self.waiting)
-
-    def leave(self, now_ms: float) -> list[ProxyUpdate]:
-        """The pushes that have left by now, in sequence."""
-        left = []
-        while self.queue and self.ready_ms <= now_ms:
-            push = self.queue.popleft()
-            self.waiting -= push.lines
-            left.append(push)
+            self.head_sent_ms = max(self.head_sent_ms, now_ms) + updates[0].lines / self.lines_per_ms
+        self.queue.extend(updates)
+        self.queued_lines += sum(update.lines for update in updates)
+        self.max_queued_lines = max(self.max_queued_lines, self.queued_lines)
+
+    def take_sent(self, now_ms: float) -> list[ProxyUpdate]:
+        """Removes and returns the updates that have been sent in full by now, in order."""
+        sent = []
+        while self.queue and self.head_sent_ms <= now_ms:
+            update = self.queue.popleft()
+            self.queued_lines -= update.lines
+            sent.append(update)
             if self.queue:
-                self.ready_ms += self.queue[0].lines / self.lines_per_ms
-        return left
+                self.head_sent_ms += self.queue[0].lines / self.lines_per_ms
+        return sent
 
-    def drop(self, proxy: int) -> None:
-        """A proxy has left: what waits for it goes nowhere."""
+    def remove_proxy(self, proxy: int) -> None:
+        """Drops the queued updates of a proxy that has left; one that is being sent still takes its time."""
         head = self.queue[0] if self.queue else None
-        kept = [push for push in self.queue if push.proxy != proxy or push is head]
-        self.waiting -= sum(push.lines for push in self.queue) - sum(push.lines for push in kept)
+        kept = [update for update in self.queue if update.proxy != proxy or update is head]
+        self.queued_lines -= sum(update.lines for update in self.queue) - sum(update.lines for update in kept)
         self.queue = deque(kept)
 
     def next_ms(self) -> float:
-        return self.ready_ms if self.queue else float("inf")
+        """When the head has been sent in full; infinity where nothing is queued."""
+        return self.head_sent_ms if self.queue else float("inf")
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -109,7 +109,7 @@
         versions = self._held_versions(registered)
         is_fresh = not versions and not registration.generation
         zone = registration.zone
-        proxy = self.hooks.join(registration.node, zone, registration.usual, versions, is_fresh, self)
+        proxy = self.hooks.add_proxy(registration.node, zone, registration.usual, versions, is_fresh, self)
         generations = ProxyGenerations(proxy, registered.newest, dict(registered.resources))
         generations.last_received_ms = now_ms
         if registered.held:
@@ -166,8 +166,8 @@
             self.log.warning("malformed load report", proxy=self.nodes[generations.proxy])
             return
         if request.cluster_stats:
-            report = read_report(request, data, self.hooks.places, self.hooks.endpoints)
-            self.hooks.told(generations.proxy, report)
+            report = read_report(request, data, self.hooks.class_indexes, self.hooks.endpoint_numbers)
+            self.hooks.add_load_report(generations.proxy, report)
 
     def _handle_written(self, pending: PendingGeneration, at_ms: float, error: str, now_ms: float) -> None:
         generations = pending.generations
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -82,7 +82,7 @@
         self.decider = DecisionLoop(self.record, header.epoch, self.tap, self.never, PlayedDisk())
         self.decider.streams.server = PlayedServer()
         self.core = self.decider.core
-        self.core.orders = []
+        self.core.recorded_output = []
         self.peers: dict[int, PlayedPeer] = {}
         self.full: list[int] = []
         self.decoder = EventDecoder(self.peer, self.take_generation)
@@ -138,8 +138,13 @@
                 self.peer(number).is_full = number in full
             self.full = full
         self.decider.turn(now_ms)
-        self.core.probes, self.core.moves, self.core.asked, self.core.granted = [], [], [], []
-        self.core.versions.clear()
+        (
+            self.core.health_check_requests,
+            self.core.reports.membership_changes,
+            self.core.reports.requests,
+            self.core.operations.completed,
+        ) = [], [], [], []
+        self.core.new_versions.clear()
         if self.decider.files:
             while not self.decider.files.writer.queue.empty():
                 job = self.decider.files.writer.queue.get()
@@ -149,11 +154,11 @@
     def compare(self, record: Record) -> None:
         """The module's orders of a round, against those of the capture."""
         number, orders = record[3], record[4]
-        made = self.core.orders or []
-        self.hash.update(msgspec.msgpack.encode([self.core.rounds, made]))
-        self.outcome.rounds = self.core.rounds
-        if self.core.rounds != number:
-            self.differ(record, f"round {number}", f"round {self.core.rounds}")
+        made = self.core.recorded_output or []
+        self.hash.update(msgspec.msgpack.encode([self.core.completed_intervals, made]))
+        self.outcome.rounds = self.core.completed_intervals
+        if self.core.completed_intervals != number:
+            self.differ(record, f"round {number}", f"round {self.core.completed_intervals}")
         elif plain(made) != orders:
             at = next((k for k, (a, b) in enumerate(zip(plain(made), orders, strict=False)) if a != b), None)
             at = min(len(made), len(orders)) if at is None else at
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -118,7 +118,7 @@
     def roster(self, kind: str, entries: list[EndpointEntry], addresses: dict) -> None:
         self.core.now_ms = self.day.clock.now
         self.core.handle_endpoint_list(EndpointListReceived(kind, entries, addresses))
-        self.core.heard(self.day.clock.now)
+        self.core.record_arrival(self.day.clock.now)
         for entry in entries:
             if endpoint := self.day.endpoints.get(entry.endpoint):
                 endpoint.draining = entry.state == "terminating"
@@ -130,30 +130,32 @@
         if proxy is None:
             return
         self.core.now_ms = self.day.clock.now
-        number = self.core.join(name, proxy.zone, proxy.usual, proxy.versions, fields["fresh"], self.decider.fronts[0])
+        number = self.core.add_proxy(
+            name, proxy.zone, proxy.usual, proxy.versions, fields["fresh"], self.decider.fronts[0]
+        )
         self.joined[number] = proxy
         self.core.tables.subscribe(number, [(LISTENER,)], False)
         self.poke()
 
     def leave(self, name: str, fields: dict[str, Any]) -> None:
-        number = self.core.proxy_of(name)
+        number = self.core.joined_number(name)
         if number is not None:
             self.core.now_ms = self.day.clock.now
             self.joined.pop(number, None)
-            self.core.leave(number)
+            self.core.remove_proxy(number)
             self.poke()
 
     def report(self, name: str, at: float) -> None:
         """A proxy's sums up to now leave it, and arrive as late as they did then."""
         proxy = self.day.proxies.get(name)
-        if proxy and self.core.proxy_of(name) is not None:
+        if proxy and self.core.joined_number(name) is not None:
             self.day.clock.at(at, self.reported, name, proxy.hand_over(), at)
 
     def reported(self, name: str, report: LoadReport, at: float) -> None:
-        number = self.core.proxy_of(name)
+        number = self.core.joined_number(name)
         if number is not None and not self.ended:
             report.sent_ms = self.core.now_ms = at
-            self.core.told(number, report)
+            self.core.add_load_report(number, report)
             self.poke()
 
     # time
@@ -172,17 +174,17 @@
         self.due = float("inf")
         now = self.day.clock.now
         self.decider.turn(now)
-        for endpoint, _, _ in self.core.probes:
+        for endpoint, _, _ in self.core.health_check_requests:
             if known := self.day.endpoints.get(endpoint):
-                answered, took, load = known.probed(now, self.core.record.fleet.probes.timeout_ms)
+                answered, took, load = known.probed(now, self.core.settings.fleet.probes.timeout_ms)
                 self.day.clock.at(now + took, self.probed, endpoint, answered, took, load)
-        self.core.probes, self.core.moves, self.core.asked = [], [], []
+        self.core.health_check_requests, self.core.reports.membership_changes, self.core.reports.requests = [], [], []
         self.schedule(max(now + 0.05, self.decider.next_ms()))
 
     def probed(self, endpoint: int, answered: bool, took: float, load: dict[str, float]) -> None:
         if not self.ended:
             self.core.now_ms = self.day.clock.now
-            self.core.probed(HealthCheckResult(endpoint, answered, took, load))
+            self.core.add_health_check(HealthCheckResult(endpoint, answered, took, load))
             self.poke()
 
     def end(self) -> None:
@@ -210,7 +212,7 @@
         "breaks": check_invariants(evidence),
         "exchanges": day.exchanges,
         "digest": xxhash.xxh3_128_hexdigest(msgspec.msgpack.encode(day.exchanges)),
-        "rounds": sum(pilot.core.rounds for pilot in pilots),
+        "rounds": sum(pilot.core.completed_intervals for pilot in pilots),
     }
 
 
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -92,13 +92,13 @@
         held = stream.initial_versions(request)
         node = request.node
         is_fresh = not held and not getattr(request, "version_info", "")
-        before = self.hooks.proxy_of(node.id)
+        before = self.hooks.joined_number(node.id)
         if before is not None and before in self.by_proxy:
             self.log.info("stream replaced", proxy=node.id, reason=REDIALLED)
             self._finish(self.by_proxy[before], UNAVAILABLE, REDIALLED, now_ms)
         usual = node.metadata.fields["usual"].number_value if "usual" in node.metadata.fields else 0.0
         zone = node.locality.zone
-        stream.proxy = self.hooks.join(node.id, zone, usual, held, is_fresh, self, life_of(node))
+        stream.proxy = self.hooks.add_proxy(node.id, zone, usual, held, is_fresh, self, life_of(node))
         self.by_proxy[stream.proxy] = key
         self._record_joined(stream.proxy, node.id, zone, is_fresh, len(held), now_ms)
 
@@ -123,9 +123,11 @@
         if key not in self.reporters:
             self.reporters[key] = request.node.id
             key.peer.send(key.stream, load_request(self.settings.fleet.proxies.report_interval_ms, True))
-        proxy = self.hooks.proxy_of(self.reporters[key])
+        proxy = self.hooks.joined_number(self.reporters[key])
         if proxy is not None and request.cluster_stats:  # reports of a proxy that has not joined are ignored
-            self.hooks.told(proxy, read_report(request, data, self.hooks.places, self.hooks.endpoints))
+            self.hooks.add_load_report(
+                proxy, read_report(request, data, self.hooks.class_indexes, self.hooks.endpoint_numbers)
+            )
 
     # what is sent
 
--- a/quillstep/xds/load_stats.py
+++ b/quillstep/xds/load_stats.py
@@ -23,22 +23,32 @@
 class Hooks(Protocol):
     """The controller, as its fronts see it."""
 
-    places: dict[str, int]  # indexes of classes by name
-    endpoints: dict[tuple[str, int], int]  # by address
-
-    def join(
-        self, node: str, zone: str, usual: float, held: dict[Key, str], fresh: bool, front: Any, life: str = ""
+    class_indexes: dict[str, int]  # by name
+
+    @property
+    def endpoint_numbers(self) -> Mapping[tuple[str, int], int]:
+        """Listed endpoints by address."""
+
+    def add_proxy(
+        self,
+        node: str,
+        zone: str,
+        expected_requests_per_s: float,
+        held: Mapping[Key, str],
+        is_fresh: bool,
+        front: Any = None,
+        incarnation: str = "",
     ) -> int:
-        """A proxy has joined by this front; returns its number.  Another front that had it drops it."""
+        """Takes in a proxy that has joined by this front, and returns its number; another front drops it."""
 
-    def leave(self, proxy: int) -> None:
+    def remove_proxy(self, proxy: int) -> None:
         """A proxy has left."""
 
-    def proxy_of(self, node: str) -> int | None:
-        """The number of a proxy that has joined."""
+    def joined_number(self, node: str) -> int | None:
+        """The number of a proxy that is joined."""
 
-    def told(self, proxy: int, report: LoadReport) -> None:
-        """A load report of a proxy that has joined."""
+    def add_load_report(self, proxy: int, report: LoadReport) -> None:
+        """Takes in a load report of a joined proxy."""
 
 
 def load_request(period_ms: float, is_full: bool) -> bytes:
--- a/quillstep/xds/proxy_front.py
+++ b/quillstep/xds/proxy_front.py
@@ -84,7 +84,7 @@
     def _record_left(self, proxy: int, reason: str, now_ms: float) -> None:
         self.tap("leave", now_ms, proxy=self.nodes[proxy], reason=reason)
         self.log.info("proxy left", proxy=self.nodes[proxy], reason=reason)
-        self.hooks.leave(proxy)
+        self.hooks.remove_proxy(proxy)
 
     def _log_nack(self, proxy: int, nack: Nack, version: Any) -> None:
         """Logs what a proxy rejected, why, and what comes of it."""
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -267,10 +267,10 @@
     def __init__(self, pilot, name, zone, lines):
         self.pilot, self.lines, self.name = pilot, lines, name
         core = pilot.core
-        self.stream = SotwStream(core.tables, pilot.encoder, core.record.limits, "e", core.ordered_ms)
+        self.stream = SotwStream(core.tables, pilot.encoder, core.settings.limits, "e", core.ordered_ms)
         request = discovery_pb2.DiscoveryRequest(type_url=CDS)
         request.node.id = name
-        self.stream.proxy = core.join(name, zone, 5.0, self.stream.initial_versions(request), True)
+        self.stream.proxy = core.add_proxy(name, zone, 5.0, self.stream.initial_versions(request), True)
         for url, names in ((CDS, ()), (EDS, ("table-0",)), (LDS, ()), (RDS, ("exchanges",))):
             self.stream.handle_request(discovery_pb2.DiscoveryRequest(type_url=url, resource_names=names), pilot.now)
 
--- a/tests/files/test_proxy_generations.py
+++ b/tests/files/test_proxy_generations.py
@@ -9,7 +9,7 @@
 
 def generations_of(pilot, name="p0"):
     """A file proxy's generations on a core; `step` writes what is due and returns the generation."""
-    proxy = pilot.core.join(name, "a", 5.0, {}, True)
+    proxy = pilot.core.add_proxy(name, "a", 5.0, {}, True)
     generations = ProxyGenerations(proxy, 0, {})
 
     def step(ms=2000.0):
@@ -123,7 +123,7 @@
     pilot.run(3000)
     held = dict(pilot.core.tables.proxies[stream.number].acknowledged)
     stream.leave()
-    proxy = pilot.core.join("p1", "a", 5.0, held, False)
+    proxy = pilot.core.add_proxy("p1", "a", 5.0, held, False)
     generations = ProxyGenerations(proxy, 0, {})
     made = None
     while made is None:
--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -38,14 +38,14 @@
     for number in range(1, 30):
         for proxy in proxies:
             row = load_report(number, [endpoint_row(1 + chance.randrange(6))], end_ms=pilot.now, sent_ms=pilot.now)
-            pilot.core.told(proxy.number, row)
+            pilot.core.add_load_report(proxy.number, row)
     began = pilot.now
     pilot.roster("partial", [3], "terminating")
     while not any("withdrawn/3" in name for proxy in proxies for _, names, _ in proxy.log for name in names):
         pilot.run(10.0)
         assert pilot.now - began < 200.0
     pilot.run(500.0)
-    assert pilot.core.intake.totals["reports"] > 0
+    assert pilot.core.reports.collector.totals["reports"] > 0
 
 
 def test_the_simulators_adapter_imports_no_readers():
--- a/tests/memory_fleet.py
+++ b/tests/memory_fleet.py
@@ -37,12 +37,12 @@
         self.lines, self.refuses, self.waits = {}, False, []
         self.line_ms = self.free_ms = 0.0  # what a line takes to apply; when the last one was
         self.log, self.last = [], ""
-        core, record = pilot.core, pilot.core.record
+        core, record = pilot.core, pilot.core.settings
         self.stream = DeltaStream(core.tables, pilot.encoder, record.limits, "e", core.ordered_ms)
         first = self.request(CDS)
         first.node.id = name
         told = self.stream.initial_versions(first)
-        self.stream.proxy = self.number = core.join(name, zone, 5.0, told, not told)
+        self.stream.proxy = self.number = core.add_proxy(name, zone, 5.0, told, not told)
         self.say(first)
         self.say(self.request(LEDS, EJECTED_COLLECTION, *(f"{resources.COLLECTION}{t}/*" for t in self.held(CDS))))
         self.say(self.request(LDS))
@@ -101,7 +101,7 @@
         return done
 
     def leave(self):
-        self.pilot.core.leave(self.number)
+        self.pilot.core.remove_proxy(self.number)
         self.pilot.proxies.pop(self.name, None)
 
 
@@ -110,17 +110,17 @@
 
     def __init__(self, endpoints=6, record=None, **limits):
         self.core = ControllerCore(record or pilot_record(limits=LimitSettings(**limits)))
-        self.encoder = Encoder(self.core.record.fleet.classes, 0.8)
+        self.encoder = Encoder(self.core.settings.fleet.classes, 0.8)
         self.now, self.proxies = 1000.0, {}
         self.core.now_ms = self.now
         self.roster("complete", range(1, endpoints + 1))
 
     def roster(self, kind, numbers, state="in_service", started=0.0):
-        zones = self.core.record.fleet.zones
+        zones = self.core.settings.fleet.zones
         entries = [EndpointEntry(n, zones[n % len(zones)], state, 1.0, started) for n in numbers]
         addresses = {n: ("127.0.0.1", 9000 + n) for n in numbers}
         self.core.handle_endpoint_list(EndpointListReceived(kind, entries, addresses))
-        self.core.heard(self.now)
+        self.core.record_arrival(self.now)
 
     def join(self, name, zone="a", held=None):
         self.proxies[name] = MemoryProxy(self, name, zone, held)
@@ -136,11 +136,11 @@
                 proxy.pump()
                 if read:
                     proxy.read()
-            self.core.probes.clear()
+            self.core.health_check_requests.clear()
         return self
 
     def waiting(self):
-        return self.core.channel.waiting
+        return self.core.channel.queued_lines
 
 
 def settled(proxies=1, **limits):
--- a/tests/model_checking/test_two_controllers.py
+++ b/tests/model_checking/test_two_controllers.py
@@ -41,7 +41,7 @@
             for at, pilot in enumerate(self.pilots):
                 pilot.now += 50.0
                 pilot.core.step(pilot.now)
-                pilot.core.probes.clear()
+                pilot.core.health_check_requests.clear()
                 pilot.core.tables.pending_proxies.clear()
                 for name, proxy in list(pilot.proxies.items()):
                     before = len(proxy.waits)
--- a/tests/routing/test_recovery.py
+++ b/tests/routing/test_recovery.py
@@ -37,12 +37,12 @@
 
 def test_a_restarted_controller_sends_nothing_that_is_held_and_ends_on_the_planners_tables():
     first = settled(2, store=StoreSettings(folder="x"))
-    first.core.durable = float("inf")
+    first.core.release.durable_revision = float("inf")
     write_weights(first, {3: 4.0, 5: 14.0})
     first.run(500)
     version = current_versions(first)[-1]
     again = MemoryPilot(record=pilot_record(store=StoreSettings(folder="x", recovery_trust_ms=6000.0)))
-    again.core.durable = float("inf")
+    again.core.release.durable_revision = float("inf")
     rows = [
         list(version[:5]) + [1000.0, list(version.weights.items()), [[p, *lv] for p, lv in version.admission.items()]]
     ]
--- a/tests/routing/test_tables.py
+++ b/tests/routing/test_tables.py
@@ -257,7 +257,7 @@
     for at in range(40):  # 40 x (60 lines + 9) is almost three times what may wait
         pilot.join(f"p{at}", "ab"[at % 2])
     pilot.run(9000, step=20.0)
-    assert 300.0 < pilot.core.channel.most <= 1000.0
+    assert 300.0 < pilot.core.channel.max_queued_lines <= 1000.0
     assert all(proxy.held(RDS) for proxy in pilot.proxies.values())
 
 
--- a/tests/routing/test_unacknowledged.py
+++ b/tests/routing/test_unacknowledged.py
@@ -17,7 +17,7 @@
     core = pilot.core
     held = list(pilot.proxies.values())
     core.handle_endpoint_list(EndpointListReceived("partial", [EndpointEntry(3, "b", "terminated", 1.0, 0.0)], {}))
-    core.heard(pilot.now)
+    core.record_arrival(pilot.now)
     for _ in range(60):
         pilot.now += 10.0
         core.step(pilot.now)
@@ -28,7 +28,7 @@
     core.handle_endpoint_list(
         EndpointListReceived("partial", [EndpointEntry(3, "b", "in_service", 1.0, pilot.now)], {})
     )
-    core.heard(pilot.now)
+    core.record_arrival(pilot.now)
     core.tables.saturation.warming_up[3] = pilot.now
     order(pilot, lambda tables: (tables.set_weight(0, 3, 2.0), tables.set_ejected(3, False, "")))
     for _ in range(20):
--- a/tests/routing/test_versioned_tables.py
+++ b/tests/routing/test_versioned_tables.py
@@ -21,43 +21,46 @@
     for weight in (14.0, 18.0):
         write_weights(pilot, {3: weight})
         pilot.run(50)
-    pilot.core.book.pin(before._replace(cause="rollback", operator="op"))
+    pilot.core.versioned_tables.pin(before._replace(cause="rollback", operator="op"))
     write_weights(pilot, {3: 22.0, 4: 13.0})
     pilot.run(1500)
     assert all(holds(pilot, proxy, before.weights) for proxy in pilot.proxies.values())
     assert ("rollback", "op") in {(version.cause, version.operator) for version in current_versions(pilot)}
-    pilot.core.book.release(0)
+    pilot.core.versioned_tables.release(0)
     pilot.run(5000)
-    wanted = pilot.core.book.rollouts[0].wanted_weights
-    assert all(holds(pilot, proxy, wanted) for proxy in pilot.proxies.values()) and not pilot.core.book.is_behind()
+    wanted = pilot.core.versioned_tables.rollouts[0].wanted_weights
+    assert (
+        all(holds(pilot, proxy, wanted) for proxy in pilot.proxies.values())
+        and not pilot.core.versioned_tables.is_behind()
+    )
 
 
 def test_an_endpoint_removed_from_a_pinned_table_is_out_at_once_and_stays_out_of_the_pin():
     pilot = settled()
-    pilot.core.book.pin(current_versions(pilot)[-1])
+    pilot.core.versioned_tables.pin(current_versions(pilot)[-1])
     pilot.roster("partial", [3], "terminating")
     pilot.run(1500)
     assert (EJECTED, 3) in pilot.core.tables.proxies[0].acknowledged
-    assert 3 not in pilot.core.book.target(0)[0]
+    assert 3 not in pilot.core.versioned_tables.target(0)[0]
     assert not any(line.endswith("table-0/3") for line in pilot.proxies["p0"].held(LEDS))
 
 
 def test_a_warming_endpoint_of_a_pinned_version_is_limited():
     pilot = settled()
     version = current_versions(pilot)[-1]
-    pilot.core.started[3] = pilot.now
-    pilot.core.book.pin(version)
-    pilot.core.look(pilot.now)
-    assert pilot.core.book.target(0)[0][3] <= 0.25 * version.weights[4] + 1.0
+    pilot.core.endpoints.started_ms[3] = pilot.now
+    pilot.core.versioned_tables.pin(version)
+    pilot.core.update_endpoint_states(pilot.now)
+    assert pilot.core.versioned_tables.target(0)[0][3] <= 0.25 * version.weights[4] + 1.0
 
 
 def test_a_pin_without_a_warm_endpoint_gives_way_to_the_planner():
     pilot = settled()
     version = current_versions(pilot)[-1]
-    pilot.core.book.pin(version._replace(weights={3: 10.0}))
+    pilot.core.versioned_tables.pin(version._replace(weights={3: 10.0}))
     pilot.roster("partial", [3], "terminated")
     pilot.run(3000)
-    assert len(pilot.core.book.target(0)[0]) >= 4
+    assert len(pilot.core.versioned_tables.target(0)[0]) >= 4
     assert any("/table-0/" in line for line in pilot.proxies["p0"].held(LEDS))
 
 
@@ -70,7 +73,7 @@
         proxy.pump()
     some = pilot.proxies["p1"]
     some.refuses = refusing
-    pilot.core.book.pin(before._replace(cause="rollback"))
+    pilot.core.versioned_tables.pin(before._replace(cause="rollback"))
     pilot.run(300, step=50.0)
     some.refuses = False
     pilot.run(4000, step=50.0)
@@ -84,9 +87,9 @@
         write_weights(pilot, {3: weight})
         pilot.run(100)
         versions.append(current_versions(pilot)[-1])
-    pilot.core.book.pin(versions[0])
+    pilot.core.versioned_tables.pin(versions[0])
     pilot.run(30, read=False)
-    pilot.core.book.pin(versions[1])
+    pilot.core.versioned_tables.pin(versions[1])
     pilot.run(3000)
     assert all(holds(pilot, proxy, versions[1].weights) for proxy in pilot.proxies.values())
 
@@ -96,7 +99,7 @@
     write_weights(pilot, {1: 40.0, 2: 40.0, 3: 10.0})
     lines = pilot.core.tables.tables[0].weights
     assert lines[1] < 40.0 or lines[2] < 40.0
-    assert pilot.core.book.withheld and pilot.core.book.withheld[0].rule == MOVED_SHARE
+    assert pilot.core.versioned_tables.withheld and pilot.core.versioned_tables.withheld[0].rule == MOVED_SHARE
 
 
 def test_a_proxy_that_missed_many_changes_gets_one_update():
@@ -137,11 +140,11 @@
     @rule(back=st.integers(0, 4))
     def rollback(self, back):
         versions = current_versions(self.pilot)
-        self.pilot.core.book.pin(versions[max(0, len(versions) - 1 - back)]._replace(cause="rollback"))
+        self.pilot.core.versioned_tables.pin(versions[max(0, len(versions) - 1 - back)]._replace(cause="rollback"))
 
     @rule()
     def release(self):
-        self.pilot.core.book.release(0)
+        self.pilot.core.versioned_tables.release(0)
 
     @rule(ms=st.sampled_from([20.0, 200.0, 700.0]), read=st.booleans())
     def wait(self, ms, read):
@@ -172,13 +175,13 @@
             proxy.refuses = False
         if refused or any(state.nacked for state in self.pilot.core.tables.proxies.values()):
             # A line that was refused alone waits for its next version: each is written once more.
-            book = self.pilot.core.book
+            book = self.pilot.core.versioned_tables
             lines = dict(book.target(0)[0])
             for extra in (0.5, 0.0):
                 book.pin(TableVersion("", 0, "", "pin", "", 0.0, 0, {e: w + extra for e, w in lines.items()}, {}))
                 self.pilot.run(12000.0, step=50.0)
         self.pilot.run(12000.0, step=50.0)
-        wanted = self.pilot.core.book.target(0)[0]
+        wanted = self.pilot.core.versioned_tables.target(0)[0]
         for proxy in self.pilot.proxies.values():
             assert holds(self.pilot, proxy, wanted)
 
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -74,12 +74,12 @@
     proxy, core = pilot.join("p0"), pilot.core
     core.handle_store_event(UpdatesStored(10**9))
     pilot.run(4000)
-    core.durable = core.tables.revision
+    core.release.durable_revision = core.tables.revision
     module_wrote = core.tables.revision
-    core.look(pilot.now)
+    core.update_endpoint_states(pilot.now)
     core.tables.begin()
-    core.book.set_weight(0, 3, 14.0)
-    core.book.flush()
+    core.versioned_tables.set_weight(0, 3, 14.0)
+    core.versioned_tables.flush()
     core.channel.put(core.tables.commit(), pilot.now)
     number = core.tables.revision
     pilot.run(100)
@@ -87,9 +87,9 @@
     core.handle_store_event(UpdatesStored(number))
     pilot.run(20)
     assert core.tables.proxies[0].released_revision >= number
-    core.durable = 0.0
+    core.release.durable_revision = 0.0
     pilot.roster("partial", [4], "terminating")
     pilot.run(200)
     assert any("withdrawn/4" in each for each in proxy.held(LEDS))
     core.handle_store_event(StoreLost("no disk"))
-    assert core.durable == float("inf")
+    assert core.release.durable_revision == float("inf")
--- a/tests/versioned_fleet.py
+++ b/tests/versioned_fleet.py
@@ -16,11 +16,11 @@
 def write_weights(pilot, lines):
     """As the module would: into the book, in an order of its own."""
     core = pilot.core
-    core.look(pilot.now)
+    core.update_endpoint_states(pilot.now)
     core.tables.begin()
     for endpoint, weight in lines.items():
-        core.book.set_weight(0, endpoint, weight)
-    core.book.flush()
+        core.versioned_tables.set_weight(0, endpoint, weight)
+    core.versioned_tables.flush()
     for push in core.tables.commit():
         core.tables.release(push.proxy, push.revision)
 
@@ -36,4 +36,4 @@
 
 
 def current_versions(pilot):
-    return pilot.core.book.rollouts[0].versions
+    return pilot.core.versioned_tables.rollouts[0].versions
