--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -9,6 +9,8 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from quillstep.bench.results import machine_name
 from quillstep.bench.streams import scenario_of
 from quillstep.config.scenario import ScenarioSettings
@@ -17,8 +19,8 @@
 from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
-from quillstep.tracing.report import lineage_of, summary
-from quillstep.tracing.spans import read
+from quillstep.tracing.otlp import read_spans
+from quillstep.tracing.report import read_trace_index, summarize
 
 ARMS = {"bare": (False, 0.0), "record": (True, 0.0), "spans": (True, 0.05)}
 SLOW_LINE_MS = 3.0
@@ -91,7 +93,7 @@
 
 def kept_spans(arm: Arm) -> tuple[int, int]:
     """Spans that the pilot and the proxies wrote, and how many name a parent that nobody wrote."""
-    spans = [span for path in sorted(arm.folder.glob("spans-*.json")) for span in read(path)]
+    spans = [span for path in sorted(arm.folder.glob("spans-*.json")) for span in read_spans(path)]
     known = {(span["traceId"], span["spanId"]) for span in spans}
     orphans = sum("parentSpanId" in span and (span["traceId"], span["parentSpanId"]) not in known for span in spans)
     return len(spans), orphans
@@ -110,7 +112,7 @@
     row["service"] = service_quality(day.fleet, evidence.requests)["service"]
     if record:
         breaks = check_invariants(evidence)
-        traced = summary(lineage_of(arm.folder))
+        traced = msgspec.to_builtins(summarize(read_trace_index(arm.folder)))
         row.update(
             rules_broken=len(breaks), breaks=[found.to_row() for found in breaks[:5]],
             run_twice=sum(found.rule == Rule.DUPLICATE_EFFECT for found in breaks),
--- a/quillstep/cli/tracing.py
+++ b/quillstep/cli/tracing.py
@@ -21,24 +21,21 @@
     FOLDER is an arm of a played scenario.  The last line of standard output is one JSON object; status 1 if anything
     is missing of a chain.
     """
-    from quillstep.tracing.report import cause, lineage_of, summary, told
+    from quillstep.tracing.errors import NoArmError, UnknownRequestError
+    from quillstep.tracing.report import read_trace_index, summarize, trace_report
 
     if bool(request) == traces_all:
         raise click.UsageError("name one request, or --all")
     try:
-        lineage = lineage_of(Path(folder))
+        index = read_trace_index(Path(folder))
         if traces_all:
-            result = summary(lineage)
-            print_json(result)
-            sys.exit(1 if result["untraced"] else 0)
-        chain = lineage.trace(str(request))
-    except (FileNotFoundError, KeyError) as error:
+            summary = summarize(index)
+            print_json(msgspec.to_builtins(summary))
+            sys.exit(1 if summary.untraced else 0)
+        traced = index.trace(str(request))
+    except (NoArmError, UnknownRequestError) as error:
         fail(error)
-    links = []
-    for link in chain.links:
-        behind = cause(Path(folder), link) if link.round else None
-        links.append({**told(chain, link), "round_behind": msgspec.to_builtins(behind)})
-    result = {**chain._asdict(), "links": links, "gaps": chain.gaps}
+    result = trace_report(Path(folder), traced)
     Console(stderr=True).print_json(data=result)
     print_json(result)
-    sys.exit(1 if chain.gaps else 0)
+    sys.exit(1 if traced.gaps else 0)
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -88,9 +88,11 @@
             )
         self.spans: Any = None
         if record.spans.file:
-            from quillstep.tracing.spans import Spans  # only who wants spans needs the library for them
+            from quillstep.tracing.spans import SpanRecorder  # only who wants spans needs the library for them
 
-            self.spans = Spans(record.spans.file, record.spans.sampled_share, record.spans.max_spans_per_s, record.name)
+            self.spans = SpanRecorder(
+                record.spans.file, record.spans.sampled_share, record.spans.max_spans_per_s, record.name
+            )
         self.reader: ReaderThread | None = None
         self.processes: ReaderPool | None = None
         if record.reports.by == "thread":
@@ -122,7 +124,7 @@
         if self.capture:
             self.capture.put([SENT, at_ms, at_ms, what, fields])
         if self.spans:
-            self.spans.tap(self.epoch, what, at_ms, fields)
+            self.spans.record_channel_event(self.epoch, what, at_ms, fields)
         if self.keeper:
             self.held(what, fields)
 
@@ -181,7 +183,7 @@
                 part.stop()
         self.socket_record.flush()
         if self.spans:
-            self.spans.stop()
+            self.spans.close()
         if self.capture:
             self.capture.close()
             self.log.info("capture closed", records=self.capture.written, cpu_s=round(self.capture.cpu_s, 3))
@@ -213,7 +215,9 @@
                 self.capture.put([ORDERS, now, now, self.core.rounds, self.core.orders, number])
             self.capture.flush()
         if self.spans and self.core.rounds != rounds:
-            self.spans.round(self.epoch, self.core.tables.revision, now, self.now_ms(), late_ms=max(0.0, now - due))
+            self.spans.record_interval(
+                self.epoch, self.core.tables.revision, now, self.now_ms(), late_ms=max(0.0, now - due)
+            )
         for endpoint, host, port in self.core.probes:
             self.health_checker.request(endpoint, host, port)
         self.core.probes = []
--- a/quillstep/testbed/proxies.py
+++ b/quillstep/testbed/proxies.py
@@ -360,20 +360,20 @@
 
     def __init__(self, path: str, spans: dict[str, Any]) -> None:
         super().__init__(path)
-        from quillstep.tracing.spans import Spans  # only who wants spans needs the library for them
+        from quillstep.tracing.spans import SpanRecorder  # only who wants spans needs the library for them
 
-        self.spans = Spans(**spans)
+        self.spans = SpanRecorder(spans["file"], spans["part"], spans["max_spans_per_s"], spans["service"])
 
     def put(self, **fields: Any) -> None:
         super().put(**fields)
         if fields["what"] == "exchange":
-            self.spans.exchange(fields)
+            self.spans.record_request(fields)
         elif fields["what"] in ("applied", "refused"):
-            self.spans.apply(fields["proxy"], fields)
+            self.spans.record_application(fields["proxy"], fields)
 
     def close(self) -> None:
         super().close()
-        self.spans.stop()
+        self.spans.close()
 
 
 class Host:
--- a/quillstep/tracing/__init__.py
+++ b/quillstep/tracing/__init__.py
@@ -1,1 +1,1 @@
-"""Which table priced an exchange: the chain from a round of the module to an answer.  See docs/lineage.md."""
+"""Which table served a request: its trace from a control interval to the response, and spans.  See docs/lineage.md."""
--- a/quillstep/tracing/report.py
+++ b/quillstep/tracing/report.py
@@ -1,67 +1,109 @@
-"""What `quillstep trace` tells: one exchange's chain, or how all of a run's answers trace."""
+"""What `quillstep trace` prints: one request's trace, or how all responses of a run trace."""
 
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from quillstep.config.controller import ControllerSettings
 from quillstep.config.loading import load
 from quillstep.invariants import Evidence, read_evidence
 from quillstep.recording import lives, read_life
-from quillstep.tracing.causes import Round, why
-from quillstep.tracing.chain import STANDING, Chain, Lineage, Link
+from quillstep.tracing.causes import IntervalCause, find_cause
+from quillstep.tracing.errors import NoArmError
+from quillstep.tracing.request_trace import INITIAL_VERSION, RequestTrace, TraceIndex, VersionOrigin
+
+MAX_GAPS_SHOWN = 10
+TIMES_BEFORE_REQUEST = ("ordered_ms", "sent_ms", "applied_ms", "acknowledged_ms")
+
+
+class TraceSummary(msgspec.Struct):
+    """How the responses of a run trace; the names in JSON are those of `quillstep trace --all`.
+
+    Attributes:
+        requests: All requests.
+        responses: Those that were answered well.
+        untraced: Responses whose trace has a gap.
+        initial: Versions of initial tables, which no interval assigned.
+        lost_acks: Origins whose ack was lost with its stream or controller.
+        revisions: Distinct revisions behind the responses.
+        gaps: The first untraced responses and what is missing of each.
+        oldest_decision_ms: Greatest age of a decision at a request that used it, in milliseconds.
+    """
+
+    requests: int = msgspec.field(name="exchanges", default=0)
+    responses: int = msgspec.field(name="answers", default=0)
+    untraced: int = 0
+    initial: int = msgspec.field(name="standing", default=0)
+    lost_acks: int = msgspec.field(name="word_lost", default=0)
+    revisions: int = msgspec.field(name="rounds", default=0)
+    gaps: list[dict[str, Any]] = msgspec.field(default_factory=list)
+    oldest_decision_ms: float = msgspec.field(name="oldest_order_ms", default=0.0)
 
-GAPS_SHOWN = 10
 
+def read_trace_index(folder: Path) -> TraceIndex:
+    """Reads the record of one played arm.
 
-def lineage_of(folder: Path) -> Lineage:
-    """The record of one played arm; raises FileNotFoundError where there is none."""
+    Raises:
+        NoArmError: The folder holds no controller's settings.
+    """
     settings = sorted(folder.glob("pilot-*.cue"))
     if not settings:
-        raise FileNotFoundError(f"{folder} holds no pilot's settings: is it an arm of a played day?")
-    return Lineage(read_evidence(folder, Evidence(load(ControllerSettings, settings[0]).fleet)))
+        raise NoArmError(f"{folder} holds no controller's settings: is it an arm of a played scenario?")
+    return TraceIndex(read_evidence(folder, Evidence(load(ControllerSettings, settings[0]).fleet)))
 
 
-def cause(folder: Path, link: Link) -> Round | None:
-    """The round behind a link, from whichever capture has that life."""
+def read_cause(folder: Path, origin: VersionOrigin) -> IntervalCause | None:
+    """The control interval behind a version, from whichever recording holds that incarnation; None if none does."""
     for path in sorted(folder.glob("capture-*")):
-        for life in lives(path):
-            if life.header.epoch == link.pilot:
-                return why(read_life(life), link.round, link.resource)
+        for incarnation in lives(path):
+            if incarnation.header.epoch == origin.epoch:
+                return find_cause(read_life(incarnation), origin.revision, origin.resource)
     return None
 
 
-def told(chain: Chain, link: Link) -> dict[str, Any]:
-    """A link with times relative to the exchange: how old its table was."""
-    found = {name: value for name, value in link._asdict().items() if value not in ("", None, 0)}
-    for name in ("ordered_ms", "sent_ms", "applied_ms", "acknowledged_ms"):
-        if name in found:
-            found[name.replace("_ms", "_before_ms")] = round(chain.at_ms - found.pop(name), 1)
-    return found
-
-
-def summary(lineage: Lineage) -> dict[str, Any]:
-    """All answers of a run: how many trace, what is missing of the others."""
-    found: dict[str, Any] = {
-        "exchanges": 0, "answers": 0, "untraced": 0, "standing": 0, "word_lost": 0, "rounds": 0, "gaps": [],
-        "oldest_order_ms": 0.0,
-    }  # fmt: skip
-    rounds: set[tuple[str, int]] = set()
-    for chain in lineage.all():
-        found["exchanges"] += 1
-        if chain.outcome != "ok":
-            continue
-        found["answers"] += 1
-        if chain.gaps:
-            found["untraced"] += 1
-            if len(found["gaps"]) < GAPS_SHOWN:
-                found["gaps"].append({"exchange": chain.exchange, "proxy": chain.proxy, "gaps": chain.gaps})
-        for link in chain.links:
-            if link.version == STANDING:
-                found["standing"] += 1
-            elif link.nonce and not link.gap:
-                rounds.add((link.pilot, link.round))
-                found["word_lost"] += link.acknowledged_ms is None
-                if link.ordered_ms is not None:
-                    found["oldest_order_ms"] = max(found["oldest_order_ms"], round(chain.at_ms - link.ordered_ms, 1))
-    found["rounds"] = len(rounds)
-    return found
+def trace_report(folder: Path, trace: RequestTrace) -> dict[str, Any]:
+    """One request's trace with the intervals behind it, as it is printed."""
+    links = []
+    for origin in trace.origins:
+        cause = read_cause(folder, origin) if origin.revision else None
+        links.append({**_origin_report(trace, origin), "round_behind": msgspec.to_builtins(cause)})
+    return {**msgspec.to_builtins(trace), "links": links, "gaps": trace.gaps}
+
+
+def _origin_report(trace: RequestTrace, origin: VersionOrigin) -> dict[str, Any]:
+    """What is known of an origin, its times relative to the request: how old its table was."""
+    report = {name: value for name, value in msgspec.to_builtins(origin).items() if value not in ("", None, 0)}
+    for name in TIMES_BEFORE_REQUEST:
+        if name in report:
+            report[name.replace("_ms", "_before_ms")] = round(trace.at_ms - report.pop(name), 1)
+    return report
+
+
+def summarize(index: TraceIndex) -> TraceSummary:
+    """Counts how many responses of a run trace, and what is missing of the others."""
+    summary = TraceSummary()
+    revisions: set[tuple[str, int]] = set()
+    for trace in index.trace_all():
+        summary.requests += 1
+        if trace.outcome == "ok":
+            _count_response(summary, trace, revisions)
+    summary.revisions = len(revisions)
+    return summary
+
+
+def _count_response(summary: TraceSummary, trace: RequestTrace, revisions: set[tuple[str, int]]) -> None:
+    summary.responses += 1
+    if trace.gaps:
+        summary.untraced += 1
+        if len(summary.gaps) < MAX_GAPS_SHOWN:
+            summary.gaps.append({"exchange": trace.request, "proxy": trace.proxy, "gaps": trace.gaps})
+    for origin in trace.origins:
+        if origin.version == INITIAL_VERSION:
+            summary.initial += 1
+        elif origin.nonce and not origin.gap:
+            revisions.add((origin.epoch, origin.revision))
+            summary.lost_acks += origin.acked_ms is None
+            if origin.decided_ms is not None:
+                age_ms = round(trace.at_ms - origin.decided_ms, 1)
+                summary.oldest_decision_ms = max(summary.oldest_decision_ms, age_ms)
--- a/quillstep/tracing/spans.py
+++ b/quillstep/tracing/spans.py
@@ -1,225 +1,274 @@
-"""Spans of rounds, pushes, applications and exchanges: OpenTelemetry's SDK, a local file of OTLP JSON lines.
+"""Spans of control intervals, updates, applications and requests, by OpenTelemetry's SDK into a local file.
 
-No context travels: ids follow from what both ends of a stream know.  A trace is one round (`epoch/order`, which every
-response carries as its `system_version_info`); a push's span id follows from its nonce, so that the proxy's span of its
-application can name it as parent, and an exchange can link to the applications of the versions that it went by.
-Whether a trace is sampled follows from its id alone, so that all processes keep the same ones.
+No context travels: ids follow from what both ends of a stream know.  A trace is one revision (`epoch/revision`, which
+every response carries as its `system_version_info`); an update's span id follows from its nonce, so that the proxy's
+span of its application can name it as parent, and a request can link to the applications of the versions that it used.
+Whether a trace is sampled follows from its id alone, so that all processes sample the same ones.
 """
 
-import json
 import threading
 import time
 from collections import OrderedDict
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import xxhash
 from opentelemetry import trace
+from opentelemetry.context import Context
 from opentelemetry.sdk.resources import Resource
-from opentelemetry.sdk.trace import ReadableSpan, TracerProvider
-from opentelemetry.sdk.trace.export import BatchSpanProcessor, SpanExporter, SpanExportResult
+from opentelemetry.sdk.trace import TracerProvider
+from opentelemetry.sdk.trace.export import BatchSpanProcessor
 from opentelemetry.sdk.trace.id_generator import IdGenerator
 from opentelemetry.sdk.trace.sampling import ALWAYS_ON
 from opentelemetry.trace import Link, NonRecordingSpan, SpanContext, SpanKind, Status, StatusCode, TraceFlags
 
-OPEN_MOST = 4096  # pushes without a word, and applications that exchanges may still link to
-FLAGS = TraceFlags(TraceFlags.SAMPLED)
-ALL = 2**64
+from quillstep.invariants.evidence import Attempt
+from quillstep.tracing.otlp import FileExporter
 
+MAX_OPEN = 4096  # updates without an ack, and applications that requests may still link to
+SAMPLED_FLAGS = TraceFlags(TraceFlags.SAMPLED)
+SAMPLER_RANGE = 2**64
+NS_PER_MS = 1e6
 
-def trace_of(system: str) -> int:
-    """The trace of a round, from `epoch/order`, whatever follows."""
-    return xxhash.xxh3_128_intdigest("/".join(system.split("/")[:2]).encode())
 
+class SpanId(NamedTuple):
+    """A span and its trace."""
 
-def span_of(kind: str, name: str) -> int:
-    return xxhash.xxh3_64_intdigest(f"{kind} {name}".encode()) or 1
+    trace_id: int
+    span_id: int
 
+    def context(self) -> SpanContext:
+        """The span as another process's context."""
+        return SpanContext(self.trace_id, self.span_id, True, SAMPLED_FLAGS)
 
-class FileExporter(SpanExporter):
-    """Appends a line of OTLP JSON for each batch."""
 
-    def __init__(self, path: Path) -> None:
-        self.file = path.open("ab", buffering=0)
+class SpanData(NamedTuple):
+    """A span that has ended; times are monotonic milliseconds."""
 
-    def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        try:
-            self.file.write(json.dumps(otlp(spans), separators=(",", ":")).encode() + b"\n")
-        except OSError:
-            return SpanExportResult.FAILURE  # a full disk costs spans, never a pilot
-        return SpanExportResult.SUCCESS
+    name: str
+    id: SpanId
+    begin_ms: float
+    end_ms: float
+    kind: SpanKind
+    attributes: Mapping[str, Any]
+    parent_id: int = 0  # 0: a root
+    links: Sequence[SpanId] = ()
+    error: str = ""
 
-    def shutdown(self) -> None:
-        self.file.close()
 
+class SentUpdate(NamedTuple):
+    """An update in flight."""
 
-def otlp(spans: Sequence[ReadableSpan]) -> dict[str, Any]:
-    """A batch as the published OTLP JSON has it (`TracesData`)."""
-    resource = spans[0].resource.attributes if spans else {}
-    scope = {"scope": {"name": "quillstep"}, "spans": [one(span) for span in spans]}
-    return {"resourceSpans": [{"resource": {"attributes": pairs(resource)}, "scopeSpans": [scope]}]}
+    system: str
+    decided_ms: float
+    sent_ms: float
+    attributes: dict[str, Any]
 
 
-def one(span: ReadableSpan) -> dict[str, Any]:
-    context = span.context
-    assert context
-    found: dict[str, Any] = {
-        "traceId": f"{context.trace_id:032x}", "spanId": f"{context.span_id:016x}", "name": span.name,
-        "kind": span.kind.value + 1, "startTimeUnixNano": str(span.start_time), "endTimeUnixNano": str(span.end_time),
-        "attributes": pairs(span.attributes or {}),
-    }  # fmt: skip
-    if span.parent:
-        found["parentSpanId"] = f"{span.parent.span_id:016x}"
-    if span.links:
-        found["links"] = [
-            {"traceId": f"{link.context.trace_id:032x}", "spanId": f"{link.context.span_id:016x}"}
-            for link in span.links
-        ]
-    if span.status.status_code is StatusCode.ERROR:
-        found["status"] = {"code": 2, "message": span.status.description or ""}
-    return found
+def trace_id_of(system: str) -> int:
+    """The trace of a revision, from `epoch/revision`, whatever follows."""
+    return xxhash.xxh3_128_intdigest("/".join(system.split("/")[:2]).encode())
 
 
-def pairs(attributes: Any) -> list[dict[str, Any]]:
-    kinds = {bool: "boolValue", int: "intValue", float: "doubleValue"}
-    return [
-        {"key": key, "value": {kinds.get(type(value), "stringValue"): str(value) if type(value) is int else value}}
-        for key, value in attributes.items()
-    ]
+def span_id_of(kind: str, name: str) -> int:
+    """The id of a span, from its kind and what both ends of a stream call it."""
+    return xxhash.xxh3_64_intdigest(f"{kind} {name}".encode()) or 1
 
 
-class Given(IdGenerator):
-    """Ids as the caller of `start_span` says just before it; under that caller's lock."""
+class PresetIdGenerator(IdGenerator):
+    """Ids as the caller of `start_span` presets them; under that caller's lock."""
 
     def __init__(self) -> None:
-        self.trace = self.span = 1
+        self.trace_id = self.span_id = 1
 
     def generate_span_id(self) -> int:
-        return self.span
+        """The preset span id."""
+        return self.span_id
 
     def generate_trace_id(self) -> int:
-        return self.trace
+        """The preset trace id."""
+        return self.trace_id
 
 
-class Spans:
-    """One process's spans.  `part` of all traces, `max_spans_per_s` at most; times are monotonic milliseconds."""
+class SpanRecorder:
+    """One process's spans; the SDK's own thread writes them, and `close` ends it.
 
-    def __init__(self, file: str, part: float, max_spans_per_s: float, service: str) -> None:
-        self.part, self.max_spans_per_s = part, max_spans_per_s
-        self.ids = Given()
+    Attributes:
+        dropped: Spans left out because `max_spans_per_s` was reached.
+    """
+
+    def __init__(self, file: str, sampled_share: float, max_spans_per_s: float, service: str) -> None:
+        """Opens the file.
+
+        Args:
+            file: Path to append to.
+            sampled_share: Share of all traces that are sampled, from 0 to 1.
+            max_spans_per_s: Limit of spans a second, whatever is sampled.
+            service: The process's name in the spans' resource.
+        """
+        self._sampled_share, self._max_spans_per_s = sampled_share, max_spans_per_s
+        self._ids = PresetIdGenerator()
         resource = Resource({"service.name": service})
-        self.provider = TracerProvider(
-            sampler=ALWAYS_ON, resource=resource, id_generator=self.ids, shutdown_on_exit=False
+        self._provider = TracerProvider(
+            sampler=ALWAYS_ON, resource=resource, id_generator=self._ids, shutdown_on_exit=False
         )
-        self.provider.add_span_processor(BatchSpanProcessor(FileExporter(Path(file))))
-        self.tracer = self.provider.get_tracer("quillstep")
-        self.offset_ns = time.time_ns() - time.monotonic_ns()
-        self.lock = threading.Lock()
-        self.room, self.counted_ms = max_spans_per_s, 0.0
+        self._provider.add_span_processor(BatchSpanProcessor(FileExporter(Path(file))))
+        self._tracer = self._provider.get_tracer("quillstep")
+        self._wall_offset_ns = time.time_ns() - time.monotonic_ns()
+        self._lock = threading.Lock()
+        self._tokens, self._refilled_ms = max_spans_per_s, 0.0
         self.dropped = 0
-        self.open: OrderedDict[tuple[str, str], tuple[str, float, dict[str, Any]]] = OrderedDict()
-        self.applied: OrderedDict[tuple[str, str], tuple[int, int]] = OrderedDict()
-
-    def stop(self) -> None:
-        self.provider.shutdown()
-
-    def sampled(self, trace_id: int) -> bool:
-        """By the id's lower half, as OpenTelemetry's own ratio sampler does."""
-        return trace_id % ALL < self.part * ALL
-
-    def fits(self, at_ms: float) -> bool:
-        """Whether there is room for one more span; what has none is counted."""
-        self.room = min(self.max_spans_per_s, self.room + (at_ms - self.counted_ms) * self.max_spans_per_s / 1000.0)
-        self.counted_ms = at_ms
-        if self.room < 1.0:
-            self.dropped += 1
-            return False
-        self.room -= 1.0
-        return True
+        self._in_flight: OrderedDict[tuple[str, str], SentUpdate] = OrderedDict()
+        self._applications: OrderedDict[tuple[str, str], SpanId] = OrderedDict()
+
+    def close(self) -> None:
+        """Writes what is left and ends the SDK's thread."""
+        self._provider.shutdown()
+
+    def is_sampled(self, trace_id: int) -> bool:
+        """Whether a trace is sampled: by its id's lower half, as OpenTelemetry's own ratio sampler does."""
+        return trace_id % SAMPLER_RANGE < self._sampled_share * SAMPLER_RANGE
+
+    # Of a controller.
+
+    def record_interval(self, epoch: str, revision: int, begin_ms: float, end_ms: float, **attributes: Any) -> None:
+        """Records a control interval."""
+        system = f"{epoch}/{revision}"
+        trace_id = trace_id_of(system)
+        if self.is_sampled(trace_id):
+            span_id = SpanId(trace_id, span_id_of("round", system))
+            interval = {"round": revision, **attributes}
+            self._record(SpanData("round", span_id, begin_ms, end_ms, SpanKind.INTERNAL, interval))
+
+    def record_channel_event(self, epoch: str, what: str, at_ms: float, fields: Mapping[str, Any]) -> None:
+        """Follows what passed on the controller's sockets: an update lasts from its decision to its ack or nack.
+
+        Args:
+            epoch: The controller's incarnation.
+            what: Kind of the event, as in the sockets' record.
+            at_ms: When it passed.
+            fields: Its fields, as in the sockets' record.
+        """
+        if what == "send":
+            self._open_update(f"{epoch}/{fields['order']}", at_ms, fields)
+        elif what in ("ack", "nack"):
+            update = self._in_flight.pop((fields["proxy"], fields["nonce"]), None)
+            if update:
+                self._close_update(update, at_ms, "refused" if what == "nack" else "")
 
-    def put(
-        self, name: str, trace_id: int, span_id: int, parent: int, begin_ms: float, end_ms: float, kind: SpanKind,
-        attributes: dict[str, Any], links: Sequence[tuple[int, int]] = (), error: str = "",
-    ) -> None:  # fmt: skip
-        """One span, begun and ended; `parent` 0: a root."""
-        with self.lock:
-            if not self.fits(end_ms):
-                return
-            self.ids.trace, self.ids.span = trace_id, span_id
-            context = None
-            if parent:
-                above = NonRecordingSpan(SpanContext(trace_id, parent, True, FLAGS))
-                context = trace.set_span_in_context(above)
-            linked = [Link(SpanContext(*each, True, FLAGS)) for each in links]
-            span = self.tracer.start_span(
-                name, context, kind, attributes, linked, start_time=int(begin_ms * 1e6) + self.offset_ns
+    def _open_update(self, system: str, at_ms: float, fields: Mapping[str, Any]) -> None:
+        if not self.is_sampled(trace_id_of(system)):
+            return
+        attributes = {name: fields[name] for name in ("proxy", "nonce", "lines", "type")}
+        self._in_flight[fields["proxy"], fields["nonce"]] = SentUpdate(system, fields["ordered"], at_ms, attributes)
+        if len(self._in_flight) > MAX_OPEN:
+            self._in_flight.popitem(last=False)
+
+    def _close_update(self, update: SentUpdate, at_ms: float, error: str) -> None:
+        attributes = {**update.attributes, "queued_ms": round(update.sent_ms - update.decided_ms, 1)}
+        span_id = span_id_of("push", f"{attributes['proxy']} {attributes['nonce']}")
+        self._record(
+            SpanData(
+                "push",
+                SpanId(trace_id_of(update.system), span_id),
+                update.decided_ms,
+                at_ms,
+                SpanKind.PRODUCER,
+                attributes,
+                parent_id=span_id_of("round", update.system),
+                error=error,
             )
-            if error:
-                span.set_status(Status(StatusCode.ERROR, error))
-            span.end(int(max(begin_ms, end_ms) * 1e6) + self.offset_ns)
-
-    # a pilot's
+        )
 
-    def round(self, epoch: str, order: int, begin_ms: float, end_ms: float, **attributes: Any) -> None:
-        """A round of the module."""
-        system = f"{epoch}/{order}"
-        if self.sampled(trace_id := trace_of(system)):
-            self.put("round", trace_id, span_of("round", system), 0, begin_ms, end_ms, SpanKind.INTERNAL,
-                     {"round": order, **attributes})  # fmt: skip
+    # Of a process of proxies.
 
-    def tap(self, epoch: str, what: str, at_ms: float, fields: dict[str, Any]) -> None:
-        """What passed on the pilot's sockets: a push lasts from its order to its word."""
-        if what == "send":
-            system = f"{epoch}/{fields['order']}"
-            if self.sampled(trace_of(system)):
-                told = {name: fields[name] for name in ("proxy", "nonce", "lines", "type")}
-                self.open[fields["proxy"], fields["nonce"]] = (system, fields["ordered"], {**told, "sent": at_ms})
-                if len(self.open) > OPEN_MOST:
-                    self.open.popitem(last=False)
-        elif what in ("ack", "nack"):
-            found = self.open.pop((fields["proxy"], fields["nonce"]), None)
-            if found:
-                system, ordered_ms, told = found
-                told["queued_ms"] = round(told.pop("sent") - ordered_ms, 1)
-                self.put("push", trace_of(system), span_of("push", f"{told['proxy']} {told['nonce']}"),
-                         span_of("round", system), ordered_ms, at_ms, SpanKind.PRODUCER, told,
-                         error="refused" if what == "nack" else "")  # fmt: skip
-
-    # a proxy's
-
-    def apply(self, proxy: str, row: dict[str, Any]) -> None:
-        """A response that a proxy applied or refused; `row` as it writes it down."""
-        trace_id = trace_of(row["system"])
-        if not self.sampled(trace_id):
+    def record_application(self, proxy: str, row: Mapping[str, Any]) -> None:
+        """Records a response that a proxy applied or rejected; `row` as in the sockets' record."""
+        trace_id = trace_id_of(row["system"])
+        if not self.is_sampled(trace_id):
             return
-        push = f"{proxy} {row['nonce']}"
-        span_id = span_of("apply", push)
+        update = f"{proxy} {row['nonce']}"
+        application = SpanId(trace_id, span_id_of("apply", update))
         for _, version in row["changed"]:
-            self.applied[proxy, version] = (trace_id, span_id)
-        while len(self.applied) > OPEN_MOST:
-            self.applied.popitem(last=False)
-        self.put("apply", trace_id, span_id, span_of("push", push), row["at"] - row.get("stood", 0.0), row["at"],
-                 SpanKind.CONSUMER, {"proxy": proxy, "nonce": row["nonce"], "changed": len(row["changed"])},
-                 error=row.get("reason", ""))  # fmt: skip
-
-    def exchange(self, row: dict[str, Any]) -> None:
-        """An exchange, linked to the applications that it went by where their rounds are kept too."""
-        trace_id = xxhash.xxh3_128_intdigest(row["exchange"].encode())
-        if not self.sampled(trace_id):
+            self._applications[proxy, version] = application
+        while len(self._applications) > MAX_OPEN:
+            self._applications.popitem(last=False)
+        self._record(
+            SpanData(
+                "apply",
+                application,
+                row["at"] - row.get("stood", 0.0),
+                row["at"],
+                SpanKind.CONSUMER,
+                {"proxy": proxy, "nonce": row["nonce"], "changed": len(row["changed"])},
+                parent_id=span_id_of("push", update),
+                error=row.get("reason", ""),
+            )
+        )
+
+    def record_request(self, row: Mapping[str, Any]) -> None:
+        """Records a request, linked to the sampled applications of what it used; `row` as in the sockets' record."""
+        request: str = row["exchange"]
+        trace_id = xxhash.xxh3_128_intdigest(request.encode())
+        if not self.is_sampled(trace_id):
             return
         proxy = row["proxy"]
-        versions = [row.get("routes", ""), *(each[4] for each in row["tries"])]
-        links = list(dict.fromkeys(self.applied[proxy, v] for v in versions if (proxy, v) in self.applied))
-        self.put("exchange", trace_id, span_of("exchange", row["exchange"]), 0, row["at"], row["end"],
-                 SpanKind.SERVER, {"proxy": proxy, "class": row["class"], "outcome": row["outcome"],
-                 "tries": len(row["tries"]), "exchange": row["exchange"]}, links)  # fmt: skip
-
-
-def read(path: Path) -> list[dict[str, Any]]:
-    """All spans of a file, as OTLP JSON has them."""
-    found = []
-    for line in path.read_text().splitlines():
-        for group in json.loads(line)["resourceSpans"]:
-            found += [span for scope in group["scopeSpans"] for span in scope["spans"]]
-    return found
+        attributes = {
+            "proxy": proxy,
+            "class": row["class"],
+            "outcome": row["outcome"],
+            "tries": len(row["tries"]),
+            "exchange": request,
+        }
+        span_id = SpanId(trace_id, span_id_of("exchange", request))
+        links = self._applications_used(proxy, row)
+        self._record(SpanData("exchange", span_id, row["at"], row["end"], SpanKind.SERVER, attributes, links=links))
+
+    def _applications_used(self, proxy: str, row: Mapping[str, Any]) -> list[SpanId]:
+        """The applications of the versions that a request used, each once, in the order of use."""
+        versions = [row.get("routes", "")]
+        versions.extend(Attempt(*attempt).version for attempt in row["tries"])
+        applications = (self._applications.get((proxy, version)) for version in versions)
+        return list(dict.fromkeys(application for application in applications if application))
+
+    # Of any.
+
+    def _record(self, data: SpanData) -> None:
+        """Begins and ends one span, if the limit leaves room for it."""
+        with self._lock:
+            if not self._take_token(data.end_ms):
+                return
+            self._ids.trace_id, self._ids.span_id = data.id
+            span = self._tracer.start_span(
+                data.name,
+                self._parent_context(data),
+                data.kind,
+                data.attributes,
+                [Link(link.context()) for link in data.links],
+                start_time=self._wall_ns(data.begin_ms),
+            )
+            if data.error:
+                span.set_status(Status(StatusCode.ERROR, data.error))
+            span.end(self._wall_ns(max(data.begin_ms, data.end_ms)))
+
+    def _take_token(self, at_ms: float) -> bool:
+        """Whether the limit leaves room for one more span; one without room is counted."""
+        refill = (at_ms - self._refilled_ms) * self._max_spans_per_s / 1000.0
+        self._tokens = min(self._max_spans_per_s, self._tokens + refill)
+        self._refilled_ms = at_ms
+        if self._tokens < 1.0:
+            self.dropped += 1
+            return False
+        self._tokens -= 1.0
+        return True
+
+    @staticmethod
+    def _parent_context(data: SpanData) -> Context | None:
+        if not data.parent_id:
+            return None
+        parent = SpanId(data.id.trace_id, data.parent_id)
+        return trace.set_span_in_context(NonRecordingSpan(parent.context()))
+
+    def _wall_ns(self, monotonic_ms: float) -> int:
+        return int(monotonic_ms * NS_PER_MS) + self._wall_offset_ns
