--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -12,7 +12,7 @@
 from quillstep.bench.results import machine_name
 from quillstep.bench.streams import scenario_of
 from quillstep.config.scenario import ScenarioSettings
-from quillstep.recording import lives, read_life
+from quillstep.recording import read_incarnations, read_records
 from quillstep.replay.faithful import Replay
 from quillstep.replay.recorded_day import read_daybook
 from quillstep.replay.whatif import learn, play
@@ -81,9 +81,9 @@
     identical = True
     for run in range(2):
         for path in sorted(folder.glob("capture-*")):
-            for life in lives(path):
+            for life in read_incarnations(path):
                 begun = time.process_time()
-                outcome = Replay(life.header).play(read_life(life))
+                outcome = Replay(life.header).play(read_records(life))
                 identical = identical and outcome.identical
                 digests[run].append(outcome.digest)
                 if run == 0:
--- a/quillstep/cli/recording.py
+++ b/quillstep/cli/recording.py
@@ -21,12 +21,12 @@
     """Recordings of controllers: list, show, cut, verify."""
 
 
-def read_incarnations(folder: str) -> list["Incarnation"]:
+def load_incarnations(folder: str) -> list["Incarnation"]:
     """All incarnations that a folder holds; a folder without one, or with a damaged one, ends with status 1."""
-    from quillstep.recording import CorruptBlockError, lives
+    from quillstep.recording import CorruptBlockError, read_incarnations
 
     try:
-        found = lives(Path(folder))
+        found = read_incarnations(Path(folder))
     except CorruptBlockError as error:
         fail(error, status=1)
     if not found:
@@ -41,11 +41,11 @@
     table = Table(title=folder)
     for name in ("life", "segments", "records", "seconds", "kB", "torn"):
         table.add_column(name, justify="left" if name in ("life", "torn") else "right")
-    for each in read_incarnations(folder):
+    for each in load_incarnations(folder):
         span_s = (each.last_ms - each.first_ms) / 1000.0
-        kinds = ", ".join(f"{count} {kind}" for kind, count in each.kinds.most_common())
-        row = [str(len(each.segments)), str(each.records), f"{span_s:.1f}", str(each.bytes // 1000)]
-        table.add_row(f"{each.header.epoch}\n{kinds}", *row, each.torn or "no")
+        kinds = ", ".join(f"{count} {kind}" for kind, count in each.record_counts.most_common())
+        row = [str(len(each.segments)), str(each.records), f"{span_s:.1f}", str(each.size_bytes // 1000)]
+        table.add_row(f"{each.header.epoch}\n{kinds}", *row, each.truncation or "no")
     Console().print(table)
 
 
@@ -57,11 +57,11 @@
 @click.option("--kind", "kinds", multiple=True, help="Only records of this kind.")
 def show(folder: str, name: str | None, begin_s: float, span_s: float, kinds: tuple[str, ...]) -> None:
     """Records of a span, a JSON line each; messages by their size."""
-    from quillstep.recording.reader import between
+    from quillstep.recording.reader import read_span
 
-    incarnation = _choose(read_incarnations(folder), name)
+    incarnation = _choose(load_incarnations(folder), name)
     first_ms = incarnation.first_ms + begin_s * 1000.0
-    for record in between(incarnation, Path(folder), first_ms, first_ms + span_s * 1000.0):
+    for record in read_span(incarnation, Path(folder), first_ms, first_ms + span_s * 1000.0):
         if not kinds or record[0] in kinds:
             print_json([f"{len(each)} bytes" if isinstance(each, bytes) else each for each in record])
 
@@ -80,10 +80,10 @@
 @click.option("--for", "span_s", required=True, type=float, help="Seconds from the incarnation's beginning.")
 def cut_beginning(folder: str, out: str, name: str | None, span_s: float) -> None:
     """The beginning of an incarnation as a recording of its own; it replays like the whole."""
-    from quillstep.recording.reader import cut
+    from quillstep.recording.reader import cut_span
 
-    incarnation = _choose(read_incarnations(folder), name)
-    count = cut(incarnation, incarnation.first_ms, incarnation.first_ms + span_s * 1000.0, Path(out))
+    incarnation = _choose(load_incarnations(folder), name)
+    count = cut_span(incarnation, incarnation.first_ms, incarnation.first_ms + span_s * 1000.0, Path(out))
     click.echo(f"{out}: {count} records of {incarnation.header.epoch}")
 
 
@@ -91,9 +91,9 @@
 @FOLDER
 def verify(folder: str) -> None:
     """Read all of it, checksums included; status 1 if any of it is damaged, 0 if at most a tail is torn."""
-    for each in read_incarnations(folder):
-        torn = f"; torn: {each.torn}" if each.torn else ""
-        click.echo(f"{each.header.epoch}: {each.records} records whole{torn}")
+    for each in load_incarnations(folder):
+        truncation = f"; torn: {each.truncation}" if each.truncation else ""
+        click.echo(f"{each.header.epoch}: {each.records} records whole{truncation}")
 
 
 @recording.command("keep")
--- a/quillstep/cli/replay.py
+++ b/quillstep/cli/replay.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from quillstep.cli.output import fail, parse_settings_changes, print_json, write_json
-from quillstep.cli.recording import FOLDER, read_incarnations
+from quillstep.cli.recording import FOLDER, load_incarnations
 from quillstep.config.errors import ConfigError
 from quillstep.logging import configure_logging
 
@@ -32,19 +32,19 @@
 
     The last line of standard output is one JSON object; status 1 at the first difference.
     """
-    from quillstep.recording import read_life
+    from quillstep.recording import read_records
     from quillstep.replay.faithful import Replay
 
     configure_logging("auto", "error")
     rows = []
-    for incarnation in read_incarnations(folder):
+    for incarnation in load_incarnations(folder):
         begun_s = time.perf_counter()
-        outcome = Replay(incarnation.header).play(read_life(incarnation))
+        outcome = Replay(incarnation.header).play(read_records(incarnation))
         took_s = time.perf_counter() - begun_s
         rows.append({
             "life": incarnation.header.epoch, "identical": outcome.identical, "rounds": outcome.rounds,
             "records": outcome.records, "digest": outcome.digest, "seconds": round(outcome.span_ms / 1000.0, 1),
-            "times_real": round(outcome.span_ms / 1000.0 / max(took_s, 1e-9), 1), "torn": incarnation.torn,
+            "times_real": round(outcome.span_ms / 1000.0 / max(took_s, 1e-9), 1), "torn": incarnation.truncation,
             "difference": outcome.difference,
         })  # fmt: skip
     is_identical = all(row["identical"] for row in rows)
--- a/quillstep/recording/__init__.py
+++ b/quillstep/recording/__init__.py
@@ -1,7 +1,16 @@
-"""Captures: all that came into a pilot, with the times, and what it ordered; in segments that survive a kill."""
+"""Recordings: all events of a controller with their times and its output, in segments that survive a kill."""
 
 from quillstep.recording.format import CorruptBlockError, Header, Record
-from quillstep.recording.reader import Incarnation, lives, read_life, record_of
+from quillstep.recording.reader import Incarnation, read_incarnations, read_records, recorded_settings
 from quillstep.recording.writer import RecordingWriter
 
-__all__ = ["CorruptBlockError", "RecordingWriter", "Header", "Incarnation", "Record", "lives", "read_life", "record_of"]
+__all__ = [
+    "CorruptBlockError",
+    "Header",
+    "Incarnation",
+    "Record",
+    "RecordingWriter",
+    "read_incarnations",
+    "read_records",
+    "recorded_settings",
+]
--- a/quillstep/recording/writer.py
+++ b/quillstep/recording/writer.py
@@ -1,119 +1,143 @@
-"""Writes a capture beside the pilot: records are handed over, encoded and written by a thread of its own.
+"""Writes a recording beside the controller: a thread of its own encodes and writes the records.
 
-Whatever goes wrong here stops the capture with a log line, never the pilot.
+Whatever fails here stops the recording with a log event, never the controller.
 """
 
 import os
 import queue
 import threading
 import time
+from collections import Counter
+from io import BufferedWriter
 from pathlib import Path
 from typing import Any
 
 import lmdb
-import msgspec
 import structlog
 
-from quillstep.recording.format import Header, Record, encode_block, encode_header
+from quillstep.recording.format import Header, Record, encode_block, encode_header, kind_of, taken_ms_of
+from quillstep.recording.index import BlockPlace, add_place, open_index
 
-INDEX = "index.lmdb"
-INDEX_BYTES = 64 * 2**20
-BATCH = 512  # records in a block, at most
-BATCH_S = 0.25
-WAITING_MOST = 256  # blocks between the pilot and the disk
+MAX_BLOCK_RECORDS = 512
+MAX_BATCH_AGE_S = 0.25
+MAX_QUEUED_BLOCKS = 256
+CLOSE_PUT_TIMEOUT_S = 2.0
+CLOSE_JOIN_TIMEOUT_S = 5.0
 
 
 class RecordingWriter:
-    """One life's capture.  `put` and `flush` belong to the deciding thread and never block."""
-
-    def __init__(self, folder: str, pilot: str, epoch: str, settings: dict[str, Any], segment_bytes: int) -> None:
-        self.folder, self.segment_bytes = Path(folder), segment_bytes
-        offset = (time.time() - time.monotonic()) * 1000.0
-        self.header = Header(pilot, epoch, 0, settings, offset)
-        self.records: list[Record] = []
-        self.begun = time.monotonic()
-        self.blocks: queue.Queue[list[Record] | None] = queue.Queue(WAITING_MOST)
-        self.stopped = ""
-        self.cpu_s = 0.0
+    """The recording of one incarnation.
+
+    `put`, `flush` and `close` belong to the deciding thread, of which only `close` blocks.  The writer's thread takes
+    batches from one queue; whoever made the writer ends it with `close`.
+
+    Attributes:
+        stop_reason: Why the recording stopped; empty while it runs.
+        written: Records written.
+        cpu_s: Processor time that the writer's thread has used for them.
+    """
+
+    def __init__(self, folder: str, controller: str, epoch: str, settings: dict[str, Any], segment_bytes: int) -> None:
+        """Starts the thread.
+
+        Args:
+            folder: Where the segments and their index go.
+            controller: The controller's name.
+            epoch: The name of its incarnation.
+            settings: The settings it runs with, as plain values.
+            segment_bytes: Size from which on a segment is followed by the next.
+        """
+        self._folder, self._segment_bytes = Path(folder), segment_bytes
+        wall_offset_ms = (time.time() - time.monotonic()) * 1000.0
+        self._header = Header(controller, epoch, 0, settings, wall_offset_ms)
+        self._batch: list[Record] = []
+        self._flushed_s = time.monotonic()
+        self._batches: queue.Queue[list[Record] | None] = queue.Queue(MAX_QUEUED_BLOCKS)
+        self.stop_reason = ""
         self.written = 0
-        self.log = structlog.get_logger("capture")
-        self.thread = threading.Thread(target=self.run, daemon=True)
-        self.thread.start()
+        self.cpu_s = 0.0
+        self._log = structlog.get_logger("recording")
+        self._thread = threading.Thread(target=self._run, name="recording-writer", daemon=True)
+        self._thread.start()
 
     def put(self, record: Record) -> None:
-        if not self.stopped:
-            self.records.append(record)
+        """Adds a record to the batch."""
+        if not self.stop_reason:
+            self._batch.append(record)
 
     def flush(self, now: bool = False) -> None:
-        """Hand over what has gathered, if it is enough or old enough."""
-        if not self.records or self.stopped:
+        """Passes the batch to the thread, if it is large enough or old enough, or `now`."""
+        if not self._batch or self.stop_reason:
             return
-        if now or len(self.records) >= BATCH or time.monotonic() - self.begun > BATCH_S:
-            records, self.records = self.records, []
-            self.begun = time.monotonic()
+        is_old = time.monotonic() - self._flushed_s > MAX_BATCH_AGE_S
+        if now or len(self._batch) >= MAX_BLOCK_RECORDS or is_old:
+            records, self._batch = self._batch, []
+            self._flushed_s = time.monotonic()
             try:
-                self.blocks.put_nowait(records)
+                self._batches.put_nowait(records)
             except queue.Full:
-                self.stop("the disk does not keep up")
+                self._stop("the disk does not keep up")
 
     def close(self) -> None:
+        """Writes what is left and ends the thread; a disk that does not keep up is not waited for any longer."""
         self.flush(now=True)
         try:
-            self.blocks.put(None, timeout=2.0)
+            self._batches.put(None, timeout=CLOSE_PUT_TIMEOUT_S)
         except queue.Full:
             return
-        self.thread.join(5.0)
+        self._thread.join(CLOSE_JOIN_TIMEOUT_S)
 
-    def stop(self, reason: str) -> None:
-        """End the capture; the pilot goes on."""
-        if not self.stopped:
-            self.stopped, self.records = reason, []
-            self.log.error("capture stopped", reason=reason, epoch=self.header.epoch)
+    def _stop(self, reason: str) -> None:
+        """Ends the recording; the controller goes on."""
+        if not self.stop_reason:
+            self.stop_reason, self._batch = reason, []
+            self._log.error("recording stopped", reason=reason, epoch=self._header.epoch)
 
-    def run(self) -> None:
+    def _run(self) -> None:
         try:
-            self.folder.mkdir(parents=True, exist_ok=True)
-            index = lmdb.open(str(self.folder / INDEX), map_size=INDEX_BYTES, sync=False, subdir=True)
-            with index:
-                self.work(index)
-        except (OSError, lmdb.Error) as trouble:
-            self.stop(str(trouble))
-
-    def work(self, index: lmdb.Environment) -> None:
-        file = None
+            self._folder.mkdir(parents=True, exist_ok=True)
+            with open_index(self._folder) as index:
+                self._write_batches(index)
+        except (OSError, lmdb.Error) as error:
+            self._stop(str(error))
+
+    def _write_batches(self, index: lmdb.Environment) -> None:
+        segment: BufferedWriter | None = None
         try:
-            while (records := self.blocks.get()) is not None:
-                begun = time.thread_time()
-                if file is None or file.tell() > self.segment_bytes:
-                    if file:
-                        file.close()
-                    file = self.segment()
-                at = file.tell()
-                data = encode_block(records)
-                file.write(data)
-                file.flush()
-                self.note(index, records, at, len(data))
+            while (records := self._batches.get()) is not None:
+                begin_s = time.thread_time()
+                if segment is None or segment.tell() > self._segment_bytes:
+                    if segment:
+                        segment.close()
+                    segment = self._open_segment()
+                self._write_block(segment, index, records)
                 self.written += len(records)
-                self.cpu_s += time.thread_time() - begun
+                self.cpu_s += time.thread_time() - begin_s
         finally:
-            if file:
-                os.fsync(file.fileno())
-                file.close()
-
-    def segment(self) -> Any:
-        name = f"{self.header.epoch}-{self.header.segment:04d}.qcap"
-        file = (self.folder / name).open("xb")
-        file.write(encode_header(self.header))
-        self.header.segment += 1
-        return file
-
-    def note(self, index: lmdb.Environment, records: list[Record], at: int, size: int) -> None:
-        """Where a block is, by its life and first time: enough to find a moment without reading all."""
-        kinds: dict[str, int] = {}
-        for record in records:
-            kinds[record[0]] = kinds.get(record[0], 0) + 1
-        first, last = records[0][2], records[-1][2]
-        segment = self.header.segment - 1
-        key = f"{self.header.epoch}\0{first:020.3f}\0{segment:06d}\0{at:012d}".encode()
-        with index.begin(write=True) as change:
-            change.put(key, msgspec.msgpack.encode([segment, at, size, first, last, kinds]))
+            if segment:
+                os.fsync(segment.fileno())
+                segment.close()
+
+    def _open_segment(self) -> BufferedWriter:
+        """Begins the next segment."""
+        name = f"{self._header.epoch}-{self._header.segment:04d}.qcap"
+        segment = (self._folder / name).open("xb")
+        segment.write(encode_header(self._header))
+        self._header.segment += 1
+        return segment
+
+    def _write_block(self, segment: BufferedWriter, index: lmdb.Environment, records: list[Record]) -> None:
+        """Appends a block, and adds it to the index once it has left the process."""
+        offset = segment.tell()
+        data = encode_block(records)
+        segment.write(data)
+        segment.flush()
+        place = BlockPlace(
+            self._header.segment - 1,
+            offset,
+            len(data),
+            taken_ms_of(records[0]),
+            taken_ms_of(records[-1]),
+            dict(Counter(kind_of(record) for record in records)),
+        )
+        add_place(index, self._header.epoch, place)
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -18,7 +18,7 @@
 from quillstep.files.disk import Disk
 from quillstep.files.events import FileEvent
 from quillstep.files.proxy_generations import PendingGeneration
-from quillstep.recording import Header, Record, record_of
+from quillstep.recording import Header, Record, recorded_settings
 from quillstep.xds.server import Peer, Server
 
 CAUSES_MOST = 12
@@ -78,7 +78,7 @@
     """One life played again; `change` makes another record of the settings, for orders that may then differ."""
 
     def __init__(self, header: Header, record: ControllerSettings | None = None) -> None:
-        self.record = record or record_of(header)
+        self.record = record or recorded_settings(header)
         self.decider = DecisionLoop(self.record, header.epoch, self.tap, self.never, PlayedDisk())
         self.decider.streams.server = PlayedServer()
         self.core = self.decider.core
--- a/quillstep/replay/recorded_day.py
+++ b/quillstep/replay/recorded_day.py
@@ -15,7 +15,7 @@
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.planner.messages import EndpointEntry
-from quillstep.recording import Incarnation, lives, read_life, record_of
+from quillstep.recording import Incarnation, read_incarnations, read_records, recorded_settings
 from quillstep.xds.server import LOAD
 
 CLOCKS_MS = 50.0  # up to which clocks count as one
@@ -58,7 +58,7 @@
 def read_daybook(folder: Path) -> RecordedDay:
     """Raises FileNotFoundError where the folder is no captured day, BadBlock where a capture is damaged."""
     fleet = msgspec.json.decode((folder / "fleet.json").read_bytes())
-    held = [life for path in sorted(folder.glob("capture-*")) for life in lives(path)]
+    held = [life for path in sorted(folder.glob("capture-*")) for life in read_incarnations(path)]
     if not held:
         raise FileNotFoundError(f"{folder} holds no capture")
     offsets = [life.header.wall_offset_ms for life in held]
@@ -105,12 +105,12 @@
 
 def pilot_life(life: Incarnation, shift_ms: float = 0.0) -> ControllerIncarnation:
     """Roster news, streams, report times and message delays of one life, late as they were."""
-    record = record_of(life.header)
+    record = recorded_settings(life.header)
     found = ControllerIncarnation(life.header.epoch, record, life.first_ms + shift_ms, life.last_ms + shift_ms)
     sent: dict[tuple[str, str], float] = {}
     nodes: dict[tuple[int, int], str] = {}
     names: list[str] = []  # of proxies, by the numbers that they got as they first joined
-    for row in read_life(life):
+    for row in read_records(life):
         kind, taken = row[0], row[2] + shift_ms
         if kind == "roster":
             addresses = {number: (host, port) for number, host, port in row[5]}
--- a/quillstep/tracing/report.py
+++ b/quillstep/tracing/report.py
@@ -8,7 +8,7 @@
 from quillstep.config.controller import ControllerSettings
 from quillstep.config.loading import load
 from quillstep.invariants import Evidence, read_evidence
-from quillstep.recording import lives, read_life
+from quillstep.recording import read_incarnations, read_records
 from quillstep.tracing.causes import IntervalCause, find_cause
 from quillstep.tracing.errors import NoArmError
 from quillstep.tracing.request_trace import INITIAL_VERSION, RequestTrace, TraceIndex, VersionOrigin
@@ -56,9 +56,9 @@
 def read_cause(folder: Path, origin: VersionOrigin) -> IntervalCause | None:
     """The control interval behind a version, from whichever recording holds that incarnation; None if none does."""
     for path in sorted(folder.glob("capture-*")):
-        for incarnation in lives(path):
+        for incarnation in read_incarnations(path):
             if incarnation.header.epoch == origin.epoch:
-                return find_cause(read_life(incarnation), origin.revision, origin.resource)
+                return find_cause(read_records(incarnation), origin.revision, origin.resource)
     return None
 
 
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -26,7 +26,7 @@
 from quillstep.platform.protocol.codec import MessageCodec
 from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
 from quillstep.platform.protocol.updates import ProtocolOutput
-from quillstep.recording import lives, read_life
+from quillstep.recording import read_incarnations, read_records
 from quillstep.routing.resources import make_resource
 from quillstep.simulator import decode
 from quillstep.simulator.host import Host
@@ -374,4 +374,8 @@
 
 def capture_records(folder):
     """All records of the lives in a folder: the life, and each record as bytes of MessagePack."""
-    return [(life.header.epoch, msgspec.msgpack.encode(record)) for life in lives(folder) for record in read_life(life)]
+    return [
+        (life.header.epoch, msgspec.msgpack.encode(record))
+        for life in read_incarnations(folder)
+        for record in read_records(life)
+    ]
--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -17,7 +17,7 @@
 from quillstep.bench.load_reports import measure
 from quillstep.config.controller import LoadReportSettings
 from quillstep.invariants import check_invariants, longest_queue
-from quillstep.recording import lives, read_life
+from quillstep.recording import read_incarnations, read_records
 from quillstep.replay.faithful import Replay
 from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.plan import Step, plan_scenario
@@ -96,13 +96,13 @@
     assert check_invariants(evidence) == [] and longest_queue(evidence) <= day.fleet.channel.max_queued_lines
     log = (arm.folder / "pilot-0.log").read_text()
     assert log.count("report reader ended") == len(listen)
-    (life,) = lives(arm.folder / "capture-0")
-    heard = [row for record in read_life(life) if record[0] == "reports" for row in record[4]["heard"]]
+    (life,) = read_incarnations(arm.folder / "capture-0")
+    heard = [row for record in read_records(life) if record[0] == "reports" for row in record[4]["heard"]]
     assert {row[0] for row in heard} == set(range(12))
     tried = sum(len(row["tries"]) for row in evidence.requests)
-    counted = sum(row[2] + row[3] for r in read_life(life) if r[0] == "reports" for row in r[4]["sums"])
+    counted = sum(row[2] + row[3] for r in read_records(life) if r[0] == "reports" for row in r[4]["sums"])
     assert 0.5 * tried < counted < 1.1 * tried  # nothing twice; old sums weigh less, a killed reader's last are lost
-    assert Replay(life.header).play(read_life(life)).identical
+    assert Replay(life.header).play(read_records(life)).identical
 
 
 @pytest.mark.parametrize(
