--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -84,7 +84,7 @@
             for life in lives(path):
                 begun = time.process_time()
                 outcome = Replay(life.header).play(read_life(life))
-                identical = identical and outcome.identical
+                identical = identical and outcome.is_identical
                 digests[run].append(outcome.digest)
                 if run == 0:
                     faithful_s += time.process_time() - begun
--- a/quillstep/cli/replay.py
+++ b/quillstep/cli/replay.py
@@ -42,7 +42,7 @@
         outcome = Replay(incarnation.header).play(read_life(incarnation))
         took_s = time.perf_counter() - begun_s
         rows.append({
-            "life": incarnation.header.epoch, "identical": outcome.identical, "rounds": outcome.rounds,
+            "life": incarnation.header.epoch, "identical": outcome.is_identical, "rounds": outcome.intervals,
             "records": outcome.records, "digest": outcome.digest, "seconds": round(outcome.span_ms / 1000.0, 1),
             "times_real": round(outcome.span_ms / 1000.0 / max(took_s, 1e-9), 1), "torn": incarnation.torn,
             "difference": outcome.difference,
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -1,7 +1,7 @@
-"""The faithful replay: a captured life through the same decider; its orders must come out bit for bit.
+"""The faithful replay: a recorded incarnation through the same decision loop, whose output must be identical.
 
-The clock is the capture's, the transport takes whatever is sent, the seed is the settings'.  The first difference is
-told with its round and with what had come in since the round before.
+The clock is the recording's, the transport accepts whatever is sent, the seed is that of the settings.  The first
+difference is reported with its control interval and the events since the interval before.
 """
 
 import sys
@@ -15,54 +15,71 @@
 from quillstep.config.controller import ControllerSettings
 from quillstep.controller.decision_loop import DecisionLoop
 from quillstep.controller.event_codec import ORDERS, SENT, STEP, EventDecoder
+from quillstep.errors import QuillstepError
 from quillstep.files.disk import Disk
 from quillstep.files.events import FileEvent
 from quillstep.files.proxy_generations import PendingGeneration
 from quillstep.recording import Header, Record, record_of
 from quillstep.xds.server import Peer, Server
 
-CAUSES_MOST = 12
+MAX_LISTED_EVENTS = 12
+NO_OUTPUT = "no further order"
 
 
-class PlayedPeer(Peer):
-    """A peer of a captured day: takes what is sent, is as full as it was then."""
+class UnexpectedFileEventError(QuillstepError):
+    """A file front published an event of its own, although a replay takes all events from the recording."""
+
+
+class ReplayedPeer(Peer):
+    """A connection of a recording: accepts all messages, and its buffer is full when it was full then."""
 
     def __init__(self, number: int) -> None:
         self.number, self.is_full = number, False
-        self.last_received_ms = 0.0  # only words on late responses go by it
+        self.last_received_ms = 0.0  # Decides nothing: it is only logged with late acknowledgements.
 
     def unsent_bytes(self) -> int:
+        """Returns a size above any limit where the buffer was full, 0 elsewhere."""
         return sys.maxsize if self.is_full else 0
 
     def send(self, stream: int, message: bytes) -> bool:
+        """Accepts a message and drops it."""
         return True
 
     def close(self, reason: str) -> None:
-        """Its end comes from the capture."""
+        """Does nothing: the end of the connection is an event of the recording."""
 
 
-class PlayedServer(Server):
+class ReplayedServer(Server):
     """A server without sockets."""
 
     def __init__(self) -> None:
-        """Nothing listens."""
+        """Opens no socket."""
 
     def finish(self, peer: Peer, stream: int, status: int, text: str) -> None:
-        """Its end comes from the capture."""
+        """Does nothing: the end of the stream is an event of the recording."""
 
 
-class PlayedDisk(Disk):
-    """A disk that is never touched: what was read and written comes from the capture."""
+class ReplayedDisk(Disk):
+    """A disk that is never accessed: what was read and written are events of the recording."""
 
     def __init__(self) -> None:
         self.root = ""
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What a replay came to; `digest` is over all orders of all rounds."""
-
-    rounds: int = 0
+class ReplayOutcome:
+    """The result of a replay.
+
+    Attributes:
+        intervals: The number of control intervals compared.
+        records: The number of records replayed.
+        span_ms: The recorded time between the first and the last of them.
+        digest: A hash over the planner's output in all control intervals.
+        difference: The first difference with its circumstances; empty where there was none.
+        sent: The number of messages sent.
+    """
+
+    intervals: int = 0
     records: int = 0
     span_ms: float = 0.0
     digest: str = ""
@@ -70,107 +87,128 @@
     sent: int = 0
 
     @property
-    def identical(self) -> bool:
+    def is_identical(self) -> bool:
+        """Whether all output was that of the recording."""
         return not self.difference
 
 
 class Replay:
-    """One life played again; `change` makes another record of the settings, for orders that may then differ."""
-
-    def __init__(self, header: Header, record: ControllerSettings | None = None) -> None:
-        self.record = record or record_of(header)
-        self.decider = DecisionLoop(self.record, header.epoch, self.tap, self.never, PlayedDisk())
-        self.decider.streams.server = PlayedServer()
-        self.core = self.decider.core
-        self.core.orders = []
-        self.peers: dict[int, PlayedPeer] = {}
-        self.full: list[int] = []
-        self.decoder = EventDecoder(self.peer, self.take_generation)
-        self.jobs: dict[tuple[str, int], PendingGeneration] = {}
-        self.outcome = Outcome()
-        self.hash = xxhash.xxh3_128()
-        self.causes: list[str] = []
-        self.round_ms = 0.0
-
-    def tap(self, what: str, at_ms: float, **fields: Any) -> None:
-        self.outcome.sent += what == "send"
-
-    @staticmethod
-    def never(event: FileEvent) -> None:
-        raise AssertionError("a replay starts no threads")
-
-    def play(self, records: Iterable[Record]) -> Outcome:
-        """All records in sequence; stops at the first difference."""
-        first = None
+    """Replays one incarnation.
+
+    Args:
+        header: The header of the incarnation's recording.
+        settings: Other settings than those of the header; the output may then differ.
+    """
+
+    def __init__(self, header: Header, settings: ControllerSettings | None = None) -> None:
+        self.settings = settings or record_of(header)
+        self._loop = DecisionLoop(self.settings, header.epoch, self._count_sent, _reject_file_event, ReplayedDisk())
+        self._loop.streams.server = ReplayedServer()
+        self._core = self._loop.core
+        self._core.orders = []
+        self._peers: dict[int, ReplayedPeer] = {}
+        self._full_peers: list[int] = []
+        self._decoder = EventDecoder(self._peer, self._take_generation)
+        self._pending_generations: dict[tuple[str, int], PendingGeneration] = {}
+        self._outcome = ReplayOutcome()
+        self._hash = xxhash.xxh3_128()
+        self._recent_events: list[str] = []
+
+    def play(self, records: Iterable[Record]) -> ReplayOutcome:
+        """Replays records in sequence, up to the first difference."""
+        first_ms = None
         for record in records:
-            first = record[2] if first is None else first
-            self.outcome.records += 1
-            self.outcome.span_ms = record[2] - first
-            self.one(record)
-            if self.outcome.difference:
+            at_ms = record[2]
+            first_ms = at_ms if first_ms is None else first_ms
+            self._outcome.records += 1
+            self._outcome.span_ms = at_ms - first_ms
+            self._replay_record(record)
+            if self._outcome.difference:
                 break
-        self.outcome.digest = self.hash.hexdigest()
-        return self.outcome
+        self._outcome.digest = self._hash.hexdigest()
+        return self._outcome
 
-    def one(self, record: Record) -> None:
-        kind, taken = record[0], record[2]
+    def _replay_record(self, record: Record) -> None:
+        kind, at_ms = record[0], record[2]
         if kind == STEP:
-            self.step(taken, record[3])
+            self._run_interval(at_ms, record[3])
         elif kind == ORDERS:
-            self.compare(record)
+            self._compare_output(at_ms, record[3], record[4])
         elif kind != SENT:
-            if len(self.causes) < CAUSES_MOST:
-                self.causes.append(f"{kind} at {taken:.1f}")
-            event = self.decoder.decode(record)
+            if len(self._recent_events) < MAX_LISTED_EVENTS:
+                self._recent_events.append(f"{kind} at {at_ms:.1f}")
+            event = self._decoder.decode(record)
             if event:
-                self.decider.handle(event, taken)
-
-    def peer(self, number: int) -> PlayedPeer:
-        return self.peers.setdefault(number, PlayedPeer(number))
-
-    def take_generation(self, directory: str, number: int) -> PendingGeneration | None:
-        """The submitted generation, which its record takes away."""
-        return self.jobs.pop((directory, number), None)
-
-    def step(self, now_ms: float, full: list[int]) -> None:
-        if full or self.full:
-            for number in {*self.full, *full}:
-                self.peer(number).is_full = number in full
-            self.full = full
-        self.decider.turn(now_ms)
-        self.core.probes, self.core.moves, self.core.asked, self.core.granted = [], [], [], []
-        self.core.versions.clear()
-        if self.decider.files:
-            while not self.decider.files.writer.queue.empty():
-                job = self.decider.files.writer.queue.get()
-                if job:
-                    self.jobs[job.directory, job.generation.number] = job
-
-    def compare(self, record: Record) -> None:
-        """The module's orders of a round, against those of the capture."""
-        number, orders = record[3], record[4]
-        made = self.core.orders or []
-        self.hash.update(msgspec.msgpack.encode([self.core.rounds, made]))
-        self.outcome.rounds = self.core.rounds
-        if self.core.rounds != number:
-            self.differ(record, f"round {number}", f"round {self.core.rounds}")
-        elif plain(made) != orders:
-            at = next((k for k, (a, b) in enumerate(zip(plain(made), orders, strict=False)) if a != b), None)
-            at = min(len(made), len(orders)) if at is None else at
-            self.differ(
-                record,
-                orders[at] if at < len(orders) else "no further order",
-                plain(made)[at] if at < len(made) else "no further order",
-            )
-        self.causes, self.round_ms = [], record[2]
-
-    def differ(self, record: Record, captured: Any, replayed: Any) -> None:
-        self.outcome.difference = {
-            "round": record[3], "at_ms": record[2], "captured": captured, "replayed": replayed,
-            "since_the_round_before": self.causes,
+                self._loop.handle(event, at_ms)
+
+    def _run_interval(self, now_ms: float, full_peers: list[int]) -> None:
+        self._update_full_peers(full_peers)
+        self._loop.turn(now_ms)
+        self._core.probes, self._core.moves, self._core.asked, self._core.granted = [], [], [], []
+        self._core.versions.clear()
+        self._collect_pending_generations()
+
+    def _update_full_peers(self, full_peers: list[int]) -> None:
+        if full_peers or self._full_peers:
+            for number in {*self._full_peers, *full_peers}:
+                self._peer(number).is_full = number in full_peers
+            self._full_peers = full_peers
+
+    def _collect_pending_generations(self) -> None:
+        """Takes what the file front submitted to its writer, which has no thread here."""
+        if self._loop.files:
+            queue = self._loop.files.writer.queue
+            while not queue.empty():
+                pending = queue.get()
+                if pending:
+                    self._pending_generations[pending.directory, pending.generation.number] = pending
+
+    def _compare_output(self, at_ms: float, interval: int, recorded: list[list[Any]]) -> None:
+        """Compares the planner's output in a control interval with the recorded one."""
+        output = self._core.orders or []
+        self._hash.update(msgspec.msgpack.encode([self._core.rounds, output]))
+        self._outcome.intervals = self._core.rounds
+        replayed = _as_recorded(output)
+        if self._core.rounds != interval:
+            self._set_difference(at_ms, interval, f"round {interval}", f"round {self._core.rounds}")
+        elif replayed != recorded:
+            place = _first_difference(replayed, recorded)
+            self._set_difference(at_ms, interval, _item_at(recorded, place), _item_at(replayed, place))
+        self._recent_events = []
+
+    def _set_difference(self, at_ms: float, interval: int, recorded: Any, replayed: Any) -> None:
+        self._outcome.difference = {
+            "round": interval, "at_ms": at_ms, "captured": recorded, "replayed": replayed,
+            "since_the_round_before": self._recent_events,
         }  # fmt: skip
 
+    def _peer(self, number: int) -> ReplayedPeer:
+        return self._peers.setdefault(number, ReplayedPeer(number))
+
+    def _take_generation(self, directory: str, number: int) -> PendingGeneration | None:
+        return self._pending_generations.pop((directory, number), None)
+
+    def _count_sent(self, what: str, at_ms: float, **fields: Any) -> None:
+        self._outcome.sent += what == "send"
+
+
+def _reject_file_event(event: FileEvent) -> None:
+    raise UnexpectedFileEventError(f"a replay starts no threads, but one published {event!r}")
+
+
+def _as_recorded(output: list[list[Any]]) -> list[list[Any]]:
+    """The planner's output as a recording holds it: tuples become lists."""
+    decoded: list[list[Any]] = msgspec.msgpack.decode(msgspec.msgpack.encode(output))
+    return decoded
+
+
+def _first_difference(replayed: list[list[Any]], recorded: list[list[Any]]) -> int:
+    """The place of the first item that differs; the shorter length where one list begins the other."""
+    for place, (one, other) in enumerate(zip(replayed, recorded, strict=False)):
+        if one != other:
+            return place
+    return min(len(replayed), len(recorded))
+
 
-def plain(orders: list[list[Any]]) -> list[list[Any]]:
-    """Orders as they come back from a capture."""
-    return msgspec.msgpack.decode(msgspec.msgpack.encode(orders))
+def _item_at(items: list[list[Any]], place: int) -> list[Any] | str:
+    return items[place] if place < len(items) else NO_OUTPUT
--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -102,7 +102,7 @@
     tried = sum(len(row["tries"]) for row in evidence.requests)
     counted = sum(row[2] + row[3] for r in read_life(life) if r[0] == "reports" for row in r[4]["sums"])
     assert 0.5 * tried < counted < 1.1 * tried  # nothing twice; old sums weigh less, a killed reader's last are lost
-    assert Replay(life.header).play(read_life(life)).identical
+    assert Replay(life.header).play(read_life(life)).is_identical
 
 
 @pytest.mark.parametrize(
--- a/tests/recording/test_recording.py
+++ b/tests/recording/test_recording.py
@@ -160,14 +160,14 @@
     assert len(found) == 3
     for life in found:
         outcome = Replay(life.header).play(read_life(life))
-        assert outcome.identical, outcome.difference
-        assert outcome.rounds > 3 or life.records < 100
+        assert outcome.is_identical, outcome.difference
+        assert outcome.intervals > 3 or life.records < 100
 
 
 def test_another_seed_differs_and_the_first_difference_is_told(captured):
     life = max((life for at in (0, 1) for life in lives(captured / f"capture-{at}")), key=lambda each: each.records)
     replay = Replay(life.header)
-    other = Replay(life.header, replay.record.model_copy(update={"seed": replay.record.seed + 1}))
+    other = Replay(life.header, replay.settings.model_copy(update={"seed": replay.settings.seed + 1}))
     outcome = other.play(read_life(life))
     assert outcome.difference["round"] >= 1
     assert outcome.difference["captured"] != outcome.difference["replayed"]
@@ -181,7 +181,7 @@
     piece.write_bytes(data[: len(data) * 2 // 3])
     torn = life_of(tmp_path)
     assert 0 < torn.records < life.records and torn.torn
-    assert Replay(torn.header).play(read_life(torn)).identical
+    assert Replay(torn.header).play(read_life(torn)).is_identical
 
 
 def test_the_digest_is_the_same_in_other_processes_with_other_hash_seeds(captured):
@@ -203,8 +203,8 @@
     assert found
     for life in found:
         outcome = Replay(life.header).play(read_life(life))
-        assert outcome.identical, outcome.difference
-        assert outcome.rounds >= 5
+        assert outcome.is_identical, outcome.difference
+        assert outcome.intervals >= 5
 
 
 def test_blocks_of_noise_are_no_blocks():
