--- a/quillstep/replay/inference.py
+++ b/quillstep/replay/inference.py
@@ -1,137 +1,201 @@
-"""How fast endpoints really were and when they secretly failed, inferred from what proxies met there.  No I/O.
+"""Infers speeds and hidden faults of endpoints from the recorded attempts there.  No I/O.
 
-Speeds follow from the quickest answers (a tenth of them are quicker): an answer that waited for nothing took its work
-over the speed.  Slowness is what the queue of known work at that speed does not explain.  Hidden states (down, silent,
-failing, losing answers, slow) are fitted in spans of half a second from the tries that began in them.  What half of
-the tries say is judged on the other half.
+Speeds follow from the quickest responses: one that waited for nothing took its work divided by the speed.  A slowdown
+is what the queue of known work at that speed does not explain.  Hidden conditions (unreachable, unresponsive, failing,
+slow) are estimated in spans of half a second from the attempts that began in them.  What one half of the attempts
+says is validated on the other half.
 """
 
 import heapq
 from bisect import bisect_right
 from collections import defaultdict
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
 from quillstep.config.fleet import ClassSettings
 
 SPAN_MS = 500.0
-QUICK = 0.1
-SLOW = 1.6  # times the usual from which a span counts as slow
-NET_MS = 1.0
+QUICK_QUANTILE = 0.1
+MIN_MS_PER_WORK_MS = 0.05
+MIN_SLOWDOWN = 1.6  # Below it, a span counts as running at the usual speed.
+NETWORK_MS = 1.0
+UNREACHABLE, ERROR, OK = "no connection", "error", "ok"
+UNANSWERED = ("time-out", "reset")
 
 
-class State(NamedTuple):
-    """An endpoint in one span: parts of tries that meet a closed door, no answer, an error; how slow it is."""
+class EndpointCondition(NamedTuple):
+    """An endpoint's hidden condition in one span.
 
-    closed: float = 0.0
-    silent: float = 0.0
-    fails: float = 0.0
-    slow: float = 1.0
+    Attributes:
+        unreachable: The share of attempts that get no connection.
+        unresponsive: The share of attempts that get no response.
+        failing: The share of attempts that get an error.
+        slowdown: How many times longer than usual work takes.
+    """
 
+    unreachable: float = 0.0
+    unresponsive: float = 0.0
+    failing: float = 0.0
+    slowdown: float = 1.0
 
-FINE = State()
+
+HEALTHY = EndpointCondition()
+
+
+class EndpointAttempt(NamedTuple):
+    """One recorded attempt at an endpoint; times are milliseconds."""
+
+    sent_ms: float
+    ended_ms: float
+    result: str
+    request_class: ClassSettings
+
+
+class ExpectedAttempt(NamedTuple):
+    """An attempt, and how long it should have taken at the endpoint's usual speed."""
+
+    attempt: EndpointAttempt
+    expected_ms: float
 
 
 @dataclass(slots=True)
-class Inferred:
-    """Speeds, and states by endpoint and span; `known` tells in which spans anything was seen."""
+class InferredEndpoints:
+    """What recorded attempts say of endpoints.
+
+    Attributes:
+        speeds: Work done in a unit of time on one core, by endpoint.
+        conditions: Conditions by endpoint and span.
+        spans: The spans, rising, in which an endpoint had attempts.
+    """
 
     speeds: dict[int, float] = field(default_factory=dict)
-    states: dict[int, dict[int, State]] = field(default_factory=dict)
+    conditions: dict[int, dict[int, EndpointCondition]] = field(default_factory=dict)
     spans: dict[int, list[int]] = field(default_factory=dict)
 
-    def state(self, endpoint: int, at_ms: float) -> State:
-        """The state then; where nothing was seen, as it was last seen."""
+    def condition_at(self, endpoint: int, at_ms: float) -> EndpointCondition:
+        """The condition then; where nothing was observed, the last one before."""
         spans = self.spans.get(endpoint)
         if not spans:
-            return FINE
+            return HEALTHY
         place = bisect_right(spans, int(at_ms // SPAN_MS)) - 1
-        return self.states[endpoint][spans[place]] if place >= 0 else FINE
-
-
-Try = tuple[float, float, str, ClassSettings]  # sent, ended, result, class
-
-
-def tries_of(
-    exchanges: list[dict[str, Any]], classes: dict[str, ClassSettings], addresses: dict[str, int]
-) -> dict[int, list[Try]]:
-    """All tries by endpoint, in time."""
-    found: dict[int, list[Try]] = defaultdict(list)
-    for row in exchanges:
-        for address, sent, ended, result, _ in row["tries"]:
-            if address in addresses:
-                found[addresses[address]].append((sent, ended, result, classes[row["class"]]))
-    for rows in found.values():
-        rows.sort(key=lambda row: row[0])
+        return self.conditions[endpoint][spans[place]] if place >= 0 else HEALTHY
+
+
+def attempts_by_endpoint(
+    requests: list[dict[str, Any]], classes: dict[str, ClassSettings], endpoints_by_address: dict[str, int]
+) -> dict[int, list[EndpointAttempt]]:
+    """All attempts of recorded requests at known endpoints, in time."""
+    found: dict[int, list[EndpointAttempt]] = defaultdict(list)
+    for row in requests:
+        for address, sent_ms, ended_ms, result, _ in row["tries"]:
+            if address in endpoints_by_address:
+                attempt = EndpointAttempt(sent_ms, ended_ms, result, classes[row["class"]])
+                found[endpoints_by_address[address]].append(attempt)
+    for attempts in found.values():
+        attempts.sort(key=lambda attempt: attempt.sent_ms)
     return found
 
 
-def infer(tries: dict[int, list[Try]], cores: dict[int, int]) -> Inferred:
-    made = Inferred()
-    for endpoint, rows in tries.items():
-        made.speeds[endpoint] = speed(rows)
-        expected = queued(rows, made.speeds[endpoint], cores.get(endpoint, 1))
-        spans: dict[int, list[tuple[Try, float]]] = defaultdict(list)
-        for row, took in zip(rows, expected, strict=True):
-            spans[int(row[0] // SPAN_MS)].append((row, took))
-        made.states[endpoint] = {span: fit(each) for span, each in spans.items()}
-        made.spans[endpoint] = sorted(spans)
-    return made
-
-
-def speed(rows: list[Try]) -> float:
-    """Work a millisecond, from the quickest answers."""
-    ratios = sorted((ended - sent - NET_MS) / kind.work_ms for sent, ended, result, kind in rows if result == "ok")
+def infer_endpoints(attempts: dict[int, list[EndpointAttempt]], cores: dict[int, int]) -> InferredEndpoints:
+    """Infers speeds and conditions from attempts, sorted by time, and the numbers of cores (1 where unknown)."""
+    inferred = InferredEndpoints()
+    for endpoint, rows in attempts.items():
+        inferred.speeds[endpoint] = estimate_speed(rows)
+        durations = expected_durations_ms(rows, inferred.speeds[endpoint], cores.get(endpoint, 1))
+        spans: dict[int, list[ExpectedAttempt]] = defaultdict(list)
+        for attempt, expected_ms in zip(rows, durations, strict=True):
+            spans[int(attempt.sent_ms // SPAN_MS)].append(ExpectedAttempt(attempt, expected_ms))
+        inferred.conditions[endpoint] = {span: estimate_condition(each) for span, each in spans.items()}
+        inferred.spans[endpoint] = sorted(spans)
+    return inferred
+
+
+def estimate_speed(attempts: list[EndpointAttempt]) -> float:
+    """Work done in a unit of time on one core, from the quickest responses; 1 where there are none."""
+    ratios = sorted(
+        (attempt.ended_ms - attempt.sent_ms - NETWORK_MS) / attempt.request_class.work_ms
+        for attempt in attempts
+        if attempt.result == OK
+    )
     if not ratios:
         return 1.0
-    quick = ratios[int(QUICK * len(ratios))]
-    return 1.0 / max(0.05, quick)
+    return 1.0 / max(MIN_MS_PER_WORK_MS, ratios[int(QUICK_QUANTILE * len(ratios))])
 
 
-def queued(rows: list[Try], usual: float, cores: int) -> list[float]:
-    """How long each try should have taken: behind what was known to be there, at the usual speed."""
-    free = [0.0] * cores
-    found = []
-    for sent, _, result, kind in rows:
-        if result in ("no connection", "error"):
-            found.append(NET_MS)
+def expected_durations_ms(attempts: list[EndpointAttempt], speed: float, cores: int) -> list[float]:
+    """How long each attempt should have taken: queued behind the attempts before it, at the usual speed."""
+    free_at_ms = [0.0] * cores
+    durations = []
+    for attempt in attempts:
+        if attempt.result in (UNREACHABLE, ERROR):
+            durations.append(NETWORK_MS)
             continue
-        end = max(sent, free[0]) + kind.work_ms / usual
-        heapq.heapreplace(free, end)
-        found.append(end - sent + NET_MS)
-    return found
-
-
-def fit(met: list[tuple[Try, float]]) -> State:
-    """The state that explains what was met in one span, beside what was expected."""
-    rows = [row for row, _ in met]
-    count = len(rows)
-    closed = sum(result == "no connection" for _, _, result, _ in rows) / count
-    errors = sum(result == "error" for _, _, result, _ in rows) / count
-    lost = sum(result in ("time-out", "reset") for _, _, result, _ in rows) / count
-    ratios = sorted((e - s - NET_MS) / (took - NET_MS) for (s, e, result, _), took in met if result == "ok")
-    slow = ratios[len(ratios) // 4] if ratios else 1.0
-    return State(closed, lost, errors, slow if slow > SLOW else 1.0)
-
-
-def held_out_error(tries: dict[int, list[Try]], cores: dict[int, int]) -> dict[str, float]:
-    """Fit on every other try, predict the rest: how often good and bad are told apart, and the error of times."""
-    made = infer({endpoint: rows[::2] for endpoint, rows in tries.items()}, cores)
-    right = total = 0
-    errors: list[float] = []
-    for endpoint, rows in tries.items():
-        took = queued(rows, made.speeds.get(endpoint, 1.0), cores.get(endpoint, 1))
-        for (sent, ended, result, _), alone in list(zip(rows, took, strict=True))[1::2]:
-            state = made.state(endpoint, sent)
-            bad = 1.0 - (1.0 - state.closed) * (1.0 - state.silent) * (1.0 - state.fails)
-            right += (bad >= 0.5) == (result != "ok")
-            total += 1
-            if result == "ok" and bad < 0.5:
-                expected = (alone - NET_MS) * state.slow + NET_MS
-                errors.append((ended - sent - expected) / max(1.0, ended - sent))
-    errors.sort()
+        end_ms = max(attempt.sent_ms, free_at_ms[0]) + attempt.request_class.work_ms / speed
+        heapq.heapreplace(free_at_ms, end_ms)
+        durations.append(end_ms - attempt.sent_ms + NETWORK_MS)
+    return durations
+
+
+def estimate_condition(attempts: list[ExpectedAttempt]) -> EndpointCondition:
+    """The condition that explains the attempts of one span."""
+    results = [row.attempt.result for row in attempts]
+    count = len(results)
+    ratios = sorted(
+        (row.attempt.ended_ms - row.attempt.sent_ms - NETWORK_MS) / (row.expected_ms - NETWORK_MS)
+        for row in attempts
+        if row.attempt.result == OK
+    )
+    slowdown = ratios[len(ratios) // 4] if ratios else 1.0
+    return EndpointCondition(
+        unreachable=results.count(UNREACHABLE) / count,
+        unresponsive=sum(result in UNANSWERED for result in results) / count,
+        failing=results.count(ERROR) / count,
+        slowdown=slowdown if slowdown > MIN_SLOWDOWN else 1.0,
+    )
+
+
+class Prediction(NamedTuple):
+    """What the inferred condition predicts of one attempt.
+
+    Attributes:
+        is_correct: Whether success or failure was predicted.
+        time_error: The relative error of the duration, of attempts that succeeded as predicted.
+    """
+
+    is_correct: bool
+    time_error: float | None
+
+
+def held_out_error(attempts: dict[int, list[EndpointAttempt]], cores: dict[int, int]) -> dict[str, float]:
+    """Infers from every other attempt and predicts the rest.
+
+    Returns:
+        `told_apart`, the share of successes and failures predicted; `time_error_median`, the median relative error of
+        durations; `tries`, the number of attempts predicted.
+    """
+    inferred = infer_endpoints({endpoint: rows[::2] for endpoint, rows in attempts.items()}, cores)
+    predictions: list[Prediction] = []
+    for endpoint, rows in attempts.items():
+        durations = expected_durations_ms(rows, inferred.speeds.get(endpoint, 1.0), cores.get(endpoint, 1))
+        expected = [ExpectedAttempt(*pair) for pair in zip(rows, durations, strict=True)]
+        predictions += _predict(inferred, endpoint, expected[1::2])
+    errors = sorted(row.time_error for row in predictions if row.time_error is not None)
     return {
-        "told_apart": round(right / max(1, total), 4),
+        "told_apart": round(sum(row.is_correct for row in predictions) / max(1, len(predictions)), 4),
         "time_error_median": round(errors[len(errors) // 2], 4) if errors else 0.0,
-        "tries": total,
+        "tries": len(predictions),
     }
+
+
+def _predict(inferred: InferredEndpoints, endpoint: int, attempts: Iterable[ExpectedAttempt]) -> Iterable[Prediction]:
+    for attempt, unslowed_ms in attempts:
+        condition = inferred.condition_at(endpoint, attempt.sent_ms)
+        failure = 1.0 - (1.0 - condition.unreachable) * (1.0 - condition.unresponsive) * (1.0 - condition.failing)
+        is_ok = attempt.result == OK
+        time_error = None
+        if is_ok and failure < 0.5:
+            expected_ms = (unslowed_ms - NETWORK_MS) * condition.slowdown + NETWORK_MS
+            duration_ms = attempt.ended_ms - attempt.sent_ms
+            time_error = (duration_ms - expected_ms) / max(1.0, duration_ms)
+        yield Prediction((failure >= 0.5) != is_ok, time_error)
--- a/quillstep/replay/model.py
+++ b/quillstep/replay/model.py
@@ -15,7 +15,7 @@
 from quillstep.config.fleet import ClassSettings, FleetSettings
 from quillstep.load_reports.upstream_stats import ClassArrivals, EndpointRow
 from quillstep.load_reports.validation import LoadReport
-from quillstep.replay.inference import NET_MS, Inferred
+from quillstep.replay.inference import NETWORK_MS, InferredEndpoints
 from quillstep.routing import Change
 from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, ROUTES, WEIGHT
 
@@ -44,7 +44,9 @@
 class Endpoint:
     """Cores that work comes to in sequence; hidden states as inferred."""
 
-    def __init__(self, number: int, row: dict[str, Any], fleet: FleetSettings, inferred: Inferred, draw: Any) -> None:
+    def __init__(
+        self, number: int, row: dict[str, Any], fleet: FleetSettings, inferred: InferredEndpoints, draw: Any
+    ) -> None:
         self.number, self.fleet, self.inferred, self.draw = number, fleet, inferred, draw
         self.address = f"{row['host']}:{row['port']}"
         self.speed = inferred.speeds.get(number, row.get("speed", 1.0))
@@ -106,25 +108,25 @@
 
     def tried(self, kind: ClassSettings, at: float, until: float, dropped: bool) -> tuple[str, float, bool]:
         """One try on a connection: its result, when it is known, whether it ran."""
-        state = self.inferred.state(self.number, at)
-        if self.draw() < state.fails:
-            return "error", at + NET_MS, False
+        condition = self.inferred.condition_at(self.number, at)
+        if self.draw() < condition.failing:
+            return "error", at + NETWORK_MS, False
         if dropped:
-            return "ok", at + NET_MS, False
-        lost = self.draw() < state.silent
+            return "ok", at + NETWORK_MS, False
+        lost = self.draw() < condition.unresponsive
         if max(at, self.free[0]) > until:
             return "time-out", until, False
-        _, end = self.schedule(kind.work_ms, at, state.slow)
-        if lost or end + NET_MS > until:
+        _, end = self.schedule(kind.work_ms, at, condition.slowdown)
+        if lost or end + NETWORK_MS > until:
             return "time-out", until, True
-        return "ok", end + NET_MS, True
+        return "ok", end + NETWORK_MS, True
 
     def probed(self, at: float, timeout_ms: float) -> tuple[bool, float, dict[str, float]]:
-        state = self.inferred.state(self.number, at)
-        if self.draw() < max(state.closed, state.silent):
-            return False, timeout_ms if state.silent > state.closed else NET_MS, {}
+        condition = self.inferred.condition_at(self.number, at)
+        if self.draw() < max(condition.unreachable, condition.unresponsive):
+            return False, timeout_ms if condition.unresponsive > condition.unreachable else NETWORK_MS, {}
         _, end = self.schedule(2.0, at, 1.0)
-        took = end - at + NET_MS
+        took = end - at + NETWORK_MS
         return took < timeout_ms and not self.draining, min(took, timeout_ms), self.load(at)
 
 
@@ -256,10 +258,10 @@
             else until
         )
         endpoint = day.by_address[address]
-        if self.draw() < endpoint.inferred.state(endpoint.number, now).closed:
-            result, ended, ran = "no connection", now + NET_MS, False
+        if self.draw() < endpoint.inferred.condition_at(endpoint.number, now).unreachable:
+            result, ended, ran = "no connection", now + NETWORK_MS, False
         elif not endpoint.connect(self.name, now):
-            result, ended, ran = "reset", now + NET_MS, False
+            result, ended, ran = "reset", now + NETWORK_MS, False
         else:
             result, ended, ran = endpoint.tried(kind, now, limit, day.repeated(kind, made["exchange"], now))
             day.clock.at(ended, endpoint.give_back, self.name, ended, result in ("ok", "error"))
--- a/quillstep/replay/sweep.py
+++ b/quillstep/replay/sweep.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from quillstep.config.loading import changed
-from quillstep.replay.inference import Inferred
+from quillstep.replay.inference import InferredEndpoints
 from quillstep.replay.recorded_day import RecordedDay
 from quillstep.replay.whatif import learn, play
 
 
-def one(book: RecordedDay, inferred: Inferred, change: dict[str, Any], seed: int) -> tuple[float, int, str]:
+def one(book: RecordedDay, inferred: InferredEndpoints, change: dict[str, Any], seed: int) -> tuple[float, int, str]:
     found = play(book, inferred, change, seed)
     return found["service"]["service"], len(found["breaks"]), found["digest"]
 
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -20,7 +20,7 @@
 from quillstep.invariants import Evidence, check_invariants
 from quillstep.load_reports.validation import LoadReport
 from quillstep.planner.messages import EndpointEntry, HealthCheckResult
-from quillstep.replay.inference import Inferred, held_out_error, infer, tries_of
+from quillstep.replay.inference import InferredEndpoints, attempts_by_endpoint, held_out_error, infer_endpoints
 from quillstep.replay.model import Endpoint, Proxy, VirtualDay
 from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay
 from quillstep.routing.resources import LISTENER
@@ -189,7 +189,7 @@
         self.ended = True
 
 
-def play(book: RecordedDay, inferred: Inferred, change: dict[str, Any], seed: int) -> dict[str, Any]:
+def play(book: RecordedDay, inferred: InferredEndpoints, change: dict[str, Any], seed: int) -> dict[str, Any]:
     """A day with some settings changed (path to value); service, rules, exchanges."""
     records = [changed(life.record, change) for life in book.lives]
     day = VirtualDay(records[0].fleet, min(life.first_ms for life in book.lives), seed)
@@ -250,13 +250,13 @@
     return made.sort()
 
 
-def learn(book: RecordedDay) -> tuple[Inferred, dict[str, float]]:
+def learn(book: RecordedDay) -> tuple[InferredEndpoints, dict[str, float]]:
     """What the tries of a day say of its endpoints, and how well half of them tell the other half."""
     classes = {row.name: row for row in book.lives[0].record.fleet.classes}
     addresses = {f"{row['host']}:{row['port']}": number for number, row in book.endpoints.items()}
-    tries = tries_of(book.exchanges, classes, addresses)
+    attempts = attempts_by_endpoint(book.exchanges, classes, addresses)
     cores = {number: row["cores"] for number, row in book.endpoints.items()}
-    return infer(tries, cores), held_out_error(tries, cores)
+    return infer_endpoints(attempts, cores), held_out_error(attempts, cores)
 
 
 def compare(book: RecordedDay, against: dict[str, Any], change: dict[str, Any], seeds: int) -> dict[str, Any]:
--- a/tests/replay/test_whatif.py
+++ b/tests/replay/test_whatif.py
@@ -11,7 +11,7 @@
 from quillstep.config.errors import ConfigError
 from quillstep.config.loading import changed, parse_changes
 from quillstep.planner.messages import EndpointEntry
-from quillstep.replay.inference import SPAN_MS, fit, infer
+from quillstep.replay.inference import SPAN_MS, EndpointAttempt, ExpectedAttempt, estimate_condition, infer_endpoints
 from quillstep.replay.model import VirtualDay
 from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay, apart, read_daybook
 from quillstep.replay.whatif import compare, learn, play
@@ -85,25 +85,27 @@
     ],
 )
 def test_hidden_states_follow_from_what_tries_met(results, expected):
-    rows = [(100.0 * at, 100.0 * at + 21.0, result, LOOKUP) for at, result in enumerate(results)]
-    assert fit([(row, 21.0) for row in rows])[:3] == expected
+    rows = [EndpointAttempt(100.0 * at, 100.0 * at + 21.0, result, LOOKUP) for at, result in enumerate(results)]
+    assert estimate_condition([ExpectedAttempt(row, 21.0) for row in rows])[:3] == expected
 
 
 def test_speeds_and_slow_spans_follow_from_the_quickest_answers():
-    rows = [(100.0 * at, 100.0 * at + 41.0, "ok", LOOKUP) for at in range(50)]  # 20 ms of work in 40: speed 0.5
-    rows += [(6000.0 + 40.0 * at, 6000.0 + 40.0 * at + 201.0, "ok", LOOKUP) for at in range(10)]
-    made = infer({7: rows}, {7: 4})
+    # 20 ms of work in 40: speed 0.5.
+    rows = [EndpointAttempt(100.0 * at, 100.0 * at + 41.0, "ok", LOOKUP) for at in range(50)]
+    rows += [EndpointAttempt(6000.0 + 40.0 * at, 6000.0 + 40.0 * at + 201.0, "ok", LOOKUP) for at in range(10)]
+    made = infer_endpoints({7: rows}, {7: 4})
     assert made.speeds[7] == pytest.approx(0.5)
-    assert made.state(7, 1000.0).slow == 1.0 and made.state(7, 6100.0).slow == pytest.approx(5.0)
-    assert made.state(7, 6100.0 + 10 * SPAN_MS).slow == pytest.approx(5.0)  # nothing seen since: as last seen
-    assert made.state(8, 0.0).slow == 1.0
+    assert made.condition_at(7, 1000.0).slowdown == 1.0 and made.condition_at(7, 6100.0).slowdown == pytest.approx(5.0)
+    # Nothing was observed since: as last observed.
+    assert made.condition_at(7, 6100.0 + 10 * SPAN_MS).slowdown == pytest.approx(5.0)
+    assert made.condition_at(8, 0.0).slowdown == 1.0
 
 
 def test_waiting_behind_known_work_is_no_slowness():
     # Twice as much as two cores can do: each answer waits longer than the one before, at the usual speed.
-    rows = [(5.0 * at, 5.0 * at + 21.0 + 5.0 * (at // 2), "ok", LOOKUP) for at in range(200)]
-    made = infer({7: rows}, {7: 2})
-    assert {state.slow for state in made.states[7].values()} == {1.0}
+    rows = [EndpointAttempt(5.0 * at, 5.0 * at + 21.0 + 5.0 * (at // 2), "ok", LOOKUP) for at in range(200)]
+    made = infer_endpoints({7: rows}, {7: 2})
+    assert {condition.slowdown for condition in made.conditions[7].values()} == {1.0}
 
 
 def test_a_quiet_day_replays_as_quiet_and_twice_alike():
