--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -14,7 +14,7 @@
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.recording import lives, read_life
 from quillstep.replay.faithful import Replay
-from quillstep.replay.recorded_day import read_daybook
+from quillstep.replay.recorded_scenario import read_recorded_scenario
 from quillstep.replay.whatif import learn, play
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
@@ -56,10 +56,10 @@
 
 def fidelity(kind: str, folder: Path) -> dict[str, Any]:
     """How near the day's own replay comes, on the whole, by class and in the worst second missed most."""
-    book = read_daybook(folder)
-    fleet = book.lives[0].record.fleet
+    book = read_recorded_scenario(folder)
+    fleet = book.incarnations[0].settings.fleet
     inferred, held_out = learn(book)
-    measured = service_quality(fleet, book.exchanges)
+    measured = service_quality(fleet, book.requests)
     found = [play(book, inferred, {}, seed) for seed in range(3)]
     replayed = sum(row["service"]["service"] for row in found) / len(found)
     by_class = {
@@ -67,7 +67,7 @@
         for name, part in measured["by_class"].items()
     }
     return {
-        "day": kind, "exchanges": len(book.exchanges), "measured": measured["service"],
+        "day": kind, "exchanges": len(book.requests), "measured": measured["service"],
         "replayed": round(replayed, 4), "error": round(replayed - measured["service"], 4),
         "worst_class_error": max(by_class.values(), key=abs), "told_apart": held_out["told_apart"],
         "time_error_median": held_out["time_error_median"],
@@ -89,19 +89,19 @@
                 if run == 0:
                     faithful_s += time.process_time() - begun
                     span_s += outcome.span_ms / 1000.0
-    book = read_daybook(folder)
+    book = read_recorded_scenario(folder)
     inferred, _ = learn(book)
     begun = time.process_time()
     one = play(book, inferred, {}, 1)
     whatif_s = time.process_time() - begun
     two = play(book, inferred, {}, 1)
-    day_s = (book.end_ms - min(life.first_ms for life in book.lives)) / 1000.0
+    day_s = (book.end_ms - min(life.first_ms for life in book.incarnations)) / 1000.0
     return {
-        "day": f"{len(book.proxies)} proxies", "exchanges": len(book.exchanges),
+        "day": f"{len(book.proxies)} proxies", "exchanges": len(book.requests),
         "faithful_identical": identical, "faithful_twice_alike": digests[0] == digests[1],
         "faithful_times_real": round(span_s / faithful_s, 1), "whatif_times_real": round(day_s / whatif_s, 1),
         "whatif_twice_alike": one["digest"] == two["digest"], "measured": service_quality(
-            book.lives[0].record.fleet, book.exchanges)["service"], "replayed": one["service"]["service"],
+            book.incarnations[0].settings.fleet, book.requests)["service"], "replayed": one["service"]["service"],
         "memory_MB": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0),
         "capture_kB_a_s": round(sum(f.stat().st_size for f in folder.glob("capture-*/*.qcap")) / 1000.0 / day_s, 1),
     }  # fmt: skip
--- a/quillstep/cli/recording.py
+++ b/quillstep/cli/recording.py
@@ -102,9 +102,9 @@
 def keep_for_replay(folder: str, out: str) -> None:
     """What replays need of a played arm, and no more: recordings, the fleet, the requests."""
     from quillstep.recording import CorruptBlockError
-    from quillstep.replay.recorded_day import keep
+    from quillstep.replay.recorded_scenario import copy_for_replay
 
     try:
-        click.echo(f"{out}: {keep(Path(folder), Path(out))} exchanges")
+        click.echo(f"{out}: {copy_for_replay(Path(folder), Path(out))} exchanges")
     except (OSError, CorruptBlockError) as error:
         fail(error)
--- a/quillstep/cli/replay.py
+++ b/quillstep/cli/replay.py
@@ -15,7 +15,7 @@
 from quillstep.logging import configure_logging
 
 if TYPE_CHECKING:
-    from quillstep.replay.recorded_day import RecordedDay
+    from quillstep.replay.recorded_scenario import RecordedScenario
 
 SET_HELP = "path=value in a controller's settings, e.g. fleet.proxies.ejects=3."
 
@@ -52,13 +52,13 @@
     sys.exit(0 if is_identical else 1)
 
 
-def _read_recorded_day(folder: str) -> "RecordedDay":
+def _read_recorded_scenario(folder: str) -> "RecordedScenario":
     from quillstep.recording import CorruptBlockError
-    from quillstep.replay.recorded_day import read_daybook
+    from quillstep.replay.recorded_scenario import read_recorded_scenario
 
     configure_logging("auto", "error")
     try:
-        return read_daybook(Path(folder))
+        return read_recorded_scenario(Path(folder))
     except (OSError, CorruptBlockError) as error:
         fail(error)
 
@@ -84,7 +84,7 @@
     """
     from quillstep.replay.whatif import compare as compare_settings
 
-    day = _read_recorded_day(folder)
+    day = _read_recorded_scenario(folder)
     try:
         result = compare_settings(day, parse_settings_changes(against), parse_settings_changes(changes), seeds)
     except ConfigError as error:
@@ -145,7 +145,7 @@
     path, _, values = setting.partition("=")
     changes = [parse_settings_changes((f"{path}={value}",)) for value in values.split(",") if value]
     try:
-        rows = run(_read_recorded_day(folder), changes, seeds)
+        rows = run(_read_recorded_scenario(folder), changes, seeds)
     except ConfigError as error:
         fail(error)
     table = Table(title=f"{folder}: {path}")
--- /dev/null
+++ b/quillstep/replay/recorded_scenario.py
@@ -0,0 +1,236 @@
+"""Reads a recorded scenario: controllers' incarnations, requests and attempts, endpoints and proxies.
+
+The folder is one arm of a played scenario with recordings.  Its `fleet.json` holds what operators know of their
+machines (zone, cores, address) and of their proxies (zone, initial table), not how fast anything really is.
+"""
+
+import shutil
+from collections import defaultdict
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import msgspec
+from envoy.service.load_stats.v3 import lrs_pb2
+
+from quillstep.config.controller import ControllerSettings
+from quillstep.planner.messages import EndpointEntry
+from quillstep.recording import Incarnation, Record, lives, read_life, record_of
+from quillstep.xds.server import LOAD
+
+MAX_CLOCK_DIFFERENCE_MS = 50.0  # Clocks that differ by no more count as one.
+
+
+class DiscoveryUpdate(NamedTuple):
+    """An endpoint list as it arrived; `addresses` are hosts and ports by endpoint."""
+
+    at_ms: float
+    kind: str
+    entries: list[EndpointEntry]
+    addresses: dict[int, tuple[str, int]]
+
+
+class StreamChange(NamedTuple):
+    """A proxy's stream opened (`is_fresh`: the proxy held nothing yet) or ended."""
+
+    at_ms: float
+    is_open: bool
+    proxy: str
+    is_fresh: bool = False
+
+
+class ReportArrival(NamedTuple):
+    """A proxy's load report arrived; `age_ms` is the time since the end of its window."""
+
+    at_ms: float
+    proxy: str
+    age_ms: float
+
+
+@dataclass(slots=True)
+class ControllerIncarnation:
+    """One incarnation of one controller as the replay needs it.
+
+    Times are milliseconds of the monotonic clock of the machine of the scenario's first incarnation; `ack_delays_ms`
+    holds the times from a message to its ack or nack, by proxy.
+    """
+
+    epoch: str
+    settings: ControllerSettings
+    first_ms: float
+    last_ms: float
+    discovery_updates: list[DiscoveryUpdate] = field(default_factory=list)
+    stream_changes: list[StreamChange] = field(default_factory=list)
+    report_arrivals: list[ReportArrival] = field(default_factory=list)
+    ack_delays_ms: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+
+
+@dataclass(slots=True)
+class RecordedScenario:
+    """A recorded scenario; requests are sorted by arrival."""
+
+    incarnations: list[ControllerIncarnation]
+    endpoints: dict[int, dict[str, Any]]
+    proxies: dict[str, dict[str, Any]]
+    requests: list[dict[str, Any]]
+
+    @property
+    def begin_ms(self) -> float:
+        """When the first request arrived."""
+        return self.requests[0]["at"]
+
+    @property
+    def end_ms(self) -> float:
+        """When the last request ended."""
+        return max(row["end"] for row in self.requests)
+
+
+def read_recorded_scenario(folder: Path) -> RecordedScenario:
+    """Reads one arm of a played scenario.
+
+    Raises:
+        FileNotFoundError: The folder holds no fleet, no recording or no requests.
+        CorruptBlockError: A recording is damaged.
+    """
+    fleet = msgspec.json.decode((folder / "fleet.json").read_bytes())
+    recorded = [incarnation for path in sorted(folder.glob("capture-*")) for incarnation in lives(path)]
+    if not recorded:
+        raise FileNotFoundError(f"{folder} holds no capture")
+    first_offset_ms = recorded[0].header.wall_offset_ms
+    incarnations = [
+        read_incarnation(each, clock_shift_ms(each.header.wall_offset_ms, first_offset_ms)) for each in recorded
+    ]
+    requests = _read_requests(folder)
+    if not requests:
+        raise FileNotFoundError(f"{folder} holds no exchanges")
+    return RecordedScenario(
+        sorted(incarnations, key=lambda incarnation: incarnation.first_ms),
+        {row["id"]: row for row in fleet["endpoints"]},
+        {row["name"]: row for row in fleet["proxies"]},
+        requests,
+    )
+
+
+def _read_requests(folder: Path) -> list[dict[str, Any]]:
+    requests = []
+    for path in sorted(folder.glob("proxies-*.jsonl")):
+        for line in path.read_bytes().splitlines():
+            row = msgspec.json.decode(line)
+            if row["what"] == "exchange":
+                requests.append(row)
+    requests.sort(key=lambda row: (row["at"], row["exchange"]))
+    return requests
+
+
+def copy_for_replay(folder: Path, out: Path) -> int:
+    """Copies what replays need of a played arm: recordings, the fleet, the requests.
+
+    Returns:
+        The number of requests.
+
+    Raises:
+        FileNotFoundError: The folder holds no fleet, no recording or no requests.
+        CorruptBlockError: A recording is damaged.
+    """
+    out.mkdir(parents=True, exist_ok=True)
+    for path in sorted(folder.glob("capture-*")):
+        shutil.copytree(path, out / path.name, dirs_exist_ok=True, ignore=shutil.ignore_patterns("index.lmdb"))
+    shutil.copy(folder / "fleet.json", out / "fleet.json")
+    rows = [msgspec.json.encode(row) for row in read_recorded_scenario(folder).requests]
+    (out / "proxies-0.jsonl").write_bytes(b"\n".join(rows) + b"\n")
+    return len(rows)
+
+
+def clock_shift_ms(offset_ms: float, first_offset_ms: float) -> float:
+    """What to add to an incarnation's times to get times of the first one's clock.
+
+    Monotonic clocks of machines begin at different moments; the offsets are those from them to the wall clock.
+    """
+    difference_ms = offset_ms - first_offset_ms
+    return difference_ms if abs(difference_ms) > MAX_CLOCK_DIFFERENCE_MS else 0.0
+
+
+def read_incarnation(incarnation: Incarnation, shift_ms: float = 0.0) -> ControllerIncarnation:
+    """Reads discovery updates, stream changes, report arrivals and delays of one incarnation.
+
+    Raises:
+        CorruptBlockError: The recording is damaged.
+    """
+    reader = _IncarnationReader(incarnation, shift_ms)
+    for record in read_life(incarnation):
+        reader.read(record)
+    return reader.incarnation
+
+
+class _IncarnationReader:
+    """Collects an incarnation from its records, whose first fields are kind, number and time."""
+
+    def __init__(self, recorded: Incarnation, shift_ms: float) -> None:
+        self.incarnation = ControllerIncarnation(
+            recorded.header.epoch,
+            record_of(recorded.header),
+            recorded.first_ms + shift_ms,
+            recorded.last_ms + shift_ms,
+        )
+        self._shift_ms = shift_ms
+        self._sent_ms: dict[tuple[str, str], float] = {}  # By proxy and nonce.
+        self._report_nodes: dict[tuple[int, int], str] = {}  # By peer and stream; empty before the first request.
+        self._proxy_names: list[str] = []  # By the numbers that proxies got when they first joined.
+
+    def read(self, record: Record) -> None:
+        """Takes in one record."""
+        at_ms = record[2] + self._shift_ms
+        match record[0]:
+            case "roster":
+                self._read_endpoint_list(at_ms, *record[3:])
+            case "sent":
+                self._read_sent(at_ms, record[3], record[4])
+            case "files" if record[3] == "load":
+                self._add_report(at_ms, record[4], 0.0)
+            case "reports":
+                for proxy, arrived_ms, until_ms, *_ in record[4]["heard"]:
+                    age_ms = max(0.0, arrived_ms - until_ms)
+                    self._add_report(arrived_ms + self._shift_ms, self._proxy_names[proxy], age_ms)
+            case "open" if record[5] == LOAD:
+                self._report_nodes[record[3], record[4]] = ""
+            case "request" if (record[3], record[4]) in self._report_nodes:
+                self._read_report_request(at_ms, (record[3], record[4]), record[6])
+
+    def _add_report(self, at_ms: float, proxy: str, age_ms: float) -> None:
+        self.incarnation.report_arrivals.append(ReportArrival(at_ms, proxy, age_ms))
+
+    def _read_endpoint_list(
+        self, at_ms: float, kind: str, entries: list[list[Any]], addresses: list[list[Any]], *_: Any
+    ) -> None:
+        shifted = [_shift_entry(EndpointEntry(*entry), self._shift_ms) for entry in entries]
+        by_endpoint = {endpoint: (host, port) for endpoint, host, port in addresses}
+        self.incarnation.discovery_updates.append(DiscoveryUpdate(at_ms, kind, shifted, by_endpoint))
+
+    def _read_sent(self, at_ms: float, what: str, fields: dict[str, Any]) -> None:
+        match what:
+            case "join" | "leave":
+                self._read_stream_change(at_ms, what == "join", fields)
+            case "send":
+                self._sent_ms[fields["proxy"], fields["nonce"]] = at_ms
+            case "ack" | "nack" if (fields["proxy"], fields["nonce"]) in self._sent_ms:
+                delay_ms = at_ms - self._sent_ms.pop((fields["proxy"], fields["nonce"]))
+                self.incarnation.ack_delays_ms[fields["proxy"]].append(delay_ms)
+
+    def _read_stream_change(self, at_ms: float, is_open: bool, fields: dict[str, Any]) -> None:
+        proxy = fields["proxy"]
+        if is_open and proxy not in self._proxy_names:
+            self._proxy_names.append(proxy)
+        change = StreamChange(at_ms, is_open, proxy, fields.get("fresh", False))
+        self.incarnation.stream_changes.append(change)
+
+    def _read_report_request(self, at_ms: float, stream: tuple[int, int], data: bytes) -> None:
+        """Reads a request of a report stream: the first names its node, later ones are reports."""
+        if node := self._report_nodes[stream]:
+            self._add_report(at_ms, node, 0.0)
+        else:
+            self._report_nodes[stream] = lrs_pb2.LoadStatsRequest.FromString(data).node.id
+
+
+def _shift_entry(entry: EndpointEntry, shift_ms: float) -> EndpointEntry:
+    """An entry on another clock; a start of 0 means long ago and stays."""
+    return entry._replace(started_ms=entry.started_ms + shift_ms) if entry.started_ms else entry
--- a/quillstep/replay/sweep.py
+++ b/quillstep/replay/sweep.py
@@ -6,19 +6,21 @@
 
 from quillstep.config.loading import changed
 from quillstep.replay.inference import InferredEndpoints
-from quillstep.replay.recorded_day import RecordedDay
+from quillstep.replay.recorded_scenario import RecordedScenario
 from quillstep.replay.whatif import learn, play
 
 
-def one(book: RecordedDay, inferred: InferredEndpoints, change: dict[str, Any], seed: int) -> tuple[float, int, str]:
+def one(
+    book: RecordedScenario, inferred: InferredEndpoints, change: dict[str, Any], seed: int
+) -> tuple[float, int, str]:
     found = play(book, inferred, change, seed)
     return found["service"]["service"], len(found["breaks"]), found["digest"]
 
 
-def run(book: RecordedDay, changes: list[dict[str, Any]], seeds: int) -> list[dict[str, Any]]:
+def run(book: RecordedScenario, changes: list[dict[str, Any]], seeds: int) -> list[dict[str, Any]]:
     """A row a change, with the mean and the noise over seeds.  Raises `ConfigError` where a change does not check."""
     for change in changes:
-        changed(book.lives[0].record, change)
+        changed(book.incarnations[0].settings, change)
     inferred, _ = learn(book)
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
         played = [[pool.submit(one, book, inferred, change, seed) for seed in range(seeds)] for change in changes]
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -22,7 +22,7 @@
 from quillstep.planner.messages import EndpointEntry, HealthCheckResult
 from quillstep.replay.inference import InferredEndpoints, attempts_by_endpoint, held_out_error, infer_endpoints
 from quillstep.replay.model import Endpoint, Proxy, VirtualDay
-from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay
+from quillstep.replay.recorded_scenario import ControllerIncarnation, RecordedScenario
 from quillstep.routing.resources import LISTENER
 from quillstep.testbed.scenarios.service_quality import earned_share, service_quality
 
@@ -84,7 +84,7 @@
         self.core: ControllerCore = self.decider.core
         self.decider.fronts = [ModelFront(day, self)]
         self.joined: dict[int, Proxy] = {}
-        self.delays = {name: iter(list(delays)) for name, delays in life.delays.items()}
+        self.delays = {name: iter(list(delays)) for name, delays in life.ack_delays_ms.items()}
         self.draw = random.Random(f"{seed} {life.epoch}").choice
         self.taps: list[dict[str, Any]] = []
         self.due = float("inf")
@@ -93,11 +93,14 @@
 
     def plan(self) -> None:
         clock, life = self.day.clock, self.life
-        for at, kind, entries, addresses in life.roster:
+        for at, kind, entries, addresses in life.discovery_updates:
             clock.at(at, self.roster, kind, entries, addresses)
-        for at, what, proxy, fields in life.streams:
-            clock.at(at, self.join if what == "join" else self.leave, proxy, fields)
-        for at, proxy, late_ms in life.reports:
+        for at, is_open, proxy, is_fresh in life.stream_changes:
+            if is_open:
+                clock.at(at, self.join, proxy, is_fresh)
+            else:
+                clock.at(at, self.leave, proxy)
+        for at, proxy, late_ms in life.report_arrivals:
             clock.at(at - late_ms, self.report, proxy, at)
         clock.at(life.last_ms, self.end)
 
@@ -105,7 +108,7 @@
         """The next captured delay of this proxy, or one drawn from them."""
         held = next(self.delays.get(name, iter(())), None)
         if held is None:
-            known = self.life.delays.get(name)
+            known = self.life.ack_delays_ms.get(name)
             held = self.draw(known) if known else USUAL_DELAY_MS
         return held
 
@@ -125,17 +128,17 @@
                 endpoint.started_ms = max(endpoint.started_ms, entry.started_ms)
         self.poke()
 
-    def join(self, name: str, fields: dict[str, Any]) -> None:
+    def join(self, name: str, is_fresh: bool) -> None:
         proxy = self.day.proxies.get(name)
         if proxy is None:
             return
         self.core.now_ms = self.day.clock.now
-        number = self.core.join(name, proxy.zone, proxy.usual, proxy.versions, fields["fresh"], self.decider.fronts[0])
+        number = self.core.join(name, proxy.zone, proxy.usual, proxy.versions, is_fresh, self.decider.fronts[0])
         self.joined[number] = proxy
         self.core.tables.subscribe(number, [(LISTENER,)], False)
         self.poke()
 
-    def leave(self, name: str, fields: dict[str, Any]) -> None:
+    def leave(self, name: str) -> None:
         number = self.core.proxy_of(name)
         if number is not None:
             self.core.now_ms = self.day.clock.now
@@ -189,18 +192,20 @@
         self.ended = True
 
 
-def play(book: RecordedDay, inferred: InferredEndpoints, change: dict[str, Any], seed: int) -> dict[str, Any]:
+def play(book: RecordedScenario, inferred: InferredEndpoints, change: dict[str, Any], seed: int) -> dict[str, Any]:
     """A day with some settings changed (path to value); service, rules, exchanges."""
-    records = [changed(life.record, change) for life in book.lives]
-    day = VirtualDay(records[0].fleet, min(life.first_ms for life in book.lives), seed)
+    records = [changed(life.settings, change) for life in book.incarnations]
+    day = VirtualDay(records[0].fleet, min(life.first_ms for life in book.incarnations), seed)
     for number, row in book.endpoints.items():
         draw = random.Random(f"{seed} endpoint {number}").random
         made = Endpoint(number, row, day.fleet, inferred, draw)
         day.endpoints[number] = day.by_address[made.address] = made
     for name, row in book.proxies.items():
         day.proxies[name] = Proxy(name, row, day, random.Random(f"{seed} {name}").random)
-    pilots = [ReplayedController(day, life, record, seed) for life, record in zip(book.lives, records, strict=True)]
-    for row in book.exchanges:
+    pilots = [
+        ReplayedController(day, life, record, seed) for life, record in zip(book.incarnations, records, strict=True)
+    ]
+    for row in book.requests:
         if row["proxy"] in day.proxies:
             day.clock.at(row["at"], day.proxies[row["proxy"]].arrive, row)
     day.clock.run(book.end_ms + 100.0)
@@ -214,7 +219,7 @@
     }
 
 
-def evidence_of(book: RecordedDay, day: VirtualDay, pilots: list[ReplayedController]) -> Evidence:
+def evidence_of(book: RecordedScenario, day: VirtualDay, pilots: list[ReplayedController]) -> Evidence:
     """What the rule checker reads, from the modelled day."""
     made = Evidence(
         day.fleet,
@@ -232,9 +237,9 @@
     starts: dict[tuple[int, float], None] = {}
     for pilot in pilots:
         life = pilot.life
-        name = life.record.name
+        name = life.settings.name
         made.channel_rows += pilot.taps
-        for at, _, entries, _ in life.roster:
+        for at, _, entries, _ in life.discovery_updates:
             for endpoint, zone, state, _, started in entries:
                 made.discovery_updates.append(
                     {"at": at, "pilot": name, "endpoint": endpoint, "state": state, "started": started}
@@ -242,28 +247,28 @@
                 if started:
                     starts[endpoint, started] = None
                 made.endpoint_zones.setdefault(endpoint, zone)
-        for at, what, proxy, _ in life.streams:
-            made.stream_changes.append({"at": at, "proxy": proxy, "up": what == "join", "pilot": name})
-        for proxy in {row[2] for row in life.streams}:
+        for at, is_open, proxy, _ in life.stream_changes:
+            made.stream_changes.append({"at": at, "proxy": proxy, "up": is_open, "pilot": name})
+        for proxy in {change.proxy for change in life.stream_changes}:
             made.stream_changes.append({"at": life.last_ms, "proxy": proxy, "up": False, "pilot": name})
     made.endpoint_starts = [{"at": at, "endpoint": endpoint, "cold": True} for endpoint, at in starts]
     return made.sort()
 
 
-def learn(book: RecordedDay) -> tuple[InferredEndpoints, dict[str, float]]:
+def learn(book: RecordedScenario) -> tuple[InferredEndpoints, dict[str, float]]:
     """What the tries of a day say of its endpoints, and how well half of them tell the other half."""
-    classes = {row.name: row for row in book.lives[0].record.fleet.classes}
+    classes = {row.name: row for row in book.incarnations[0].settings.fleet.classes}
     addresses = {f"{row['host']}:{row['port']}": number for number, row in book.endpoints.items()}
-    attempts = attempts_by_endpoint(book.exchanges, classes, addresses)
+    attempts = attempts_by_endpoint(book.requests, classes, addresses)
     cores = {number: row["cores"] for number, row in book.endpoints.items()}
     return infer_endpoints(attempts, cores), held_out_error(attempts, cores)
 
 
-def compare(book: RecordedDay, against: dict[str, Any], change: dict[str, Any], seeds: int) -> dict[str, Any]:
+def compare(book: RecordedScenario, against: dict[str, Any], change: dict[str, Any], seeds: int) -> dict[str, Any]:
     """The day as it was, replayed as it was, with one change (`against`; empty: none) and another; seeds paired."""
-    fleet = book.lives[0].record.fleet
+    fleet = book.incarnations[0].settings.fleet
     inferred, held_out = learn(book)
-    measured = service_quality(fleet, book.exchanges)
+    measured = service_quality(fleet, book.requests)
     plain = [play(book, inferred, {}, seed) for seed in range(seeds)]
     base = [play(book, inferred, against, seed) for seed in range(seeds)] if against else plain
     other = [play(book, inferred, change, seed) for seed in range(seeds)] if change else base
@@ -283,9 +288,9 @@
                                         for run, rows in runs.items()}}
             for name, part in measured["by_class"].items()
         },
-        "windows": {"measured": windows(fleet, book.exchanges),
+        "windows": {"measured": windows(fleet, book.requests),
                     **{run: windows(fleet, rows[0]["exchanges"]) for run, rows in runs.items()}},
-        "lost_by_cause": {"measured": causes(fleet, book.exchanges),
+        "lost_by_cause": {"measured": causes(fleet, book.requests),
                           **{run: causes(fleet, rows[0]["exchanges"]) for run, rows in runs.items()}},
         "changed_fate": fates(fleet, base[0]["exchanges"], other[0]["exchanges"]),
         "rules_broken": {run: max(len(row["breaks"]) for row in rows) for run, rows in runs.items()},
--- a/tests/replay/test_whatif.py
+++ b/tests/replay/test_whatif.py
@@ -13,7 +13,15 @@
 from quillstep.planner.messages import EndpointEntry
 from quillstep.replay.inference import SPAN_MS, EndpointAttempt, ExpectedAttempt, estimate_condition, infer_endpoints
 from quillstep.replay.model import VirtualDay
-from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay, apart, read_daybook
+from quillstep.replay.recorded_scenario import (
+    ControllerIncarnation,
+    DiscoveryUpdate,
+    RecordedScenario,
+    ReportArrival,
+    StreamChange,
+    clock_shift_ms,
+    read_recorded_scenario,
+)
 from quillstep.replay.whatif import compare, learn, play
 from quillstep.testbed.scenarios.runner import play_arm
 
@@ -39,14 +47,14 @@
     found = []
     for number in range(lives):
         life = ControllerIncarnation(f"pilot-{number}-1", record, 0.0, end + 500.0)
-        life.roster = [(10.0, "complete", entries(), addresses()), *roster]
-        life.streams = [(20.0, "join", name, {"fresh": True}) for name in list(proxies)[number::lives]]
-        life.reports = sorted(
-            (1000.0 + 1000.0 * second + 100.0 * at + late, name, late)
+        life.discovery_updates = [DiscoveryUpdate(10.0, "complete", entries(), addresses()), *roster]
+        life.stream_changes = [StreamChange(20.0, True, name, is_fresh=True) for name in list(proxies)[number::lives]]
+        life.report_arrivals = sorted(
+            ReportArrival(1000.0 + 1000.0 * second + 100.0 * at + late, name, late)
             for second in range(1, int(seconds) + 1)
             for at, name in enumerate(proxies)
         )
-        life.delays = {name: [20.0, 40.0, 30.0] for name in proxies}
+        life.ack_delays_ms = {name: [20.0, 40.0, 30.0] for name in proxies}
         found.append(life)
     exchanges = []
     for count in range(int(seconds * rate)):
@@ -68,7 +76,7 @@
     machines = {
         number: {"zone": "ab"[number % 2], "cores": 2, "host": "127.0.0.1", "port": 9000 + number} for number in ADDRESS
     }
-    return RecordedDay(found, machines, proxies, exchanges)
+    return RecordedScenario(found, machines, proxies, exchanges)
 
 
 def played(day, change=None, seed=1):
@@ -141,7 +149,7 @@
 
 
 def test_late_news_stays_late_and_a_rule_that_a_setting_would_break_is_named():
-    late = [(6000.0, "partial", entries("terminating", [3]), {})]
+    late = [DiscoveryUpdate(6000.0, "partial", entries("terminating", [3]), {})]
     day = book(roster=late)
     sound = played(day)
     assert sound["breaks"] == []
@@ -174,31 +182,31 @@
 @pytest.mark.parametrize("jumble", ["twice", "out of order", "five seconds late"])
 def test_reports_twice_out_of_order_or_late_do_no_harm(jumble):
     day = book(late=5000.0 if jumble == "five seconds late" else 0.0)
-    life = day.lives[0]
+    life = day.incarnations[0]
     if jumble == "twice":
-        life.reports = sorted(life.reports * 2)
+        life.report_arrivals = sorted(life.report_arrivals * 2)
     elif jumble == "out of order":
-        life.reports = [
-            (at + (1500.0 if k % 3 == 0 else 0.0), name, 1500.0 if k % 3 == 0 else 0.0)
-            for k, (at, name, _) in enumerate(life.reports)
+        life.report_arrivals = [
+            ReportArrival(at + (1500.0 if k % 3 == 0 else 0.0), name, 1500.0 if k % 3 == 0 else 0.0)
+            for k, (at, name, _) in enumerate(life.report_arrivals)
         ]
     assert played(day)["service"]["service"] > 0.98
 
 
 def test_a_pilot_that_died_in_the_middle_leaves_its_proxies_to_the_other():
     day = book(lives=2)
-    first, second = day.lives
+    first, second = day.incarnations
     first.last_ms = 5000.0
-    first.roster = [row for row in first.roster if row[0] < 5000.0]
-    first.reports = [row for row in first.reports if row[0] < 5000.0]
-    second.streams += [(5200.0, "join", row[2], {"fresh": False}) for row in first.streams]
+    first.discovery_updates = [row for row in first.discovery_updates if row.at_ms < 5000.0]
+    first.report_arrivals = [row for row in first.report_arrivals if row.at_ms < 5000.0]
+    second.stream_changes += [StreamChange(5200.0, True, row.proxy, is_fresh=False) for row in first.stream_changes]
     found = played(day)
     assert found["service"]["service"] > 0.98 and found["breaks"] == []
 
 
 @pytest.mark.parametrize(("offset", "shift"), [(1000.0, 0.0), (1030.0, 0.0), (91000.0, 90000.0), (-5000.0, -6000.0)])
 def test_clocks_that_began_apart_are_brought_together(offset, shift):
-    assert apart(offset, 1000.0) == shift
+    assert clock_shift_ms(offset, 1000.0) == shift
 
 
 @pytest.mark.parametrize(
@@ -217,7 +225,7 @@
     troubles = [{"at_s": 1.0, "for_s": 1.0, "what": "fail", "count": 1, "factor": 10.0}]
     day = small_day(seconds=3.0, troubles=troubles, capture=True, pilots=2)
     arm = play_arm(day, tmp_path / "learnt")
-    assert len(read_daybook(arm.folder).exchanges) > 50
+    assert len(read_recorded_scenario(arm.folder).requests) > 50
     command = [sys.executable, "-m", "quillstep.cli", "replay", "compare", str(arm.folder), "--seeds", "2"]
     chart = tmp_path / "chart.png"
     digests = []
