--- a/quillstep/replay/model.py
+++ b/quillstep/replay/model.py
@@ -5,131 +5,21 @@
 of messages and the moments of reports as captured.  Not modelled: processor time and stalls of the proxies.
 """
 
-import heapq
-import itertools
 import random
-from collections import deque
-from collections.abc import Callable
 from typing import Any
 
 from quillstep.config.fleet import ClassSettings, FleetSettings
 from quillstep.load_reports.upstream_stats import ClassArrivals, EndpointRow
 from quillstep.load_reports.validation import LoadReport
-from quillstep.replay.inference import NETWORK_MS, InferredEndpoints
+from quillstep.replay.endpoint_model import AttemptOutcome, ModelledEndpoint
+from quillstep.replay.inference import NETWORK_MS
+from quillstep.replay.virtual_clock import VirtualClock
 from quillstep.routing import Change
 from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, ROUTES, WEIGHT
 
-LOAD_SPAN_MS = 500.0
 FILL_MS = 250.0
 
 
-class Clock:
-    """Events in virtual time, in sequence of their times, then of their making."""
-
-    def __init__(self, begin_ms: float) -> None:
-        self.now = begin_ms
-        self.events: list[tuple[float, int, Callable[..., None], tuple]] = []
-        self.counter = itertools.count()
-
-    def at(self, at_ms: float, what: Callable[..., None], *arguments: Any) -> None:
-        heapq.heappush(self.events, (max(at_ms, self.now), next(self.counter), what, arguments))
-
-    def run(self, until_ms: float) -> None:
-        while self.events and self.events[0][0] <= until_ms:
-            self.now, _, what, arguments = heapq.heappop(self.events)
-            what(*arguments)
-        self.now = until_ms
-
-
-class Endpoint:
-    """Cores that work comes to in sequence; hidden states as inferred."""
-
-    def __init__(
-        self, number: int, row: dict[str, Any], fleet: FleetSettings, inferred: InferredEndpoints, draw: Any
-    ) -> None:
-        self.number, self.fleet, self.inferred, self.draw = number, fleet, inferred, draw
-        self.address = f"{row['host']}:{row['port']}"
-        self.speed = inferred.speeds.get(number, row.get("speed", 1.0))
-        self.free = [0.0] * row["cores"]
-        self.busy: deque[tuple[float, float]] = deque()
-        self.started_ms = 0.0
-        self.draining = False
-        self.max_connections = row.get("connections_most", 10**9)
-        self.connect_work_ms = row.get("connect_work_ms", 0.0)
-        self.idle: dict[str, list[float]] = {}  # since when, by proxy
-        self.using = 0
-
-    def connect(self, proxy: str, at: float) -> bool:
-        """A connection of this proxy's, an idle one if there is; False where no more are taken."""
-        idle_ms = self.fleet.proxies.keep_alive_ms
-        held = self.idle.get(proxy)
-        while held:
-            if at - held.pop() < idle_ms:
-                self.using += 1
-                return True
-        if self.using + sum(len(rows) for rows in self.idle.values()) >= self.max_connections:
-            for name, rows in self.idle.items():  # those that have idled too long are closed by now
-                self.idle[name] = [since for since in rows if at - since < idle_ms]
-            if self.using + sum(len(rows) for rows in self.idle.values()) >= self.max_connections:
-                return False
-        self.using += 1
-        self.schedule(self.connect_work_ms, at, 1.0)
-        return True
-
-    def give_back(self, proxy: str, at: float, good: bool) -> None:
-        """The try has ended; what broke or timed out is closed."""
-        self.using -= 1
-        if good:
-            self.idle.setdefault(proxy, []).append(at)
-
-    def capacity(self, at: float) -> float:
-        rules = self.fleet.rules
-        if not self.started_ms:
-            return 1.0
-        low = rules.initial_capacity
-        return min(1.0, low + (1.0 - low) * max(0.0, at - self.started_ms) / rules.warm_up_ms)
-
-    def schedule(self, work_ms: float, at: float, slow: float) -> tuple[float, float]:
-        begin = max(at, self.free[0])
-        end = begin + work_ms * slow / (self.speed * self.capacity(at))
-        heapq.heapreplace(self.free, end)
-        self.busy.append((begin, end))
-        return begin, end
-
-    def load(self, at: float) -> dict[str, float]:
-        since = at - LOAD_SPAN_MS
-        while self.busy and self.busy[0][1] < since:
-            self.busy.popleft()
-        spent = sum(max(0.0, min(at, end) - max(since, begin)) for begin, end in self.busy)
-        return {
-            "util": min(1.0, spent / (LOAD_SPAN_MS * len(self.free))),
-            "qps": len(self.busy) * 1000.0 / LOAD_SPAN_MS,
-        }
-
-    def tried(self, kind: ClassSettings, at: float, until: float, dropped: bool) -> tuple[str, float, bool]:
-        """One try on a connection: its result, when it is known, whether it ran."""
-        condition = self.inferred.condition_at(self.number, at)
-        if self.draw() < condition.failing:
-            return "error", at + NETWORK_MS, False
-        if dropped:
-            return "ok", at + NETWORK_MS, False
-        lost = self.draw() < condition.unresponsive
-        if max(at, self.free[0]) > until:
-            return "time-out", until, False
-        _, end = self.schedule(kind.work_ms, at, condition.slowdown)
-        if lost or end + NETWORK_MS > until:
-            return "time-out", until, True
-        return "ok", end + NETWORK_MS, True
-
-    def probed(self, at: float, timeout_ms: float) -> tuple[bool, float, dict[str, float]]:
-        condition = self.inferred.condition_at(self.number, at)
-        if self.draw() < max(condition.unreachable, condition.unresponsive):
-            return False, timeout_ms if condition.unresponsive > condition.unreachable else NETWORK_MS, {}
-        _, end = self.schedule(2.0, at, 1.0)
-        took = end - at + NETWORK_MS
-        return took < timeout_ms and not self.draining, min(took, timeout_ms), self.load(at)
-
-
 class Proxy:
     """A proxy that does what its tables say."""
 
@@ -148,7 +38,7 @@
         self.buckets: dict[int, list[float]] = {}  # rate, tokens, at
         self.sums: dict[str, list[float]] = {}  # tries, failed, good_ms
         self.came: dict[int, list[int]] = {}
-        self.reported_ms = day.clock.now
+        self.reported_ms = day.clock.now_ms
         self.reports = 0
 
     def apply(self, changes: list[Change]) -> None:
@@ -231,7 +121,7 @@
 
     def arrive(self, row: dict[str, Any]) -> None:
         """An exchange comes at its captured moment."""
-        day, now = self.day, self.day.clock.now
+        day, now = self.day, self.day.clock.now_ms
         place = day.places[row["class"]]
         self.came.setdefault(place, [0, 0])[0] += 1
         made = {"at": now, "end": now, "proxy": self.name, "class": row["class"], "exchange": row["exchange"],
@@ -241,7 +131,7 @@
             self.attempt(made, place, 0, set())
 
     def attempt(self, made: dict[str, Any], place: int, turn: int, used: set[str]) -> None:
-        day, now = self.day, self.day.clock.now
+        day, now = self.day, self.day.clock.now_ms
         kind = day.classes[place]
         address = self.pick(place, used, now)
         if address is None:
@@ -258,22 +148,25 @@
             else until
         )
         endpoint = day.by_address[address]
-        if self.draw() < endpoint.inferred.condition_at(endpoint.number, now).unreachable:
-            result, ended, ran = "no connection", now + NETWORK_MS, False
+        if self.draw() < endpoint.unreachable_share(now):
+            outcome = AttemptOutcome("no connection", now + NETWORK_MS, False)
         elif not endpoint.connect(self.name, now):
-            result, ended, ran = "reset", now + NETWORK_MS, False
+            outcome = AttemptOutcome("reset", now + NETWORK_MS, False)
         else:
-            result, ended, ran = endpoint.tried(kind, now, limit, day.repeated(kind, made["exchange"], now))
-            day.clock.at(ended, endpoint.give_back, self.name, ended, result in ("ok", "error"))
-        if ran:
+            outcome = endpoint.attempt(kind, now, limit, day.repeated(kind, made["exchange"], now))
+            is_reusable = outcome.result in ("ok", "error")
+            day.clock.call_at(outcome.ended_ms, endpoint.release, self.name, outcome.ended_ms, is_reusable)
+        if outcome.was_executed:
             day.served.append((endpoint.number, now, kind, self.name, made["exchange"]))
-        day.clock.at(ended, self.ended, made, place, turn, used | {address}, address, now, result, again, mode)
+        day.clock.call_at(
+            outcome.ended_ms, self.ended, made, place, turn, used | {address}, address, now, outcome.result, again, mode
+        )
 
     def ended(
         self, made: dict[str, Any], place: int, turn: int, used: set[str], address: str, sent: float,
         result: str, again: bool, mode: int,
     ) -> None:  # fmt: skip
-        now = self.day.clock.now
+        now = self.day.clock.now_ms
         kind = self.day.classes[place]
         made["tries"].append([address, sent, now, result, ""])
         self.count(address, result == "ok", now - sent, now)
@@ -302,7 +195,7 @@
 
     def hand_over(self) -> LoadReport:
         """Its sums, at the moment up to which a report of its told then; they start anew."""
-        now = self.day.clock.now
+        now = self.day.clock.now_ms
         covers, self.reported_ms = now - self.reported_ms, now
         sums, came = self.sums, self.came
         self.sums, self.came = {}, {}
@@ -320,11 +213,11 @@
     """What all parts of a replayed day share."""
 
     def __init__(self, fleet: FleetSettings, begin_ms: float, seed: int) -> None:
-        self.fleet, self.clock = fleet, Clock(begin_ms)
+        self.fleet, self.clock = fleet, VirtualClock(begin_ms)
         self.classes = list(fleet.classes)
         self.places = {row.name: place for place, row in enumerate(fleet.classes)}
-        self.by_address: dict[str, Endpoint] = {}
-        self.endpoints: dict[int, Endpoint] = {}
+        self.by_address: dict[str, ModelledEndpoint] = {}
+        self.endpoints: dict[int, ModelledEndpoint] = {}
         self.proxies: dict[str, Proxy] = {}
         self.exchanges: list[dict[str, Any]] = []
         self.served: list[tuple] = []
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -20,8 +20,9 @@
 from quillstep.invariants import Evidence, check_invariants
 from quillstep.load_reports.validation import LoadReport
 from quillstep.planner.messages import EndpointEntry, HealthCheckResult
+from quillstep.replay.endpoint_model import ModelledEndpoint
 from quillstep.replay.inference import InferredEndpoints, attempts_by_endpoint, held_out_error, infer_endpoints
-from quillstep.replay.model import Endpoint, Proxy, VirtualDay
+from quillstep.replay.model import Proxy, VirtualDay
 from quillstep.replay.recorded_scenario import ControllerIncarnation, RecordedScenario
 from quillstep.routing.resources import LISTENER
 from quillstep.testbed.scenarios.service_quality import earned_share, service_quality
@@ -52,8 +53,8 @@
                 core.tables.record_sent(number, nonce, changes, now_ms)
                 self.pilot.sent(proxy, ledger.released_revision, len(changes), now_ms)
                 delay = self.pilot.delay(proxy.name)
-                self.day.clock.at(now_ms + ACK_PART * delay, self.arrive, number, ledger, proxy, nonce, changes)
-                self.day.clock.at(now_ms + delay, self.word, number, ledger, nonce)
+                self.day.clock.call_at(now_ms + ACK_PART * delay, self.arrive, number, ledger, proxy, nonce, changes)
+                self.day.clock.call_at(now_ms + delay, self.word, number, ledger, nonce)
 
     def arrive(self, number: int, ledger: Any, proxy: Proxy, nonce: str, changes: list) -> None:
         if self.pilot.core.tables.proxies.get(number) is ledger:
@@ -62,7 +63,7 @@
     def word(self, number: int, ledger: Any, nonce: str) -> None:
         tables = self.pilot.core.tables
         if tables.proxies.get(number) is ledger:
-            tables.record_ack(number, nonce, self.day.clock.now)
+            tables.record_ack(number, nonce, self.day.clock.now_ms)
             self.pilot.poke()
 
     def drop(self, proxy: int, reason: str, now_ms: float) -> None:
@@ -94,15 +95,15 @@
     def plan(self) -> None:
         clock, life = self.day.clock, self.life
         for at, kind, entries, addresses in life.discovery_updates:
-            clock.at(at, self.roster, kind, entries, addresses)
+            clock.call_at(at, self.roster, kind, entries, addresses)
         for at, is_open, proxy, is_fresh in life.stream_changes:
             if is_open:
-                clock.at(at, self.join, proxy, is_fresh)
+                clock.call_at(at, self.join, proxy, is_fresh)
             else:
-                clock.at(at, self.leave, proxy)
+                clock.call_at(at, self.leave, proxy)
         for at, proxy, late_ms in life.report_arrivals:
-            clock.at(at - late_ms, self.report, proxy, at)
-        clock.at(life.last_ms, self.end)
+            clock.call_at(at - late_ms, self.report, proxy, at)
+        clock.call_at(life.last_ms, self.end)
 
     def delay(self, name: str) -> float:
         """The next captured delay of this proxy, or one drawn from them."""
@@ -119,12 +120,12 @@
     # news
 
     def roster(self, kind: str, entries: list[EndpointEntry], addresses: dict) -> None:
-        self.core.now_ms = self.day.clock.now
+        self.core.now_ms = self.day.clock.now_ms
         self.core.handle_endpoint_list(EndpointListReceived(kind, entries, addresses))
-        self.core.heard(self.day.clock.now)
+        self.core.heard(self.day.clock.now_ms)
         for entry in entries:
             if endpoint := self.day.endpoints.get(entry.endpoint):
-                endpoint.draining = entry.state == "terminating"
+                endpoint.is_draining = entry.state == "terminating"
                 endpoint.started_ms = max(endpoint.started_ms, entry.started_ms)
         self.poke()
 
@@ -132,7 +133,7 @@
         proxy = self.day.proxies.get(name)
         if proxy is None:
             return
-        self.core.now_ms = self.day.clock.now
+        self.core.now_ms = self.day.clock.now_ms
         number = self.core.join(name, proxy.zone, proxy.usual, proxy.versions, is_fresh, self.decider.fronts[0])
         self.joined[number] = proxy
         self.core.tables.subscribe(number, [(LISTENER,)], False)
@@ -141,7 +142,7 @@
     def leave(self, name: str) -> None:
         number = self.core.proxy_of(name)
         if number is not None:
-            self.core.now_ms = self.day.clock.now
+            self.core.now_ms = self.day.clock.now_ms
             self.joined.pop(number, None)
             self.core.leave(number)
             self.poke()
@@ -150,7 +151,7 @@
         """A proxy's sums up to now leave it, and arrive as late as they did then."""
         proxy = self.day.proxies.get(name)
         if proxy and self.core.proxy_of(name) is not None:
-            self.day.clock.at(at, self.reported, name, proxy.hand_over(), at)
+            self.day.clock.call_at(at, self.reported, name, proxy.hand_over(), at)
 
     def reported(self, name: str, report: LoadReport, at: float) -> None:
         number = self.core.proxy_of(name)
@@ -162,29 +163,29 @@
     # time
 
     def poke(self) -> None:
-        self.schedule(self.day.clock.now)
+        self.schedule(self.day.clock.now_ms)
 
     def schedule(self, at: float) -> None:
         if at < self.due and not self.ended:
             self.due = at
-            self.day.clock.at(at, self.turn, at)
+            self.day.clock.call_at(at, self.turn, at)
 
     def turn(self, at: float) -> None:
         if self.ended or at != self.due:
             return  # an earlier turn has taken this one's place
         self.due = float("inf")
-        now = self.day.clock.now
+        now = self.day.clock.now_ms
         self.decider.turn(now)
         for endpoint, _, _ in self.core.probes:
             if known := self.day.endpoints.get(endpoint):
-                answered, took, load = known.probed(now, self.core.record.fleet.probes.timeout_ms)
-                self.day.clock.at(now + took, self.probed, endpoint, answered, took, load)
+                answered, took, load = known.check_health(now, self.core.record.fleet.probes.timeout_ms)
+                self.day.clock.call_at(now + took, self.probed, endpoint, answered, took, load)
         self.core.probes, self.core.moves, self.core.asked = [], [], []
         self.schedule(max(now + 0.05, self.decider.next_ms()))
 
     def probed(self, endpoint: int, answered: bool, took: float, load: dict[str, float]) -> None:
         if not self.ended:
-            self.core.now_ms = self.day.clock.now
+            self.core.now_ms = self.day.clock.now_ms
             self.core.probed(HealthCheckResult(endpoint, answered, took, load))
             self.poke()
 
@@ -198,7 +199,7 @@
     day = VirtualDay(records[0].fleet, min(life.first_ms for life in book.incarnations), seed)
     for number, row in book.endpoints.items():
         draw = random.Random(f"{seed} endpoint {number}").random
-        made = Endpoint(number, row, day.fleet, inferred, draw)
+        made = ModelledEndpoint(number, row, day.fleet, inferred, draw)
         day.endpoints[number] = day.by_address[made.address] = made
     for name, row in book.proxies.items():
         day.proxies[name] = Proxy(name, row, day, random.Random(f"{seed} {name}").random)
@@ -207,8 +208,8 @@
     ]
     for row in book.requests:
         if row["proxy"] in day.proxies:
-            day.clock.at(row["at"], day.proxies[row["proxy"]].arrive, row)
-    day.clock.run(book.end_ms + 100.0)
+            day.clock.call_at(row["at"], day.proxies[row["proxy"]].arrive, row)
+    day.clock.run_until(book.end_ms + 100.0)
     evidence = evidence_of(book, day, pilots)
     return {
         "service": service_quality(day.fleet, day.exchanges),
@@ -225,7 +226,7 @@
         day.fleet,
         endpoints_by_address={address: endpoint.number for address, endpoint in day.by_address.items()},
         endpoint_zones={number: row["zone"] for number, row in book.endpoints.items()},
-        endpoint_capacities={n: e.speed * len(e.free) for n, e in day.endpoints.items()},
+        endpoint_capacities={n: e.speed * e.cores for n, e in day.endpoints.items()},
         proxy_zones={name: proxy.zone for name, proxy in day.proxies.items()},
     )
     made.requests = day.exchanges
--- a/tests/replay/test_whatif.py
+++ b/tests/replay/test_whatif.py
@@ -3,6 +3,7 @@
 import os
 import subprocess
 import sys
+from pathlib import Path
 
 import msgspec
 import pytest
@@ -123,6 +124,16 @@
     assert one["breaks"] == [] and one["rounds"] > 10
 
 
+def test_the_shipped_scenario_replays_with_the_same_random_draws_as_before():
+    """Holds the order of draws and of floating-point operations, with and without another setting."""
+    found = compare(read_recorded_scenario(Path("examples/captures/short")), {}, {"fleet.proxies.ejects": 1}, 2)
+    assert found["digests"] == {
+        "replayed": ["48c9bb4666b78b96005de7da2828b94d", "7afd6d975c946af3041d17680388a290"],
+        "against": ["48c9bb4666b78b96005de7da2828b94d", "7afd6d975c946af3041d17680388a290"],
+        "changed": ["721694ba89173e250fd0c8e6792a0847", "94cb8fba3780328667b91b0a74f8d4be"],
+    }
+
+
 def test_an_endpoint_that_fails_and_recovers_by_turns_unseen_by_the_roster_costs_what_it_cost():
     def flaps(at, number):
         return ("error", 2.0) if number == 2 and int(at // 3000.0) % 2 else ("ok", 22.0)
