--- a/tests/recording/test_recording.py
+++ b/tests/recording/test_recording.py
@@ -167,8 +167,8 @@
     assert len(found) == 3
     for incarnation in found:
         outcome = Replay(incarnation.header).play(read_records(incarnation))
-        assert outcome.identical, outcome.difference
-        assert outcome.rounds > 3 or incarnation.records < 100
+        assert outcome.is_identical, outcome.difference
+        assert outcome.intervals > 3 or incarnation.records < 100
 
 
 def test_another_seed_differs_and_the_first_difference_is_reported(recorded):
@@ -177,7 +177,7 @@
         key=lambda each: each.records,
     )
     replay = Replay(incarnation.header)
-    other = Replay(incarnation.header, replay.record.model_copy(update={"seed": replay.record.seed + 1}))
+    other = Replay(incarnation.header, replay.settings.model_copy(update={"seed": replay.settings.seed + 1}))
     outcome = other.play(read_records(incarnation))
     assert outcome.difference["round"] >= 1
     assert outcome.difference["captured"] != outcome.difference["replayed"]
@@ -194,7 +194,7 @@
     piece.write_bytes(data[: len(data) * 2 // 3])
     truncated = first_incarnation(tmp_path)
     assert 0 < truncated.records < incarnation.records and truncated.truncation
-    assert Replay(truncated.header).play(read_records(truncated)).identical
+    assert Replay(truncated.header).play(read_records(truncated)).is_identical
 
 
 def test_the_digest_is_the_same_in_other_processes_with_other_hash_seeds(recorded):
@@ -216,8 +216,8 @@
     assert found
     for incarnation in found:
         outcome = Replay(incarnation.header).play(read_records(incarnation))
-        assert outcome.identical, outcome.difference
-        assert outcome.rounds >= 5
+        assert outcome.is_identical, outcome.difference
+        assert outcome.intervals >= 5
 
 
 def test_noise_is_neither_a_block_nor_a_header():
--- a/tests/replay/test_whatif.py
+++ b/tests/replay/test_whatif.py
@@ -3,6 +3,7 @@
 import os
 import subprocess
 import sys
+from pathlib import Path
 
 import msgspec
 import pytest
@@ -11,9 +12,17 @@
 from quillstep.config.errors import ConfigError
 from quillstep.config.loading import changed, parse_changes
 from quillstep.planner.messages import EndpointEntry
-from quillstep.replay.inference import SPAN_MS, fit, infer
+from quillstep.replay.inference import SPAN_MS, EndpointAttempt, ExpectedAttempt, estimate_condition, infer_endpoints
 from quillstep.replay.model import VirtualDay
-from quillstep.replay.recorded_day import ControllerIncarnation, RecordedDay, apart, read_daybook
+from quillstep.replay.recorded_scenario import (
+    ControllerIncarnation,
+    DiscoveryUpdate,
+    RecordedScenario,
+    ReportArrival,
+    StreamChange,
+    clock_shift_ms,
+    read_recorded_scenario,
+)
 from quillstep.replay.whatif import compare, learn, play
 from quillstep.testbed.scenarios.runner import play_arm
 
@@ -39,14 +48,14 @@
     found = []
     for number in range(lives):
         life = ControllerIncarnation(f"pilot-{number}-1", record, 0.0, end + 500.0)
-        life.roster = [(10.0, "complete", entries(), addresses()), *roster]
-        life.streams = [(20.0, "join", name, {"fresh": True}) for name in list(proxies)[number::lives]]
-        life.reports = sorted(
-            (1000.0 + 1000.0 * second + 100.0 * at + late, name, late)
+        life.discovery_updates = [DiscoveryUpdate(10.0, "complete", entries(), addresses()), *roster]
+        life.stream_changes = [StreamChange(20.0, True, name, is_fresh=True) for name in list(proxies)[number::lives]]
+        life.report_arrivals = sorted(
+            ReportArrival(1000.0 + 1000.0 * second + 100.0 * at + late, name, late)
             for second in range(1, int(seconds) + 1)
             for at, name in enumerate(proxies)
         )
-        life.delays = {name: [20.0, 40.0, 30.0] for name in proxies}
+        life.ack_delays_ms = {name: [20.0, 40.0, 30.0] for name in proxies}
         found.append(life)
     exchanges = []
     for count in range(int(seconds * rate)):
@@ -68,7 +77,7 @@
     machines = {
         number: {"zone": "ab"[number % 2], "cores": 2, "host": "127.0.0.1", "port": 9000 + number} for number in ADDRESS
     }
-    return RecordedDay(found, machines, proxies, exchanges)
+    return RecordedScenario(found, machines, proxies, exchanges)
 
 
 def played(day, change=None, seed=1):
@@ -85,25 +94,27 @@
     ],
 )
 def test_hidden_states_follow_from_what_tries_met(results, expected):
-    rows = [(100.0 * at, 100.0 * at + 21.0, result, LOOKUP) for at, result in enumerate(results)]
-    assert fit([(row, 21.0) for row in rows])[:3] == expected
+    rows = [EndpointAttempt(100.0 * at, 100.0 * at + 21.0, result, LOOKUP) for at, result in enumerate(results)]
+    assert estimate_condition([ExpectedAttempt(row, 21.0) for row in rows])[:3] == expected
 
 
 def test_speeds_and_slow_spans_follow_from_the_quickest_answers():
-    rows = [(100.0 * at, 100.0 * at + 41.0, "ok", LOOKUP) for at in range(50)]  # 20 ms of work in 40: speed 0.5
-    rows += [(6000.0 + 40.0 * at, 6000.0 + 40.0 * at + 201.0, "ok", LOOKUP) for at in range(10)]
-    made = infer({7: rows}, {7: 4})
+    # 20 ms of work in 40: speed 0.5.
+    rows = [EndpointAttempt(100.0 * at, 100.0 * at + 41.0, "ok", LOOKUP) for at in range(50)]
+    rows += [EndpointAttempt(6000.0 + 40.0 * at, 6000.0 + 40.0 * at + 201.0, "ok", LOOKUP) for at in range(10)]
+    made = infer_endpoints({7: rows}, {7: 4})
     assert made.speeds[7] == pytest.approx(0.5)
-    assert made.state(7, 1000.0).slow == 1.0 and made.state(7, 6100.0).slow == pytest.approx(5.0)
-    assert made.state(7, 6100.0 + 10 * SPAN_MS).slow == pytest.approx(5.0)  # nothing seen since: as last seen
-    assert made.state(8, 0.0).slow == 1.0
+    assert made.condition_at(7, 1000.0).slowdown == 1.0 and made.condition_at(7, 6100.0).slowdown == pytest.approx(5.0)
+    # Nothing was observed since: as last observed.
+    assert made.condition_at(7, 6100.0 + 10 * SPAN_MS).slowdown == pytest.approx(5.0)
+    assert made.condition_at(8, 0.0).slowdown == 1.0
 
 
 def test_waiting_behind_known_work_is_no_slowness():
     # Twice as much as two cores can do: each answer waits longer than the one before, at the usual speed.
-    rows = [(5.0 * at, 5.0 * at + 21.0 + 5.0 * (at // 2), "ok", LOOKUP) for at in range(200)]
-    made = infer({7: rows}, {7: 2})
-    assert {state.slow for state in made.states[7].values()} == {1.0}
+    rows = [EndpointAttempt(5.0 * at, 5.0 * at + 21.0 + 5.0 * (at // 2), "ok", LOOKUP) for at in range(200)]
+    made = infer_endpoints({7: rows}, {7: 2})
+    assert {condition.slowdown for condition in made.conditions[7].values()} == {1.0}
 
 
 def test_a_quiet_day_replays_as_quiet_and_twice_alike():
@@ -113,6 +124,16 @@
     assert one["breaks"] == [] and one["rounds"] > 10
 
 
+def test_the_shipped_scenario_replays_with_the_same_random_draws_as_before():
+    """Holds the order of draws and of floating-point operations, with and without another setting."""
+    found = compare(read_recorded_scenario(Path("examples/captures/short")), {}, {"fleet.proxies.ejects": 1}, 2)
+    assert found["digests"] == {
+        "replayed": ["48c9bb4666b78b96005de7da2828b94d", "7afd6d975c946af3041d17680388a290"],
+        "against": ["48c9bb4666b78b96005de7da2828b94d", "7afd6d975c946af3041d17680388a290"],
+        "changed": ["721694ba89173e250fd0c8e6792a0847", "94cb8fba3780328667b91b0a74f8d4be"],
+    }
+
+
 def test_an_endpoint_that_fails_and_recovers_by_turns_unseen_by_the_roster_costs_what_it_cost():
     def flaps(at, number):
         return ("error", 2.0) if number == 2 and int(at // 3000.0) % 2 else ("ok", 22.0)
@@ -139,7 +160,7 @@
 
 
 def test_late_news_stays_late_and_a_rule_that_a_setting_would_break_is_named():
-    late = [(6000.0, "partial", entries("terminating", [3]), {})]
+    late = [DiscoveryUpdate(6000.0, "partial", entries("terminating", [3]), {})]
     day = book(roster=late)
     sound = played(day)
     assert sound["breaks"] == []
@@ -172,31 +193,31 @@
 @pytest.mark.parametrize("jumble", ["twice", "out of order", "five seconds late"])
 def test_reports_twice_out_of_order_or_late_do_no_harm(jumble):
     day = book(late=5000.0 if jumble == "five seconds late" else 0.0)
-    life = day.lives[0]
+    life = day.incarnations[0]
     if jumble == "twice":
-        life.reports = sorted(life.reports * 2)
+        life.report_arrivals = sorted(life.report_arrivals * 2)
     elif jumble == "out of order":
-        life.reports = [
-            (at + (1500.0 if k % 3 == 0 else 0.0), name, 1500.0 if k % 3 == 0 else 0.0)
-            for k, (at, name, _) in enumerate(life.reports)
+        life.report_arrivals = [
+            ReportArrival(at + (1500.0 if k % 3 == 0 else 0.0), name, 1500.0 if k % 3 == 0 else 0.0)
+            for k, (at, name, _) in enumerate(life.report_arrivals)
         ]
     assert played(day)["service"]["service"] > 0.98
 
 
 def test_a_pilot_that_died_in_the_middle_leaves_its_proxies_to_the_other():
     day = book(lives=2)
-    first, second = day.lives
+    first, second = day.incarnations
     first.last_ms = 5000.0
-    first.roster = [row for row in first.roster if row[0] < 5000.0]
-    first.reports = [row for row in first.reports if row[0] < 5000.0]
-    second.streams += [(5200.0, "join", row[2], {"fresh": False}) for row in first.streams]
+    first.discovery_updates = [row for row in first.discovery_updates if row.at_ms < 5000.0]
+    first.report_arrivals = [row for row in first.report_arrivals if row.at_ms < 5000.0]
+    second.stream_changes += [StreamChange(5200.0, True, row.proxy, is_fresh=False) for row in first.stream_changes]
     found = played(day)
     assert found["service"]["service"] > 0.98 and found["breaks"] == []
 
 
 @pytest.mark.parametrize(("offset", "shift"), [(1000.0, 0.0), (1030.0, 0.0), (91000.0, 90000.0), (-5000.0, -6000.0)])
 def test_clocks_that_began_apart_are_brought_together(offset, shift):
-    assert apart(offset, 1000.0) == shift
+    assert clock_shift_ms(offset, 1000.0) == shift
 
 
 @pytest.mark.parametrize(
@@ -215,7 +236,7 @@
     troubles = [{"at_s": 1.0, "for_s": 1.0, "what": "fail", "count": 1, "factor": 10.0}]
     day = small_day(seconds=3.0, troubles=troubles, capture=True, pilots=2)
     arm = play_arm(day, tmp_path / "learnt")
-    assert len(read_daybook(arm.folder).exchanges) > 50
+    assert len(read_recorded_scenario(arm.folder).requests) > 50
     command = [sys.executable, "-m", "quillstep.cli", "replay", "compare", str(arm.folder), "--seeds", "2"]
     chart = tmp_path / "chart.png"
     digests = []
