--- a/quillstep/tracing/causes.py
+++ b/quillstep/tracing/causes.py
@@ -1,11 +1,11 @@
 """Why a control interval wrote what it did, from a recording: its events, their ages and its output.  No I/O."""
 
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
-from quillstep.recording.format import Record
+from quillstep.recording.format import Record, kind_of
 
 EVENT_KINDS = ("roster", "probe", "reports", "files", "open", "request", "end")
 MAX_DESCRIBED_EVENTS = 12
@@ -36,6 +36,21 @@
     notes: list[str] = msgspec.field(default_factory=list)
 
 
+class RecordedInterval(NamedTuple):
+    """A control interval's record, by the names of its fields."""
+
+    at_ms: float
+    number: int
+    commands: list[Command]
+    revision: int
+
+    @classmethod
+    def from_record(cls, record: Record) -> "RecordedInterval":
+        """Reads a record of the kind `orders`; older recordings number intervals and revisions alike."""
+        _, _, at_ms, number, commands, *revision = record
+        return cls(at_ms, number, commands, revision[0] if revision else number)
+
+
 def find_cause(records: Iterable[Record], revision: int, resource: str) -> IntervalCause | None:
     """Finds the control interval behind a revision.
 
@@ -49,57 +64,52 @@
     """
     events: list[Record] = []
     for record in records:
-        kind = record[0]
+        kind = kind_of(record)
         if kind in EVENT_KINDS:
             events.append(record)
         elif kind == "orders":
-            if _revision_of(record) == revision:
-                return _describe_interval(record, events, resource)
+            interval = RecordedInterval.from_record(record)
+            if interval.revision == revision:
+                return _describe_interval(interval, events, resource)
             events = []
     return None
 
 
-def _revision_of(record: Record) -> int:
-    """The revision of an interval's output; older recordings number intervals and revisions alike."""
-    revision: int = record[5] if len(record) > 5 else record[3]
-    return revision
-
-
-def _describe_interval(record: Record, events: list[Record], resource: str) -> IntervalCause:
-    at_ms, commands = record[2], record[4]
-    cause = IntervalCause(record[3], at_ms)
+def _describe_interval(interval: RecordedInterval, events: list[Record], resource: str) -> IntervalCause:
+    cause = IntervalCause(interval.number, interval.at_ms)
     for event in events:
-        kind = event[0]
-        age_ms = _age_ms(event, at_ms)
+        kind = kind_of(event)
+        age_ms = _age_ms(event, interval.at_ms)
         cause.event_counts[kind] = cause.event_counts.get(kind, 0) + 1
         cause.oldest_ms[kind] = round(max(cause.oldest_ms.get(kind, 0.0), age_ms), 1)
         if len(cause.descriptions) < MAX_DESCRIBED_EVENTS and (text := _describe_event(event)):
             cause.descriptions.append(f"{text}, {age_ms:.0f} ms before")
-    cause.commands = [command for command in commands if concerns(command, resource)]
-    cause.notes = [command[1] for command in commands if command[0] == "note"]
+    cause.commands = [command for command in interval.commands if concerns(command, resource)]
+    cause.notes = [command[1] for command in interval.commands if command[0] == "note"]
     return cause
 
 
 def _age_ms(event: Record, at_ms: float) -> float:
     """Age of an event since it arrived; of load reports, the age of the oldest one."""
-    age_ms: float = at_ms - event[1]
-    if event[0] == "reports":
-        return max([age_ms, *(at_ms - report[2] for report in event[4]["heard"])])
+    arrived_ms: float = event[1]
+    age_ms = at_ms - arrived_ms
+    match event:
+        case ["reports", _, _, _, {"heard": reports}, *_]:
+            return max([age_ms, *(at_ms - report[2] for report in reports)])
     return age_ms
 
 
 def _describe_event(event: Record) -> str:
     """An event in words; empty for kinds of which there are too many to describe."""
-    match event[0]:
-        case "roster":
-            entries = event[4]
+    match event:
+        case ["roster", _, _, update_kind, entries, *_]:
             states = ", ".join(f"{entry[0]} {entry[2]}" for entry in entries[:MAX_LISTED_ENDPOINTS])
             unlisted = len(entries) - MAX_LISTED_ENDPOINTS
-            return f"roster, {event[3]}: {states}" + (f" and {unlisted} more" if unlisted > 0 else "")
-        case "probe":
-            return f"probe of {event[3]}: {'answered' if event[4] else 'no answer'}"
-        case "reports":
-            return f"reports of {len(event[4]['heard'])} proxies"
+            return f"roster, {update_kind}: {states}" + (f" and {unlisted} more" if unlisted > 0 else "")
+        case ["probe", _, _, endpoint, healthy, *_]:
+            return f"probe of {endpoint}: {'answered' if healthy else 'no answer'}"
+        case ["reports", _, _, _, {"heard": reports}, *_]:
+            return f"reports of {len(reports)} proxies"
     return ""
 
 
