--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -1,7 +1,7 @@
-"""The deciding thread's work without its thread: news in, one turn, orders and responses out.  Time is an argument.
+"""The deciding thread's work without its thread: events in, one pass, updates and responses out.  Time is an argument.
 
-The running pilot calls this with its clock and sockets; a replay calls it with a captured day's.  What came in, in
-which turn and what was full at its end are all that decide what comes out.
+The running controller calls this with its clock and sockets; a replay calls it with a recording's.  Which events came
+before which pass, and which connections were full at its end, are all that decide what comes out.
 """
 
 from collections.abc import Callable
@@ -12,6 +12,7 @@
 from quillstep.config.controller import ControllerSettings
 from quillstep.controller.core import ControllerCore
 from quillstep.controller.events import EndpointListReceived
+from quillstep.files.disk import Disk
 from quillstep.files.events import FileEvent
 from quillstep.files.front import FileFront
 from quillstep.load_reports.events import ReportsSummarized
@@ -23,29 +24,38 @@
 
 ControllerEvent = StreamEvent | FileEvent | StoreEvent | EndpointListReceived | HealthCheckResult | ReportsSummarized
 
-WAITS_SHOWN = 8  # proxies that one line of the log names
+MAX_NAMED_PROXIES = 8  # in one log line
 
 
 class DecisionLoop:
-    """Core and fronts of one pilot.  `put` is where a file front's threads hand their news over."""
+    """Core and fronts of one controller."""
 
     def __init__(
         self,
-        record: ControllerSettings,
+        settings: ControllerSettings,
         epoch: str,
         tap: Callable[..., None],
-        put: Callable[[FileEvent], None],
-        disk: Any = None,
+        publish: Callable[[FileEvent], None],
+        disk: Disk | None = None,
     ) -> None:
-        self.core = ControllerCore(record)
-        context = FrontContext(record, self.core.tables, self.core, epoch, self.core.ordered_ms, tap)
+        """Sets up the core and its fronts.
+
+        Args:
+            settings: The controller's settings.
+            epoch: The name of this run of its process.
+            tap: Is given each row of the sockets' record.
+            publish: Takes events of the file front's threads.
+            disk: The file front's disk; a replay gives one that touches no files.
+        """
+        self.core = ControllerCore(settings)
+        context = FrontContext(settings, self.core.tables, self.core, epoch, self.core.ordered_ms, tap)
         self.streams = XdsFront(context)
         self.fronts: list[Any] = [self.streams]
         self.tap = tap
-        self.log = structlog.get_logger("pilot")
+        self.log = structlog.get_logger("controller")
         self.files: FileFront | None = None
-        if record.files.root:
-            self.files = FileFront(context, put, disk)
+        if settings.files.root:
+            self.files = FileFront(context, publish, disk)
             self.fronts.append(self.files)
         self.handlers: dict[type, Callable[[Any, float], None]] = {
             **dict.fromkeys(get_args(StreamEvent), self.streams.handle_event),
@@ -71,35 +81,40 @@
         if self.files:
             self.files.handle_event(event, now_ms)
 
-    def turn(self, now_ms: float) -> None:
-        """Let pushes leave, decide if a round is due, and have the fronts send."""
+    def run_pass(self, now_ms: float) -> None:
+        """Releases updates, decides if a control interval is due, and has the fronts send."""
         self.core.step(now_ms)
-        stirred, self.core.tables.pending_proxies = self.core.tables.pending_proxies, set()
+        pending, self.core.tables.pending_proxies = self.core.tables.pending_proxies, set()
         for front in self.fronts:
-            front.pump(now_ms, stirred)
+            front.pump(now_ms, pending)
+        self._report_retry_policies(now_ms)
 
-        self.tell_ways(now_ms)
+    def _report_retry_policies(self, now_ms: float) -> None:
+        """Reports where a retry policy beyond what its class allows may be in effect, and since when it no longer can.
 
-    def tell_ways(self, now_ms: float) -> None:
-        """Say of which classes a looser way of trying again than they allow may still be gone by, and when it no longer
-        can be: until then whoever drops repeats must go on with it."""
+        Until then the endpoints must go on recognising repeated keys.
+        """
         changes = self.core.retry_policies.changes(now_ms)
         nodes = {number: node for node, number in self.core.proxies.numbers.items()} if changes else {}
-        for told in changes:
-            kind = self.core.settings.fleet.classes[told.class_index].name
-            for loose, proxies in ((True, told.exceeding), (False, told.compliant)):
+        for change in changes:
+            class_name = self.core.settings.fleet.classes[change.class_index].name
+            for exceeds, proxies in ((True, change.exceeding), (False, change.compliant)):
                 for proxy in proxies:
-                    self.tap("way", now_ms, kind=kind, proxy=nodes[proxy], loose=loose)
+                    self.tap("way", now_ms, kind=class_name, proxy=nodes[proxy], loose=exceeds)
             known = len(self.core.retry_policies.proxies)
-            if not told.count_exceeding:
-                self.log.info("way of trying again in force", kind=kind, proxies=known)
-            elif told.count_exceeding == len(told.exceeding):  # the first of them
-                first = [nodes[proxy] for proxy in told.exceeding[:WAITS_SHOWN]]
+            if not change.count_exceeding:
+                self.log.info("retry policy in effect", class_name=class_name, proxies=known)
+            elif change.count_exceeding == len(change.exceeding):  # the first of them
+                first = [nodes[proxy] for proxy in change.exceeding[:MAX_NAMED_PROXIES]]
                 self.log.info(
-                    "looser way of trying again stands", kind=kind, way=told.retry_policy, proxies=first, of=known
+                    "looser retry policy still in effect",
+                    class_name=class_name,
+                    retry_policy=change.retry_policy,
+                    proxies=first,
+                    of=known,
                 )
 
     def next_ms(self) -> float:
-        """When a turn has something to do without any news."""
+        """When a pass has something to do without any event."""
         waits = [front.next_ms() for front in self.fronts]
         return min([self.core.next_ms(), self.core.retry_policies.next_expiry_ms, *waits])
--- a/quillstep/controller/discovery_client.py
+++ b/quillstep/controller/discovery_client.py
@@ -1,4 +1,4 @@
-"""Follows the roster: xDS endpoint discovery (a collection of `LbEndpoint`s), the pilot as its client."""
+"""Follows endpoint discovery over xDS (a collection of `LbEndpoint`s), with the controller as its client."""
 
 import threading
 import time
@@ -16,22 +16,25 @@
 from quillstep.xds.resources import LEDS
 from quillstep.xds.server import DELTA
 
-FLEET = "xdstp://roster/envoy.config.endpoint.v3.LbEndpoint/fleet/*"
-SCOPE = "quillstep"
-DIAL_MS = 300.0
+ENDPOINTS_COLLECTION = "xdstp://roster/envoy.config.endpoint.v3.LbEndpoint/fleet/*"
+METADATA_NAMESPACE = "quillstep"
+RECONNECT_DELAY_MS = 300.0
+CONNECT_TIMEOUT_MS = 1000.0
 STATES = {health_check_pb2.HEALTHY: "in_service", health_check_pb2.UNKNOWN: "in_service"}
 
 
-def entry_of(line: endpoint_components_pb2.LbEndpoint, offset_ms: float) -> tuple[EndpointEntry, tuple[str, int]]:
-    """A resource as the interface's entry, and the endpoint's address.
+def parse_endpoint(
+    line: endpoint_components_pb2.LbEndpoint, clock_offset_ms: float
+) -> tuple[EndpointEntry, tuple[str, int]]:
+    """Returns a resource as an entry, and the endpoint's address.
 
     Metadata under `quillstep` gives `id` and `zone`, and `started_ms` (wall clock; absent: long ago).
-    `offset_ms` turns wall-clock milliseconds into the pilot's.
+    `clock_offset_ms` turns wall-clock milliseconds into the controller's.
     """
-    fields = line.metadata.filter_metadata[SCOPE].fields
+    fields = line.metadata.filter_metadata[METADATA_NAMESPACE].fields
     started = fields["started_ms"].number_value if "started_ms" in fields else 0.0
-    draining = line.health_status == health_check_pb2.DRAINING
-    state = STATES.get(line.health_status, "terminating" if draining else "terminated")
+    is_draining = line.health_status == health_check_pb2.DRAINING
+    state = STATES.get(line.health_status, "terminating" if is_draining else "terminated")
     weight = float(line.load_balancing_weight.value) / 100.0 if line.HasField("load_balancing_weight") else 1.0
     address = line.endpoint.address.socket_address
     entry = EndpointEntry(
@@ -39,38 +42,54 @@
         fields["zone"].string_value,
         state,
         weight,
-        started + offset_ms if started else 0.0,
+        started + clock_offset_ms if started else 0.0,
     )
     return entry, (address.address, address.port_value)
 
 
 class DiscoveryClient:
-    """Keeps a stream to the roster; `put` is given its answers."""
+    """Keeps a stream to discovery, in a thread of its own; `publish` is given its answers.
+
+    The thread is a daemon and ends with the process: it may wait for discovery.
+    """
 
     def __init__(
-        self, address: str, name: str, zone: str, offset_ms: float, put: Callable[[EndpointListReceived], None]
+        self,
+        address: str,
+        name: str,
+        zone: str,
+        clock_offset_ms: float,
+        publish: Callable[[EndpointListReceived], None],
     ) -> None:
-        self.address, self.name, self.zone, self.offset_ms, self.put = address, name, zone, offset_ms, put
+        self.address, self.name, self.zone = address, name, zone
+        self.clock_offset_ms, self.publish = clock_offset_ms, publish
         self.known: dict[str, EndpointEntry] = {}  # resource name to its newest entry
         self.versions: dict[str, str] = {}
-        self.log = structlog.get_logger("roster")
-        threading.Thread(target=self.run, daemon=True).start()
+        self.log = structlog.get_logger("discovery")
+        threading.Thread(target=self._run, name="discovery-client", daemon=True).start()
 
-    def run(self) -> None:
+    def _run(self) -> None:
         while True:
             try:
-                self.follow()
-            except (OSError, ValueError) as trouble:
-                self.log.warning("roster lost", address=self.address, reason=str(trouble))
+                self._follow()
+            except (OSError, ValueError) as error:
+                self.log.warning("discovery lost", address=self.address, reason=str(error))
             if self.known:
-                self.put(EndpointListReceived("error", [], {}))
-            time.sleep(DIAL_MS / 1000.0)
+                self.publish(EndpointListReceived("error", [], {}))
+            time.sleep(RECONNECT_DELAY_MS / 1000.0)
+
+    def _follow(self) -> None:
+        """Follows one stream to its end.
 
-    def follow(self) -> None:
-        client = GrpcClient(self.address, 1000.0)
+        Raises:
+            OSError: The stream or the connection has ended.
+        """
+        client = GrpcClient(self.address, CONNECT_TIMEOUT_MS)
         try:
             stream = client.open(DELTA)
-            request = discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, resource_names_subscribe=[FLEET])
+            request = discovery_pb2.DeltaDiscoveryRequest(
+                type_url=LEDS, resource_names_subscribe=[ENDPOINTS_COLLECTION]
+            )
             request.node.id = self.name
             request.node.locality.zone = self.zone
             request.initial_resource_versions.update(self.versions)
@@ -78,23 +97,23 @@
             for event in client.events():
                 if isinstance(event, MessageReceived):
                     response = discovery_pb2.DeltaDiscoveryResponse.FromString(event.data)
-                    self.take(response)
-                    word = discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, response_nonce=response.nonce)
-                    client.send(stream, word.SerializeToString())
+                    self._handle_response(response)
+                    ack = discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, response_nonce=response.nonce)
+                    client.send(stream, ack.SerializeToString())
                 elif isinstance(event, StreamEnded):
-                    raise OSError(f"the roster ended the stream: {event.reason}")
+                    raise OSError(f"discovery ended the stream: {event.reason}")
             raise OSError(client.reason)
         finally:
             client.close()
 
-    def take(self, response: discovery_pb2.DeltaDiscoveryResponse) -> None:
-        first = not self.known
+    def _handle_response(self, response: discovery_pb2.DeltaDiscoveryResponse) -> None:
+        is_first = not self.known
         entries, addresses = [], {}
         for resource in response.resources:
             line = endpoint_components_pb2.LbEndpoint()
             if not resource.resource.Unpack(line):
                 continue
-            entry, address = entry_of(line, self.offset_ms)
+            entry, address = parse_endpoint(line, self.clock_offset_ms)
             self.known[resource.name] = entry
             self.versions[resource.name] = resource.version
             entries.append(entry)
@@ -104,4 +123,4 @@
             if name in self.known:
                 entry = self.known.pop(name)
                 entries.append(entry._replace(state="terminated"))
-        self.put(EndpointListReceived("complete" if first else "partial", entries, addresses))
+        self.publish(EndpointListReceived("complete" if is_first else "partial", entries, addresses))
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -143,7 +143,7 @@
 
     def _run_interval(self, now_ms: float, full_peers: list[int]) -> None:
         self._update_full_peers(full_peers)
-        self._loop.turn(now_ms)
+        self._loop.run_pass(now_ms)
         (
             self._core.health_check_requests,
             self._core.reports.membership_changes,
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -175,7 +175,7 @@
             return  # an earlier turn has taken this one's place
         self.due = float("inf")
         now = self.day.clock.now_ms
-        self.decider.turn(now)
+        self.decider.run_pass(now)
         for endpoint, _, _ in self.core.health_check_requests:
             if known := self.day.endpoints.get(endpoint):
                 answered, took, load = known.check_health(now, self.core.settings.fleet.probes.timeout_ms)
