--- a/quillstep/replay/model.py
+++ b/quillstep/replay/model.py
@@ -13,9 +13,8 @@
 from quillstep.load_reports.validation import LoadReport
 from quillstep.replay.endpoint_model import AttemptOutcome, ModelledEndpoint
 from quillstep.replay.inference import NETWORK_MS
+from quillstep.replay.proxy_tables import ProxyTables
 from quillstep.replay.virtual_clock import VirtualClock
-from quillstep.routing import Change
-from quillstep.routing.resources import ADMISSION, CLUSTER, EJECTED, ROUTES, WEIGHT
 
 FILL_MS = 250.0
 
@@ -26,12 +25,7 @@
     def __init__(self, name: str, row: dict[str, Any], day: "VirtualDay", draw: Any) -> None:
         self.name, self.zone, self.usual, self.day, self.draw = name, row["zone"], row["usual"], day, draw
         self.standing = {f"{h}:{p}": 1.0 for h, p in row["standing"]}
-        self.tables: dict[int, dict[str, float]] = {}
-        self.lines: dict[tuple, str] = {}  # address by key, for removals
-        self.out: dict[int, str] = {}
-        self.routes: dict[int, tuple[int, float | None, int]] = {}
-        self.shares: dict[int, dict[int, float]] = {}
-        self.versions: dict[tuple, str] = {}
+        self.tables = ProxyTables()
         self.turns: dict[int, dict[str, float]] = {}
         self.fails: dict[str, int] = {}
         self.avoids: dict[str, float] = {}
@@ -41,45 +35,12 @@
         self.reported_ms = day.clock.now_ms
         self.reports = 0
 
-    def apply(self, changes: list[Change]) -> None:
-        for key, want in changes:
-            if want:
-                self.versions[key] = want.version
-            else:
-                self.versions.pop(key, None)
-            if key[0] == WEIGHT:
-                before = self.lines.pop(key, None)
-                lines = self.tables.setdefault(key[1], {})
-                if before:
-                    lines.pop(before, None)
-                if want:
-                    address = f"{want.content[0]}:{want.content[1]}"
-                    lines[address] = want.content[2]
-                    self.lines[key] = address
-            elif key[0] == EJECTED:
-                if want:
-                    self.out[key[1]] = f"{want.content[0]}:{want.content[1]}"
-                else:
-                    self.out.pop(key[1], None)
-            elif key[0] == ROUTES and want:
-                self.routes = {place: (table, allowed, tries) for place, table, allowed, tries in want.content}
-            elif key[0] == ADMISSION and want:
-                self.shares[key[1]] = dict(want.content)
-            elif key[0] == CLUSTER and want is None:
-                self.drop(key[1])
-
-    def drop(self, table: int) -> None:
-        self.tables.pop(table, None)
-        for key in [key for key in self.versions if key[0] in (WEIGHT, ADMISSION) and key[1] == table]:
-            self.versions.pop(key)
-            self.lines.pop(key, None)
-
     def pick(self, place: int, without: set[str], now: float) -> str | None:
-        table = self.routes[place][0] if place in self.routes else -1
-        lines = self.tables.get(table) if table >= 0 else None
+        table = self.tables.routes[place].table if place in self.tables.routes else -1
+        lines = self.tables.weights.get(table) if table >= 0 else None
         if lines is None:
             table, lines = -1, self.standing
-        out = set(self.out.values())
+        out = self.tables.ejected_addresses
         usable = [(a, w) for a, w in lines.items() if a not in out and a not in without]
         near = [(a, w) for a, w in usable if self.avoids.get(a, 0.0) <= now] or usable
         if not near:
@@ -97,7 +58,7 @@
         return best
 
     def lets_in(self, place: int, now: float) -> bool:
-        route = self.routes.get(place)
+        route = self.tables.routes.get(place)
         if route is None:
             return True
         table, allowed, _ = route
@@ -114,7 +75,7 @@
                 return False
             bucket[1] -= 1.0
             return True
-        share = self.shares.get(table, {}).get(place, 1.0)
+        share = self.tables.admitted_shares.get(table, {}).get(place, 1.0)
         return share >= 1.0 or self.draw() < share
 
     # exchanges
@@ -138,7 +99,11 @@
             made.update(end=now, outcome="failed" if made["tries"] else "bare")
             self.came.setdefault(place, [0, 0])[1] += 1
             return
-        mode = self.routes[place][2] if place in self.routes else day.fleet.proxies.default_retry_policy
+        mode = (
+            self.tables.routes[place].retry_policy
+            if place in self.tables.routes
+            else day.fleet.proxies.default_retry_policy
+        )
         more = 2 if mode == 3 else 1 if mode else 0
         until = made["at"] + kind.deadline_ms
         again = turn < more
--- a/quillstep/replay/sweep.py
+++ b/quillstep/replay/sweep.py
@@ -1,8 +1,8 @@
-"""Several values of a setting over one captured day, on all cores; each replay is a process's own."""
+"""Several values of one setting over one recorded scenario, on all cores; each replay runs in a worker process."""
 
 import multiprocessing
 from concurrent.futures import ProcessPoolExecutor
-from typing import Any
+from typing import Any, NamedTuple
 
 from quillstep.config.loading import changed
 from quillstep.replay.inference import InferredEndpoints
@@ -10,28 +10,51 @@
 from quillstep.replay.whatif import learn, play
 
 
-def one(
-    book: RecordedScenario, inferred: InferredEndpoints, change: dict[str, Any], seed: int
-) -> tuple[float, int, str]:
-    found = play(book, inferred, change, seed)
-    return found["service"]["service"], len(found["breaks"]), found["digest"]
+class ReplayResult(NamedTuple):
+    """What one replay came to: service quality, violations of the rules, a hash over all requests."""
 
+    service: float
+    violations: int
+    digest: str
 
-def run(book: RecordedScenario, changes: list[dict[str, Any]], seeds: int) -> list[dict[str, Any]]:
-    """A row a change, with the mean and the noise over seeds.  Raises `ConfigError` where a change does not check."""
+
+def run(scenario: RecordedScenario, changes: list[dict[str, Any]], seeds: int) -> list[dict[str, Any]]:
+    """Replays a scenario with each change of settings and each seed.
+
+    Args:
+        scenario: The recorded scenario.
+        changes: Values by path in a controller's settings.
+        seeds: The number of replays of each change.
+
+    Returns:
+        A row for each change, with the mean and the noise (the standard deviation) of service over the seeds.
+
+    Raises:
+        ConfigError: A change is not valid.
+    """
     for change in changes:
-        changed(book.incarnations[0].settings, change)
-    inferred, _ = learn(book)
+        changed(scenario.incarnations[0].settings, change)
+    inferred, _ = learn(scenario)
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
-        played = [[pool.submit(one, book, inferred, change, seed) for seed in range(seeds)] for change in changes]
-        rows = []
-        for change, futures in zip(changes, played, strict=True):
-            found = [future.result() for future in futures]
-            services = [row[0] for row in found]
-            mean = sum(services) / len(services)
-            noise = (sum((each - mean) ** 2 for each in services) / max(1, len(services) - 1)) ** 0.5
-            rows.append({
-                "value": next(iter(change.values())), "service": round(mean, 4), "noise": round(noise, 4),
-                "rules_broken": max(row[1] for row in found), "digests": [row[2] for row in found],
-            })  # fmt: skip
-        return rows
+        futures = [
+            [pool.submit(_replay, scenario, inferred, change, seed) for seed in range(seeds)] for change in changes
+        ]
+        return [
+            _summarize(change, [future.result() for future in submitted])
+            for change, submitted in zip(changes, futures, strict=True)
+        ]
+
+
+def _replay(scenario: RecordedScenario, inferred: InferredEndpoints, change: dict[str, Any], seed: int) -> ReplayResult:
+    result = play(scenario, inferred, change, seed)
+    return ReplayResult(result["service"]["service"], len(result["breaks"]), result["digest"])
+
+
+def _summarize(change: dict[str, Any], results: list[ReplayResult]) -> dict[str, Any]:
+    services = [result.service for result in results]
+    mean = sum(services) / len(services)
+    noise = (sum((service - mean) ** 2 for service in services) / max(1, len(services) - 1)) ** 0.5
+    return {
+        "value": next(iter(change.values())), "service": round(mean, 4), "noise": round(noise, 4),
+        "rules_broken": max(result.violations for result in results), "digests": [result.digest for result in results],
+    }  # fmt: skip
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -58,7 +58,7 @@
 
     def arrive(self, number: int, ledger: Any, proxy: Proxy, nonce: str, changes: list) -> None:
         if self.pilot.core.tables.proxies.get(number) is ledger:
-            proxy.apply(changes)
+            proxy.tables.apply(changes)
 
     def word(self, number: int, ledger: Any, nonce: str) -> None:
         tables = self.pilot.core.tables
@@ -134,7 +134,7 @@
         if proxy is None:
             return
         self.core.now_ms = self.day.clock.now_ms
-        number = self.core.join(name, proxy.zone, proxy.usual, proxy.versions, is_fresh, self.decider.fronts[0])
+        number = self.core.join(name, proxy.zone, proxy.usual, proxy.tables.versions, is_fresh, self.decider.fronts[0])
         self.joined[number] = proxy
         self.core.tables.subscribe(number, [(LISTENER,)], False)
         self.poke()
