--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -19,7 +19,7 @@
 from quillstep.files.disk import Disk
 from quillstep.files.events import FileEvent
 from quillstep.files.proxy_generations import PendingGeneration
-from quillstep.recording import Header, Record, record_of
+from quillstep.recording import Header, Record, recorded_settings
 from quillstep.xds.server import Peer, Server
 
 MAX_LISTED_EVENTS = 12
@@ -101,11 +101,11 @@
     """
 
     def __init__(self, header: Header, settings: ControllerSettings | None = None) -> None:
-        self.settings = settings or record_of(header)
+        self.settings = settings or recorded_settings(header)
         self._loop = DecisionLoop(self.settings, header.epoch, self._count_sent, _reject_file_event, ReplayedDisk())
         self._loop.streams.server = ReplayedServer()
         self._core = self._loop.core
-        self._core.orders = []
+        self._core.recorded_output = []
         self._peers: dict[int, ReplayedPeer] = {}
         self._full_peers: list[int] = []
         self._decoder = EventDecoder(self._peer, self._take_generation)
@@ -144,8 +144,11 @@
     def _run_interval(self, now_ms: float, full_peers: list[int]) -> None:
         self._update_full_peers(full_peers)
         self._loop.turn(now_ms)
-        self._core.probes, self._core.moves, self._core.asked, self._core.granted = [], [], [], []
-        self._core.versions.clear()
+        self._core.health_check_requests = []
+        self._core.reports.membership_changes = []
+        self._core.reports.requests = []
+        self._core.operations.completed = []
+        self._core.new_versions.clear()
         self._collect_pending_generations()
 
     def _update_full_peers(self, full_peers: list[int]) -> None:
@@ -165,12 +168,12 @@
 
     def _compare_output(self, at_ms: float, interval: int, recorded: list[list[Any]]) -> None:
         """Compares the planner's output in a control interval with the recorded one."""
-        output = self._core.orders or []
-        self._hash.update(msgspec.msgpack.encode([self._core.rounds, output]))
-        self._outcome.intervals = self._core.rounds
+        output = self._core.recorded_output or []
+        self._hash.update(msgspec.msgpack.encode([self._core.completed_intervals, output]))
+        self._outcome.intervals = self._core.completed_intervals
         replayed = _as_recorded(output)
-        if self._core.rounds != interval:
-            self._set_difference(at_ms, interval, f"round {interval}", f"round {self._core.rounds}")
+        if self._core.completed_intervals != interval:
+            self._set_difference(at_ms, interval, f"round {interval}", f"round {self._core.completed_intervals}")
         elif replayed != recorded:
             place = _first_difference(replayed, recorded)
             self._set_difference(at_ms, interval, _item_at(recorded, place), _item_at(replayed, place))
--- a/quillstep/replay/recorded_scenario.py
+++ b/quillstep/replay/recorded_scenario.py
@@ -15,7 +15,7 @@
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.planner.messages import EndpointEntry
-from quillstep.recording import Incarnation, Record, lives, read_life, record_of
+from quillstep.recording import Incarnation, Record, read_incarnations, read_records, recorded_settings
 from quillstep.xds.server import LOAD
 
 MAX_CLOCK_DIFFERENCE_MS = 50.0  # Clocks that differ by no more count as one.
@@ -93,7 +93,7 @@
         CorruptBlockError: A recording is damaged.
     """
     fleet = msgspec.json.decode((folder / "fleet.json").read_bytes())
-    recorded = [incarnation for path in sorted(folder.glob("capture-*")) for incarnation in lives(path)]
+    recorded = [incarnation for path in sorted(folder.glob("capture-*")) for incarnation in read_incarnations(path)]
     if not recorded:
         raise FileNotFoundError(f"{folder} holds no capture")
     first_offset_ms = recorded[0].header.wall_offset_ms
@@ -157,7 +157,7 @@
         CorruptBlockError: The recording is damaged.
     """
     reader = _IncarnationReader(incarnation, shift_ms)
-    for record in read_life(incarnation):
+    for record in read_records(incarnation):
         reader.read(record)
     return reader.incarnation
 
@@ -168,7 +168,7 @@
     def __init__(self, recorded: Incarnation, shift_ms: float) -> None:
         self.incarnation = ControllerIncarnation(
             recorded.header.epoch,
-            record_of(recorded.header),
+            recorded_settings(recorded.header),
             recorded.first_ms + shift_ms,
             recorded.last_ms + shift_ms,
         )
--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -26,7 +26,7 @@
 from quillstep.platform.protocol.codec import MessageCodec
 from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
 from quillstep.platform.protocol.updates import ProtocolOutput
-from quillstep.recording import lives, read_life
+from quillstep.recording import read_incarnations, read_records
 from quillstep.routing.resources import make_resource
 from quillstep.simulator import decode
 from quillstep.simulator.host import Host
@@ -267,10 +267,10 @@
     def __init__(self, pilot, name, zone, lines):
         self.pilot, self.lines, self.name = pilot, lines, name
         core = pilot.core
-        self.stream = SotwStream(core.tables, pilot.encoder, core.record.limits, "e", core.ordered_ms)
+        self.stream = SotwStream(core.tables, pilot.encoder, core.settings.limits, "e", core.ordered_ms)
         request = discovery_pb2.DiscoveryRequest(type_url=CDS)
         request.node.id = name
-        self.stream.proxy = core.join(name, zone, 5.0, self.stream.initial_versions(request), True)
+        self.stream.proxy = core.add_proxy(name, zone, 5.0, self.stream.initial_versions(request), True)
         for url, names in ((CDS, ()), (EDS, ("table-0",)), (LDS, ()), (RDS, ("exchanges",))):
             self.stream.handle_request(discovery_pb2.DiscoveryRequest(type_url=url, resource_names=names), pilot.now)
 
@@ -374,4 +374,8 @@
 
 def capture_records(folder):
     """All records of the lives in a folder: the life, and each record as bytes of MessagePack."""
-    return [(life.header.epoch, msgspec.msgpack.encode(record)) for life in lives(folder) for record in read_life(life)]
+    return [
+        (life.header.epoch, msgspec.msgpack.encode(record))
+        for life in read_incarnations(folder)
+        for record in read_records(life)
+    ]
--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -17,7 +17,7 @@
 from quillstep.bench.load_reports import measure
 from quillstep.config.controller import LoadReportSettings
 from quillstep.invariants import check_invariants, longest_queue
-from quillstep.recording import lives, read_life
+from quillstep.recording import read_incarnations, read_records
 from quillstep.replay.faithful import Replay
 from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.plan import Step, plan_scenario
@@ -38,14 +38,14 @@
     for number in range(1, 30):
         for proxy in proxies:
             row = load_report(number, [endpoint_row(1 + chance.randrange(6))], end_ms=pilot.now, sent_ms=pilot.now)
-            pilot.core.told(proxy.number, row)
+            pilot.core.add_load_report(proxy.number, row)
     began = pilot.now
     pilot.roster("partial", [3], "terminating")
     while not any("withdrawn/3" in name for proxy in proxies for _, names, _ in proxy.log for name in names):
         pilot.run(10.0)
         assert pilot.now - began < 200.0
     pilot.run(500.0)
-    assert pilot.core.intake.totals["reports"] > 0
+    assert pilot.core.reports.collector.totals["reports"] > 0
 
 
 def test_the_simulators_adapter_imports_no_readers():
@@ -96,13 +96,13 @@
     assert check_invariants(evidence) == [] and longest_queue(evidence) <= day.fleet.channel.max_queued_lines
     log = (arm.folder / "pilot-0.log").read_text()
     assert log.count("report reader ended") == len(listen)
-    (life,) = lives(arm.folder / "capture-0")
-    heard = [row for record in read_life(life) if record[0] == "reports" for row in record[4]["heard"]]
+    (life,) = read_incarnations(arm.folder / "capture-0")
+    heard = [row for record in read_records(life) if record[0] == "reports" for row in record[4]["heard"]]
     assert {row[0] for row in heard} == set(range(12))
     tried = sum(len(row["tries"]) for row in evidence.requests)
-    counted = sum(row[2] + row[3] for r in read_life(life) if r[0] == "reports" for row in r[4]["sums"])
+    counted = sum(row[2] + row[3] for r in read_records(life) if r[0] == "reports" for row in r[4]["sums"])
     assert 0.5 * tried < counted < 1.1 * tried  # nothing twice; old sums weigh less, a killed reader's last are lost
-    assert Replay(life.header).play(read_life(life)).is_identical
+    assert Replay(life.header).play(read_records(life)).is_identical
 
 
 @pytest.mark.parametrize(
