--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -88,12 +88,12 @@
     return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], 1) if ordered else 0.0
 
 
-def last_word(arm: Arm) -> dict[str, Any]:
-    """What the pilot said last of reports and rounds."""
+def last_status(arm: Arm, event: str = "status") -> dict[str, Any]:
+    """The fields of the first controller's last log line of an event; nothing where there is none."""
     found: dict[str, Any] = {}
     for line in (arm.folder / "pilot-0.log").read_text().splitlines():
-        if '"reports read"' in line:
-            found = json.loads(line)
+        if f'"{event}"' in line and (row := json.loads(line))["event"] == event:
+            found = row
     return found
 
 
@@ -105,16 +105,16 @@
     arm = play_arm(day, folder / f"{proxies}-{way}")
     evidence = arm.evidence()
     loud, quiet, loud_last, quiet_last = acknowledged(evidence, arm.begin_ms)
-    word = last_word(arm)
+    status = last_status(arm)
     breaks = check_invariants(evidence)
     seconds = SPAN_S * spans
-    cpu = word.get("cpu_s", {})
+    cpu = status.get("cpu_s", {})
     readers = {name: sum(parts.values()) for name, parts in cpu.items() if isinstance(parts, dict)}
     limit = day.fleet.channel.max_queued_lines
     row = {
         "proxies": proxies, "by": way, "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
-        "reports_per_s": round(word.get("reports", 0) / (seconds / 2.0 + day.warm_up_s), 1),
-        "groups": word.get("groups", 1), "times": word.get("times", 1),
+        "reports_per_s": round(status.get("reports", 0) / (seconds / 2.0 + day.warm_up_s), 1),
+        "groups": status.get("groups", 1), "times": status.get("times", 1),
         "rules_broken": len(breaks), "breaks": [found.to_row() for found in breaks[:5]],
         "service": service_quality(day.fleet, evidence.requests)["service"],
         "drains": len(loud_last) + len(quiet_last),
@@ -126,7 +126,7 @@
     row["ratio_last_ack"] = round(part(loud_last, 0.5) / max(1.0, part(quiet_last, 0.5)), 2)
     row["ratio_p99"] = round(part(loud, 0.99) / max(1.0, part(quiet, 0.99)), 2)
     row["channel_of_limit"] = round(longest_queue(evidence) / limit, 3)
-    row["rounds_late_ms"] = list(word.get("rounds_late_ms", {}).values())
+    row["rounds_late_ms"] = list(status.get("late_ms", {}).values())
     row["deciding_cpu"] = round(cpu.get("deciding", 0.0) / arm.duration_s, 3)
     row["pilot_cpu"] = round(cpu.get("process", 0.0) / arm.duration_s, 3)
     row["readers_cpu"] = round(sum(readers.values()) / arm.duration_s, 3)
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -15,6 +15,7 @@
 
 from quillstep.bench.crash import kill_points
 from quillstep.bench.crash import run as run_kills
+from quillstep.bench.load_reports import last_status
 from quillstep.bench.results import machine_name
 from quillstep.bench.streams import scenario_of
 from quillstep.config.controller import StoreSettings
@@ -192,10 +193,7 @@
 
 def commits(arm: Arm) -> dict[str, Any]:
     """What the store's thread said last of its commits."""
-    found: dict[str, Any] = {}
-    for line in (arm.folder / "pilot-0.log").read_text().splitlines():
-        if '"store kept"' in line:
-            found = json.loads(line)
+    found = last_status(arm, "store status")
     return {key: found.get(key) for key in ("commits", "mean_ms", "worst_ms", "late")}
 
 
--- a/quillstep/controller/store_submission.py
+++ b/quillstep/controller/store_submission.py
@@ -1,4 +1,4 @@
-"""What the deciding thread submits to the store: versions, pins, outputs, and acknowledgements of proxies.  Without I/O."""
+"""What the deciding thread submits to the store: versions, pins, outputs, acknowledgements of proxies.  Without I/O."""
 
 import time
 from typing import Any
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -144,12 +144,10 @@
     def _run_interval(self, now_ms: float, full_peers: list[int]) -> None:
         self._update_full_peers(full_peers)
         self._loop.run_pass(now_ms)
-        (
-            self._core.health_check_requests,
-            self._core.reports.membership_changes,
-            self._core.reports.requests,
-            self._core.operations.completed,
-        ) = [], [], [], []
+        self._core.health_check_requests = []
+        self._core.reports.membership_changes = []
+        self._core.reports.requests = []
+        self._core.operations.completed = []
         self._core.new_versions.clear()
         self._collect_pending_generations()
 
