--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -4,7 +4,7 @@
 
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from quillstep.routing.ack_latency import IN_TIME, AckDelay
+from quillstep.routing.ack_latency import IN_TIME, LATE, LOST, STALLED, AckDelay
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.events import StreamEnded, StreamEvent, StreamOpened
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED, UNAVAILABLE
@@ -16,6 +16,7 @@
 
 MAINTENANCE_INTERVAL_MS = 500.0
 REDIALLED = "the proxy dialled anew"
+DELAY_EVENTS = {IN_TIME: "update in time", LATE: "update late", STALLED: "update stalled", LOST: "update lost"}
 
 DiscoveryStream = DeltaStream | SotwStream
 
@@ -190,4 +191,4 @@
         self.tap("verdict", now_ms, proxy=node, nonce=delay.nonce, kind=delay.status, waits=waiting_ms)
         log = self.log.info if delay.status == IN_TIME else self.log.warning
         reason = delay.reason or "it is answered in time again"
-        log("order " + delay.status, proxy=node, version=delay.nonce, waits_ms=waiting_ms, reason=reason)
+        log(DELAY_EVENTS[delay.status], proxy=node, version=delay.nonce, waits_ms=waiting_ms, reason=reason)
