--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -15,7 +15,7 @@
 from quillstep.recording import read_incarnations, read_records
 from quillstep.replay.faithful import Replay
 from quillstep.replay.recorded_scenario import read_recorded_scenario
-from quillstep.replay.whatif import learn, play
+from quillstep.replay.whatif import infer_from, play
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 
@@ -58,12 +58,12 @@
     """How near the day's own replay comes, on the whole, by class and in the worst second missed most."""
     book = read_recorded_scenario(folder)
     fleet = book.incarnations[0].settings.fleet
-    inferred, held_out = learn(book)
+    inferred, held_out = infer_from(book)
     measured = service_quality(fleet, book.requests)
     found = [play(book, inferred, {}, seed) for seed in range(3)]
-    replayed = sum(row["service"]["service"] for row in found) / len(found)
+    replayed = sum(row.service for row in found) / len(found)
     by_class = {
-        name: round(sum(row["service"]["by_class"][name] for row in found) / len(found) - part, 4)
+        name: round(sum(row.quality["by_class"][name] for row in found) / len(found) - part, 4)
         for name, part in measured["by_class"].items()
     }
     return {
@@ -90,7 +90,7 @@
                     faithful_s += time.process_time() - begun
                     span_s += outcome.span_ms / 1000.0
     book = read_recorded_scenario(folder)
-    inferred, _ = learn(book)
+    inferred, _ = infer_from(book)
     begun = time.process_time()
     one = play(book, inferred, {}, 1)
     whatif_s = time.process_time() - begun
@@ -100,8 +100,8 @@
         "day": f"{len(book.proxies)} proxies", "exchanges": len(book.requests),
         "faithful_identical": identical, "faithful_twice_alike": digests[0] == digests[1],
         "faithful_times_real": round(span_s / faithful_s, 1), "whatif_times_real": round(day_s / whatif_s, 1),
-        "whatif_twice_alike": one["digest"] == two["digest"], "measured": service_quality(
-            book.incarnations[0].settings.fleet, book.requests)["service"], "replayed": one["service"]["service"],
+        "whatif_twice_alike": one.digest == two.digest, "measured": service_quality(
+            book.incarnations[0].settings.fleet, book.requests)["service"], "replayed": one.service,
         "memory_MB": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0),
         "capture_kB_a_s": round(sum(f.stat().st_size for f in folder.glob("capture-*/*.qcap")) / 1000.0 / day_s, 1),
     }  # fmt: skip
--- a/quillstep/cli/replay.py
+++ b/quillstep/cli/replay.py
@@ -82,7 +82,7 @@
 
     FOLDER is one arm of a scenario played with recordings.  The last line of standard output is one JSON object.
     """
-    from quillstep.replay.whatif import compare as compare_settings
+    from quillstep.replay.comparison import compare as compare_settings
 
     day = _read_recorded_scenario(folder)
     try:
--- a/quillstep/replay/sweep.py
+++ b/quillstep/replay/sweep.py
@@ -5,9 +5,10 @@
 from typing import Any, NamedTuple
 
 from quillstep.config.loading import changed
+from quillstep.replay.comparison import mean, standard_deviation
 from quillstep.replay.inference import InferredEndpoints
 from quillstep.replay.recorded_scenario import RecordedScenario
-from quillstep.replay.whatif import learn, play
+from quillstep.replay.whatif import infer_from, play
 
 
 class ReplayResult(NamedTuple):
@@ -34,7 +35,7 @@
     """
     for change in changes:
         changed(scenario.incarnations[0].settings, change)
-    inferred, _ = learn(scenario)
+    inferred = infer_from(scenario).endpoints
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
         futures = [
             [pool.submit(_replay, scenario, inferred, change, seed) for seed in range(seeds)] for change in changes
@@ -46,15 +47,14 @@
 
 
 def _replay(scenario: RecordedScenario, inferred: InferredEndpoints, change: dict[str, Any], seed: int) -> ReplayResult:
-    result = play(scenario, inferred, change, seed)
-    return ReplayResult(result["service"]["service"], len(result["breaks"]), result["digest"])
+    outcome = play(scenario, inferred, change, seed)
+    return ReplayResult(outcome.service, len(outcome.violations), outcome.digest)
 
 
 def _summarize(change: dict[str, Any], results: list[ReplayResult]) -> dict[str, Any]:
     services = [result.service for result in results]
-    mean = sum(services) / len(services)
-    noise = (sum((service - mean) ** 2 for service in services) / max(1, len(services) - 1)) ** 0.5
+    noise = standard_deviation(services)
     return {
-        "value": next(iter(change.values())), "service": round(mean, 4), "noise": round(noise, 4),
+        "value": next(iter(change.values())), "service": round(mean(services), 4), "noise": round(noise, 4),
         "rules_broken": max(result.violations for result in results), "digests": [result.digest for result in results],
     }  # fmt: skip
--- a/tests/replay/test_whatif.py
+++ b/tests/replay/test_whatif.py
@@ -12,8 +12,9 @@
 from quillstep.config.errors import ConfigError
 from quillstep.config.loading import changed, parse_changes
 from quillstep.planner.messages import EndpointEntry
+from quillstep.replay.comparison import compare
 from quillstep.replay.inference import SPAN_MS, EndpointAttempt, ExpectedAttempt, estimate_condition, infer_endpoints
-from quillstep.replay.model import VirtualDay
+from quillstep.replay.modelled_scenario import ModelledScenario
 from quillstep.replay.recorded_scenario import (
     ControllerIncarnation,
     DiscoveryUpdate,
@@ -23,7 +24,7 @@
     clock_shift_ms,
     read_recorded_scenario,
 )
-from quillstep.replay.whatif import compare, learn, play
+from quillstep.replay.whatif import infer_from, play
 from quillstep.testbed.scenarios.runner import play_arm
 
 LOOKUP = CLASSES[0]
@@ -81,7 +82,7 @@
 
 
 def played(day, change=None, seed=1):
-    return play(day, learn(day)[0], change or {}, seed)
+    return play(day, infer_from(day).endpoints, change or {}, seed)
 
 
 @pytest.mark.parametrize(
@@ -120,8 +121,8 @@
 def test_a_quiet_day_replays_as_quiet_and_twice_alike():
     day = book()
     one, two, other = played(day), played(day), played(day, seed=2)
-    assert one["service"]["service"] > 0.99 and one["digest"] == two["digest"] != other["digest"]
-    assert one["breaks"] == [] and one["rounds"] > 10
+    assert one.service > 0.99 and one.digest == two.digest != other.digest
+    assert one.violations == [] and one.intervals > 10
 
 
 def test_the_shipped_scenario_replays_with_the_same_random_draws_as_before():
@@ -143,7 +144,7 @@
     assert found["measured"] < 0.96
     # The made-up day went round all endpoints, the pilot shuts the failing one out: it may do better, not worse.
     assert found["service"]["replayed"] >= found["measured"] - 0.02
-    failed = [row for row in played(day)["exchanges"] if row["outcome"] == "failed"]
+    failed = [row for row in played(day).requests if row["outcome"] == "failed"]
     assert failed and {row["tries"][0][0] for row in failed} == {ADDRESS[2]}
 
 
@@ -163,31 +164,31 @@
     late = [DiscoveryUpdate(6000.0, "partial", entries("terminating", [3]), {})]
     day = book(roster=late)
     sound = played(day)
-    assert sound["breaks"] == []
-    used = [row["at"] for row in sound["exchanges"] if any(t[0] == ADDRESS[3] for t in row["tries"])]
+    assert sound.violations == []
+    used = [row["at"] for row in sound.requests if any(t[0] == ADDRESS[3] for t in row["tries"])]
     assert [at for at in used if at > 5000.0] and max(used) < 7000.0  # used until the late word, no longer
     slow = played(day, {"fleet.channel.lines_per_s": 8.0, "fleet.channel.lines_waiting_most": 100.0})
-    assert {found.rule for found in slow["breaks"]} & {"drain", "queue"}
-    assert all(found.text for found in slow["breaks"])
+    assert {found.rule for found in slow.violations} & {"drain", "queue"}
+    assert all(found.text for found in slow.violations)
 
 
 def test_a_connection_limit_costs_what_it_turns_away():
     day = book(rate=400.0, seconds=6.0)
-    free = played(day)["service"]["service"]
+    free = played(day).service
     for row in day.endpoints.values():
         row["connections_most"] = 1
     tight = played(day)
-    assert tight["service"]["service"] < free
-    assert any(t[3] == "reset" for row in tight["exchanges"] for t in row["tries"])
+    assert tight.service < free
+    assert any(t[3] == "reset" for row in tight.requests for t in row["tries"])
 
 
 def test_keyed_repeats_are_dropped_within_their_window_and_run_after_it():
     keyed = CLASSES[0].model_copy(
         update={"semantics": "keyed", "idempotency_scope": "all", "idempotency_window_ms": 100.0}
     )
-    day = VirtualDay(fleet(), 0.0, 1)
-    assert [day.repeated(keyed, "x", at) for at in (0.0, 99.0, 101.0, 150.0)] == [False, True, False, True]
-    assert not day.repeated(LOOKUP, "x", 0.0) and not day.repeated(LOOKUP, "x", 1.0)
+    day = ModelledScenario(fleet(), 0.0)
+    assert [day.is_duplicate(keyed, "x", at) for at in (0.0, 99.0, 101.0, 150.0)] == [False, True, False, True]
+    assert not day.is_duplicate(LOOKUP, "x", 0.0) and not day.is_duplicate(LOOKUP, "x", 1.0)
 
 
 @pytest.mark.parametrize("jumble", ["twice", "out of order", "five seconds late"])
@@ -201,7 +202,7 @@
             ReportArrival(at + (1500.0 if k % 3 == 0 else 0.0), name, 1500.0 if k % 3 == 0 else 0.0)
             for k, (at, name, _) in enumerate(life.report_arrivals)
         ]
-    assert played(day)["service"]["service"] > 0.98
+    assert played(day).service > 0.98
 
 
 def test_a_pilot_that_died_in_the_middle_leaves_its_proxies_to_the_other():
@@ -212,7 +213,7 @@
     first.report_arrivals = [row for row in first.report_arrivals if row.at_ms < 5000.0]
     second.stream_changes += [StreamChange(5200.0, True, row.proxy, is_fresh=False) for row in first.stream_changes]
     found = played(day)
-    assert found["service"]["service"] > 0.98 and found["breaks"] == []
+    assert found.service > 0.98 and found.violations == []
 
 
 @pytest.mark.parametrize(("offset", "shift"), [(1000.0, 0.0), (1030.0, 0.0), (91000.0, 90000.0), (-5000.0, -6000.0)])
