--- a/quillstep/bench/charts.py
+++ b/quillstep/bench/charts.py
@@ -8,16 +8,17 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402 (the backend must be chosen first)
 
-WORST_S = 5
+WORST_S = 5  # the length of the span that is marked
+SHOWN_DPI = 110
 
 
-def service_over_time(found: dict[str, Any], path: Path) -> None:
-    """Service second by second: measured, replayed, changed; the worst five seconds of the changed day marked."""
+def service_over_time(comparison: dict[str, Any], path: Path) -> None:
+    """Draws service second by second: measured, replayed, changed, with the worst span of the last marked."""
     figure, axes = pyplot.subplots(figsize=(9.0, 4.0))
     for name, style in (("measured", "k-"), ("replayed", "b--"), ("changed", "r-")):
-        if name != "changed" or found["change"]:
-            axes.plot(found["windows"][name], style, label=name, linewidth=1.2)
-    rows = found["windows"]["changed" if found["change"] else "replayed"]
+        if name != "changed" or comparison["change"]:
+            axes.plot(comparison["windows"][name], style, label=name, linewidth=1.2)
+    rows = comparison["windows"]["changed" if comparison["change"] else "replayed"]
     if len(rows) >= WORST_S:
         spans = [(sum(rows[at : at + WORST_S]), at) for at in range(len(rows) - WORST_S + 1)]
         worst = min(spans)[1]
@@ -25,49 +26,53 @@
     axes.set_xlabel("s")
     axes.set_ylabel("service")
     axes.set_ylim(0.0, 1.02)
-    changed = ", ".join(f"{path}={value}" for path, value in found["change"].items()) or "no change"
-    axes.set_title(f"{changed}: {found['service']['replayed']:.3f} to {found['service']['changed']:.3f} (replayed)")
+    changed = ", ".join(f"{path}={value}" for path, value in comparison["change"].items()) or "no change"
+    axes.set_title(
+        f"{changed}: {comparison['service']['replayed']:.3f} to {comparison['service']['changed']:.3f} (replayed)"
+    )
     axes.legend(loc="lower left")
     figure.tight_layout()
-    figure.savefig(path, dpi=110)
+    figure.savefig(path, dpi=SHOWN_DPI)
     pyplot.close(figure)
 
 
 def sweep(rows: list[dict[str, Any]], setting: str, path: Path) -> None:
-    """Service against the values of one setting, with the noise over seeds."""
+    """Draws service against the values of one setting, with the noise over seeds."""
     figure, axes = pyplot.subplots(figsize=(7.0, 4.0))
     values = [str(row["value"]) for row in rows]
     axes.errorbar(values, [row["service"] for row in rows], yerr=[row["noise"] for row in rows], marker="o", capsize=4)
     axes.set_xlabel(setting)
     axes.set_ylabel("service (replayed)")
     figure.tight_layout()
-    figure.savefig(path, dpi=110)
+    figure.savefig(path, dpi=SHOWN_DPI)
     pyplot.close(figure)
 
 
 def reports(rows: list[dict[str, Any]], path: Path) -> None:
-    """By size and way of reading: the median time to a drain's last acknowledgement, with the load of reports and
-    without, and the processor time of pilot and readers."""
-    figure, (drains, work) = pyplot.subplots(1, 2, figsize=(11.0, 4.2))
+    """Draws, by size and reader, the time to the last acknowledgement of a drain and the processor time.
+
+    The time is the median, with and without load reports; the processor time is that of the controller and its readers.
+    """
+    figure, (drains, cpu) = pyplot.subplots(1, 2, figsize=(11.0, 4.2))
     names = [f"{row['proxies']}\n{row['by']}" for row in rows]
-    places = range(len(rows))
-    for shift, kind, colour in ((-0.2, "with", "tab:red"), (0.2, "without", "tab:blue")):
-        drains.bar([at + shift for at in places], [row[f"last_ack_ms_{kind}"][0] for row in rows], 0.4,
-                   color=colour, label=f"{kind} reports")  # fmt: skip
+    positions = range(len(rows))
+    for offset, arm, color in ((-0.2, "with", "tab:red"), (0.2, "without", "tab:blue")):
+        drains.bar([at + offset for at in positions], [row[f"last_ack_ms_{arm}"][0] for row in rows], 0.4,
+                   color=color, label=f"{arm} reports")  # fmt: skip
     for at, row in enumerate(rows):
         if row["rules_broken"]:
             drains.text(at, row["last_ack_ms_with"][0], f"{row['rules_broken']}\nbroken", ha="center", fontsize=7)
     drains.set_yscale("log")
     drains.set_ylabel("ms to a drain's last acknowledgement")
     drains.legend()
-    own = [row["pilot_cpu"] - (0.0 if row["by"] == "processes" else row["readers_cpu"]) for row in rows]
-    work.bar(places, own, color="tab:gray", label="pilot without reading")
-    work.bar(places, [row["readers_cpu"] for row in rows], bottom=own, color="tab:orange", label="reading")
-    work.set_ylabel("cores")
-    work.legend()
-    for axes in (drains, work):
-        axes.set_xticks(list(places), names, fontsize=7, rotation=45)
+    controller_cpu = [row["pilot_cpu"] - (0.0 if row["by"] == "processes" else row["readers_cpu"]) for row in rows]
+    cpu.bar(positions, controller_cpu, color="tab:gray", label="controller without reading")
+    cpu.bar(positions, [row["readers_cpu"] for row in rows], bottom=controller_cpu, color="tab:orange", label="reading")
+    cpu.set_ylabel("cores")
+    cpu.legend()
+    for axes in (drains, cpu):
+        axes.set_xticks(list(positions), names, fontsize=7, rotation=45)
     figure.suptitle("Loopback, 92 endpoints, reports of 92 rows once a second a proxy")
     figure.tight_layout()
-    figure.savefig(path, dpi=110)
+    figure.savefig(path, dpi=SHOWN_DPI)
     pyplot.close(figure)
--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -1,13 +1,13 @@
 """Both fronts side by side, and whole tables sent again as the baseline of each, on loopback.
 
 Arms: `streams` (deltas), `files` (shards linked), `streams whole` (state of the world: a changed line sends its
-table), `files whole` (a table is one file).  Each is a played day at one size with the same script.
+table), `files whole` (a table is one file).  Each is a played scenario at one size with the same requests.
 """
 
 import statistics
 from collections import defaultdict
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from quillstep.bench.results import acknowledgement_times, machine_name
 from quillstep.bench.streams import scenario_of
@@ -24,66 +24,87 @@
 }
 
 
-def answered(evidence: Evidence) -> dict[tuple[str, int], list[tuple[float, float]]]:
-    """For each pilot's life and order: when it was ordered and when each proxy's acknowledgement came."""
-    acks = acknowledgement_times(evidence)
-    found: dict[tuple[str, int], list[tuple[float, float]]] = defaultdict(list)
+class AcknowledgedUpdate(NamedTuple):
+    """One proxy's acknowledgement of a revision; milliseconds."""
+
+    ordered_ms: float  # when the planner decided on the revision
+    acknowledged_ms: float
+
+
+class RevisionKey(NamedTuple):
+    """A revision of one incarnation of a controller."""
+
+    incarnation: str
+    revision: int
+
+
+def acknowledged_updates(evidence: Evidence) -> dict[RevisionKey, list[AcknowledgedUpdate]]:
+    """The acknowledged updates of each revision."""
+    acknowledged_ms = acknowledgement_times(evidence)
+    updates: dict[RevisionKey, list[AcknowledgedUpdate]] = defaultdict(list)
     for row in evidence.channel_rows:
-        if row["what"] == "send" and (row["proxy"], row["nonce"]) in acks:
-            life = row["nonce"].rpartition(".")[0]
-            found[life, row["order"]].append((row["ordered"], acks[row["proxy"], row["nonce"]]))
-    return found
+        if row["what"] == "send" and (row["proxy"], row["nonce"]) in acknowledged_ms:
+            key = RevisionKey(row["nonce"].rpartition(".")[0], row["order"])
+            update = AcknowledgedUpdate(row["ordered"], acknowledged_ms[row["proxy"], row["nonce"]])
+            updates[key].append(update)
+    return updates
 
 
 def drain_times(evidence: Evidence) -> list[float]:
-    """Milliseconds from the roster's word of a drain to the last acknowledgement of the order that followed it."""
-    orders = answered(evidence)
-    found = []
-    for told in evidence.discovery_updates:
-        if told["state"] != "terminating":
+    """Milliseconds from each drain's notification to the last acknowledgement of the revision that followed it."""
+    updates_by_revision = acknowledged_updates(evidence)
+    drains_ms = []
+    for notified in evidence.discovery_updates:
+        if notified["state"] != "terminating":
             continue
-        after = [
-            rows
-            for (life, _), rows in orders.items()
-            if life.rpartition("-")[0] == told["pilot"] and rows[0][0] >= told["at"]
+        controller = notified["pilot"]
+        later = [
+            updates
+            for key, updates in updates_by_revision.items()
+            if key.incarnation.rpartition("-")[0] == controller and updates[0].ordered_ms >= notified["at"]
         ]
-        if after:
-            first = min(after, key=lambda rows: rows[0][0])
-            found.append(max(at for _, at in first) - told["at"])
-    return found
+        if later:
+            first = min(later, key=lambda updates: updates[0].ordered_ms)
+            drains_ms.append(max(update.acknowledged_ms for update in first) - notified["at"])
+    return drains_ms
 
 
-def turn_ms(evidence: Evidence, proxies: int) -> float:
-    """The median time from an order that reaches most proxies to its last acknowledgement."""
-    spans = [max(at for _, at in rows) - rows[0][0] for rows in answered(evidence).values() if len(rows) * 2 > proxies]
-    return round(statistics.median(spans), 1) if spans else 0.0
+def median_update_time(evidence: Evidence, proxies: int) -> float:
+    """The median time from a revision that reaches most proxies to its last acknowledgement, milliseconds."""
+    times_ms = [
+        max(update.acknowledged_ms for update in updates) - updates[0].ordered_ms
+        for updates in acknowledged_updates(evidence).values()
+        if len(updates) * 2 > proxies
+    ]
+    return round(statistics.median(times_ms), 1) if times_ms else 0.0
 
 
-def measure(name: str, proxies: int, exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
-    """One arm at one size."""
-    base = scenario_of(proxies, exchanges_per_s, seconds, 1).model_dump()
-    day = ScenarioSettings.model_validate({**base, **ARMS[name], "name": f"{name} {proxies}"})
-    arm = play_arm(day, folder / f"{name.replace(' ', '-')}-{proxies}")
+def measure(name: str, proxies: int, requests_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
+    """Plays one arm at one size."""
+    base = scenario_of(proxies, requests_per_s, seconds, 1).model_dump()
+    scenario = ScenarioSettings.model_validate({**base, **ARMS[name], "name": f"{name} {proxies}"})
+    arm = play_arm(scenario, folder / f"{name.replace(' ', '-')}-{proxies}")
     evidence = arm.evidence()
-    # Joins apart from the rest.
+    # Without what proxies were sent when they joined.
     sent = [row for row in evidence.channel_rows if row["what"] == "send" and row["at"] >= arm.begin_ms]
     lines = sum(row["lines"] for row in sent)
-    carried = sum(row["bytes"] for row in sent)
-    drains = drain_times(evidence)
+    size = sum(row["bytes"] for row in sent)
+    drains_ms = drain_times(evidence)
     return {
         "arm": name, "proxies": proxies, "rules_broken": len(check_invariants(evidence)),
-        "service": service_quality(day.fleet, evidence.requests)["service"],
-        "writes": len(sent), "lines": lines, "bytes": carried, "bytes_a_line": round(carried / max(1, lines), 1),
-        "drain_to_last_ack_ms": round(max(drains, default=0.0), 1), "turn_to_last_ack_ms": turn_ms(evidence, proxies),
+        "service": service_quality(scenario.fleet, evidence.requests)["service"],
+        "writes": len(sent), "lines": lines, "bytes": size, "bytes_a_line": round(size / max(1, lines), 1),
+        "drain_to_last_ack_ms": round(max(drains_ms, default=0.0), 1),
+        "turn_to_last_ack_ms": median_update_time(evidence, proxies),
         "pilot_cpu_of_a_core": round(arm.controller_cpu_s / arm.duration_s, 3), "stolen": round(arm.stolen_share, 3),
         "longest_channel": round(longest_queue(evidence), 1),
     }  # fmt: skip
 
 
-def run(sizes: list[int], exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
-    """All arms at all sizes; traffic in proportion to the largest."""
-    most = max(sizes)
-    rows = [measure(name, size, exchanges_per_s * size / most, seconds, folder) for size in sizes for name in ARMS]
+def run(sizes: list[int], requests_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
+    """Plays all arms at all sizes; traffic is in proportion to the largest."""
+    largest = max(sizes)
+    rows = [measure(name, size, requests_per_s * size / largest, seconds, folder) for size in sizes for name in ARMS]
     return {
         "bench": "fronts",
         "machine": machine_name(),
--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -1,15 +1,15 @@
-"""Load reports at scale: drains with and without the report load in one run, and what reading costs; on loopback.
+"""Load reports at scale: drains with and without many reports in one run, and what reading costs; on loopback.
 
-Each size and way of reading is one played day.  In its first half the proxies' reports are heavy in every other span:
-all of them tell of all endpoints once a period; in the other spans they send none.  The drains fall into both kinds of
-spans in turn.  Rules, channel, rounds and acknowledgements are read from the sockets' record and the pilot's own log.
+Each size and reader is one played scenario.  In every other span all proxies report on all endpoints once a period; in
+the other spans they send no reports.  Drains fall into both kinds of spans in turn.  Figures come from the sockets'
+record and from the controller's log.
 """
 
 import json
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
-from quillstep.bench.results import acknowledgement_times, machine_name
+from quillstep.bench.results import MAX_KEPT_VIOLATIONS, acknowledgement_times, ejected_endpoints, machine_name
 from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, scenario_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
@@ -17,128 +17,176 @@
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 
-SPAN_S = 8.0  # of reports, then of none
-LINES_A_PROXY = 15.0  # lines a second of channel for each proxy, as the fleet of 262 has them
-DRAINS_A_SPAN = 3
-WAYS = {
-    "inbox": {"by": "inbox"},
-    "thread": {"by": "thread"},
-    "processes": {"by": "processes"},
-}
+SPAN_S = 8.0  # with reports, then without
+LINES_PER_S_AND_PROXY = 15.0  # of the update channel, as a fleet of 262 proxies has them
+MIN_LINES_PER_S = 3900.0
+DRAINS_PER_SPAN = 3
+DRAIN_S = 4.0
 
 
-def scaled_day(proxies: int, way: str, exchanges_per_s: float, spans: int, more: dict[str, Any]) -> ScenarioSettings:
-    """Spans with and without reports in turn, drains in each; the channel grows with the fleet."""
+def scaled_scenario(
+    proxies: int, reader: str, requests_per_s: float, spans: int, settings: dict[str, Any]
+) -> ScenarioSettings:
+    """Spans with and without reports in turn, with drains in each; the update channel grows with the fleet."""
     seconds = SPAN_S * spans
-    base = scenario_of(proxies, exchanges_per_s, seconds, 1).model_dump()
+    base = scenario_of(proxies, requests_per_s, seconds, 1).model_dump()
     base["troubles"] = [
         {
-            "at_s": SPAN_S * span + 1.0 + at * (SPAN_S - 3.5) / DRAINS_A_SPAN,
-            "for_s": 4.0,
+            "at_s": SPAN_S * span + 1.0 + index * (SPAN_S - 3.5) / DRAINS_PER_SPAN,
+            "for_s": DRAIN_S,
             "what": "drain",
             "count": 1,
         }
         for span in range(spans)
-        for at in range(DRAINS_A_SPAN)
+        for index in range(DRAINS_PER_SPAN)
     ]
     for span in range(spans):
-        what = "reports_cut" if span % 2 else "reports_heavy"
-        base["troubles"].append({"at_s": SPAN_S * span, "for_s": SPAN_S, "what": what, "count": proxies})
-    lines = max(3900.0, LINES_A_PROXY * proxies)
-    base["fleet"]["channel"].update(lines_per_s=lines, lines_waiting_most=lines * 1.8)
+        fault = "reports_cut" if span % 2 else "reports_heavy"
+        base["troubles"].append({"at_s": SPAN_S * span, "for_s": SPAN_S, "what": fault, "count": proxies})
+    lines_per_s = max(MIN_LINES_PER_S, LINES_PER_S_AND_PROXY * proxies)
+    base["fleet"]["channel"].update(lines_per_s=lines_per_s, lines_waiting_most=lines_per_s * 1.8)
     base["limits"].update(connections_most=max(2048, 2 * proxies), news_most=max(4096, 4 * proxies))
     base["proxy_processes"] = max(1, min(4, proxies // 32))
     base["warm_up_s"] = 6.0 + proxies / 60.0
-    base["reports"] = {**WAYS[way], **more}
-    if way == "processes":
+    base["reports"] = {"by": reader, **settings}
+    if reader == "processes":
         base["reports"]["listen"] = ["127.0.0.1:0"] * max(1, round(proxies / 500.0))
-    return ScenarioSettings.model_validate({**base, "name": f"{proxies} by {way}"})
+    return ScenarioSettings.model_validate({**base, "name": f"{proxies} by {reader}"})
 
 
-def acknowledged(evidence: Evidence, begin_ms: float) -> tuple[list[float], list[float], list[float], list[float]]:
-    """Milliseconds from the roster's word of a drain to each proxy's acknowledgement, and to the last of each drain:
-    with reports, without."""
-    acks = acknowledgement_times(evidence)
-    each: tuple[list[float], list[float]] = ([], [])
-    last: tuple[list[float], list[float]] = ([], [])
-    drains = {
+class DrainTimes(NamedTuple):
+    """Milliseconds from the notification of a drain to acknowledgements.
+
+    Attributes:
+        each: To each proxy's acknowledgement.
+        last: To the last acknowledgement of each drain.
+    """
+
+    each: list[float]
+    last: list[float]
+
+
+class DrainTimesBySpan(NamedTuple):
+    """Drain times of the spans with load reports, and of those without."""
+
+    with_reports: DrainTimes
+    without_reports: DrainTimes
+
+
+def drain_times(evidence: Evidence, begin_ms: float) -> DrainTimesBySpan:
+    """Reads the times of all drains from the sockets' record.
+
+    A drain that ends and begins again is notified once more; the first update to each proxy counts.
+    """
+    drained_ms = {
         str(row["endpoint"]): row["at"]
         for row in evidence.discovery_updates
         if row["state"] == "terminating" and row["at"] >= begin_ms
     }
-    times: dict[str, list[float]] = {name: [] for name in drains}
+    times_ms = _times_by_endpoint(evidence, drained_ms)
+    by_span = DrainTimesBySpan(DrainTimes([], []), DrainTimes([], []))
+    for endpoint, notified_ms in drained_ms.items():
+        if times_ms[endpoint]:
+            times = by_span[int((notified_ms - begin_ms) / 1000.0 / SPAN_S) % 2]
+            times.each.extend(times_ms[endpoint])
+            times.last.append(max(times_ms[endpoint]))
+    return by_span
+
+
+def _times_by_endpoint(evidence: Evidence, drained_ms: dict[str, float]) -> dict[str, list[float]]:
+    acknowledged_ms = acknowledgement_times(evidence)
+    times_ms: dict[str, list[float]] = {endpoint: [] for endpoint in drained_ms}
     for row in evidence.applied_updates:
-        for name, _ in row["changed"]:
-            if "/withdrawn/" in name:
-                number = name.rpartition("/")[2]
-                at = acks.get((row["proxy"], row["nonce"]))
-                if number in drains and at is not None and at >= drains[number]:
-                    times[number].append(at - drains[number])
-    for number, told in drains.items():
-        quiet = int((told - begin_ms) / 1000.0 / SPAN_S) % 2
-        # A drain that comes back and goes again tells of itself once more; the first word to each proxy counts.
-        if times[number]:
-            each[quiet].extend(times[number])
-            last[quiet].append(max(times[number]))
-    return *each, *last
-
-
-def part(values: list[float], share: float) -> float:
+        at_ms = acknowledged_ms.get((row["proxy"], row["nonce"]))
+        if at_ms is None:
+            continue
+        for endpoint in ejected_endpoints(row):
+            if endpoint in drained_ms and at_ms >= drained_ms[endpoint]:
+                times_ms[endpoint].append(at_ms - drained_ms[endpoint])
+    return times_ms
+
+
+def quantile(values: list[float], share: float) -> float:
+    """A quantile, rounded to a tenth; 0 without values."""
     ordered = sorted(values)
     return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], 1) if ordered else 0.0
 
 
 def last_status(arm: Arm, event: str = "status") -> dict[str, Any]:
     """The fields of the first controller's last log line of an event; nothing where there is none."""
-    found: dict[str, Any] = {}
+    status: dict[str, Any] = {}
     for line in (arm.folder / "pilot-0.log").read_text().splitlines():
         if f'"{event}"' in line and (row := json.loads(line))["event"] == event:
-            found = row
-    return found
+            status = row
+    return status
 
 
 def measure(
-    proxies: int, way: str, exchanges_per_s: float, spans: int, folder: Path, more: dict[str, Any]
+    proxies: int, reader: str, requests_per_s: float, spans: int, folder: Path, settings: dict[str, Any]
 ) -> dict[str, Any]:
-    """One size by one way, played once."""
-    day = scaled_day(proxies, way, exchanges_per_s, spans, more)
-    arm = play_arm(day, folder / f"{proxies}-{way}")
+    """Plays one size with one reader once."""
+    scenario = scaled_scenario(proxies, reader, requests_per_s, spans, settings)
+    arm = play_arm(scenario, folder / f"{proxies}-{reader}")
     evidence = arm.evidence()
-    loud, quiet, loud_last, quiet_last = acknowledged(evidence, arm.begin_ms)
     status = last_status(arm)
-    breaks = check_invariants(evidence)
-    seconds = SPAN_S * spans
-    cpu = status.get("cpu_s", {})
-    readers = {name: sum(parts.values()) for name, parts in cpu.items() if isinstance(parts, dict)}
-    limit = day.fleet.channel.max_queued_lines
-    row = {
-        "proxies": proxies, "by": way, "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
-        "reports_per_s": round(status.get("reports", 0) / (seconds / 2.0 + day.warm_up_s), 1),
-        "groups": status.get("groups", 1), "times": status.get("times", 1),
-        "rules_broken": len(breaks), "breaks": [found.to_row() for found in breaks[:5]],
-        "service": service_quality(day.fleet, evidence.requests)["service"],
-        "drains": len(loud_last) + len(quiet_last),
-    }  # fmt: skip
-    for name, values in (("with", loud), ("without", quiet)):
-        row[f"ack_ms_{name}"] = [part(values, 0.5), part(values, 0.99), part(values, 1.0)]
-    for name, values in (("with", loud_last), ("without", quiet_last)):
-        row[f"last_ack_ms_{name}"] = [part(values, 0.5), part(values, 1.0)]
-    row["ratio_last_ack"] = round(part(loud_last, 0.5) / max(1.0, part(quiet_last, 0.5)), 2)
-    row["ratio_p99"] = round(part(loud, 0.99) / max(1.0, part(quiet, 0.99)), 2)
-    row["channel_of_limit"] = round(longest_queue(evidence) / limit, 3)
-    row["rounds_late_ms"] = list(status.get("late_ms", {}).values())
-    row["deciding_cpu"] = round(cpu.get("deciding", 0.0) / arm.duration_s, 3)
-    row["pilot_cpu"] = round(cpu.get("process", 0.0) / arm.duration_s, 3)
-    row["readers_cpu"] = round(sum(readers.values()) / arm.duration_s, 3)
-    row["reader_parts_s"] = {name: parts for name, parts in cpu.items() if isinstance(parts, dict)}
-    row["stolen"] = round(arm.stolen_share, 3)
-    return row
+    violations = check_invariants(evidence)
+    drains = drain_times(evidence, arm.begin_ms)
+    reporting_s = SPAN_S * spans / 2.0 + scenario.warm_up_s
+    return {
+        "proxies": proxies,
+        "by": reader,
+        "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
+        "reports_per_s": round(status.get("reports", 0) / reporting_s, 1),
+        "groups": status.get("groups", 1),
+        "times": status.get("times", 1),
+        "rules_broken": len(violations),
+        "breaks": [violation.to_row() for violation in violations[:MAX_KEPT_VIOLATIONS]],
+        "service": service_quality(scenario.fleet, evidence.requests)["service"],
+        "drains": len(drains.with_reports.last) + len(drains.without_reports.last),
+        **_drain_figures(drains),
+        "channel_of_limit": round(longest_queue(evidence) / scenario.fleet.channel.max_queued_lines, 3),
+        "rounds_late_ms": list(status.get("late_ms", {}).values()),
+        **_cpu_figures(status.get("cpu_s", {}), arm),
+        "stolen": round(arm.stolen_share, 3),
+    }
+
+
+def _drain_figures(drains: DrainTimesBySpan) -> dict[str, Any]:
+    busy, quiet = drains
+    return {
+        "ack_ms_with": [quantile(busy.each, share) for share in (0.5, 0.99, 1.0)],
+        "ack_ms_without": [quantile(quiet.each, share) for share in (0.5, 0.99, 1.0)],
+        "last_ack_ms_with": [quantile(busy.last, share) for share in (0.5, 1.0)],
+        "last_ack_ms_without": [quantile(quiet.last, share) for share in (0.5, 1.0)],
+        "ratio_last_ack": round(quantile(busy.last, 0.5) / max(1.0, quantile(quiet.last, 0.5)), 2),
+        "ratio_p99": round(quantile(busy.each, 0.99) / max(1.0, quantile(quiet.each, 0.99)), 2),
+    }
+
+
+def _cpu_figures(cpu_s: dict[str, Any], arm: Arm) -> dict[str, Any]:
+    """Processor time as shares of a core, and each reader's by part in seconds."""
+    by_reader = {name: parts for name, parts in cpu_s.items() if isinstance(parts, dict)}
+    readers_s = sum(sum(parts.values()) for parts in by_reader.values())
+    return {
+        "deciding_cpu": round(cpu_s.get("deciding", 0.0) / arm.duration_s, 3),
+        "pilot_cpu": round(cpu_s.get("process", 0.0) / arm.duration_s, 3),
+        "readers_cpu": round(readers_s / arm.duration_s, 3),
+        "reader_parts_s": by_reader,
+    }
 
 
 def run(
-    sizes: list[int], ways: list[str], exchanges_per_s: float, spans: int, folder: Path, more: dict[str, Any]
+    sizes: list[int], readers: list[str], requests_per_s: float, spans: int, folder: Path, settings: dict[str, Any]
 ) -> dict[str, Any]:
-    """All sizes by all ways, one after another."""
-    rows = [measure(size, way, exchanges_per_s, spans, folder, more) for size in sizes for way in ways]
-    machine = machine_name()
-    return {"bench": "reports", "machine": machine, "rows": rows}
+    """Plays all sizes with all readers, one after another.
+
+    Args:
+        sizes: Numbers of proxies.
+        readers: Where reports are read: `inbox`, `thread` or `processes`.
+        requests_per_s: Requests a second, at every size.
+        spans: The number of spans, with and without reports in turn.
+        folder: Where records go.
+        settings: Further settings of load reports.
+    """
+    rows = [measure(size, reader, requests_per_s, spans, folder, settings) for size in sizes for reader in readers]
+    return {"bench": "reports", "machine": machine_name(), "rows": rows}
--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -1,27 +1,29 @@
-"""How fast captured days replay, whether twice alike, and how near the model comes to five kinds of days; loopback.
+"""How fast recorded scenarios replay, whether alike each time, and how near the model comes to what was measured.
 
-The days are played first, with captures; then everything is measured on one core.
+The scenarios are played on loopback first, with recordings; then everything is measured on one core.
 """
 
 import resource
 import time
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from quillstep.bench.results import machine_name
 from quillstep.bench.streams import scenario_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.recording import read_incarnations, read_records
+from quillstep.replay.comparison import mean
 from quillstep.replay.faithful import Replay
 from quillstep.replay.recorded_scenario import read_recorded_scenario
 from quillstep.replay.whatif import infer_from, play
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 
-SECONDS = 20.0
-TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "late_credit": 0.2}
-KINDS: dict[str, dict[str, Any]] = {
+SECONDS = 20.0  # of each small scenario
+SEEDS = 3  # of the replays of each small scenario
+CLASS_TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "late_credit": 0.2}
+FAULTS_BY_KIND: dict[str, dict[str, Any]] = {
     "quiet": {},
     "zone lost": {"troubles": [{"at_s": 6.0, "for_s": 4.0, "what": "zone_loss", "zone": "norte"}]},
     "flapping": {
@@ -35,106 +37,125 @@
 }
 
 
-def small_day(kind: str) -> ScenarioSettings:
-    """Twelve endpoints, twelve proxies, two pilots, one kind of trouble."""
+def small_scenario(kind: str) -> ScenarioSettings:
+    """Twelve endpoints, twelve proxies, two controllers, one kind of fault."""
     return ScenarioSettings.model_validate({
         "name": kind, "seed": 41, "seconds": SECONDS, "proxies": 12, "pilots": 2, "exchanges_per_s": 220.0,
         "fleet": {
             "zones": ["norte", "sur"],
             "classes": [
-                {"name": "lookup", "credit": 1.0, "semantics": "safe", "work_ms": 40.0, "share": 0.7, **TIMES},
-                {"name": "issue", "credit": 3.0, "semantics": "unsafe", "work_ms": 30.0, "share": 0.3, **TIMES},
+                {"name": "lookup", "credit": 1.0, "semantics": "safe", "work_ms": 40.0, "share": 0.7, **CLASS_TIMES},
+                {"name": "issue", "credit": 3.0, "semantics": "unsafe", "work_ms": 30.0, "share": 0.3, **CLASS_TIMES},
             ],
             "rules": {"warm_after_ms": 6000.0, "drain_grace_ms": 2500.0},
             "channel": {"lines_per_s": 2000.0, "lines_waiting_most": 2500.0, "late_most_ms": 300.0},
             "proxies": {"standing": 3, "avoid_ms": 3000.0},
             "probes": {"timeout_ms": 600.0},
         },
-        "endpoints": [{"each_zone": 6, "connections_most": 150}], "baselines": [], "capture": True, **KINDS[kind],
+        "endpoints": [{"each_zone": 6, "connections_most": 150}], "baselines": [], "capture": True,
+        **FAULTS_BY_KIND[kind],
     })  # fmt: skip
 
 
-def fidelity(kind: str, folder: Path) -> dict[str, Any]:
-    """How near the day's own replay comes, on the whole, by class and in the worst second missed most."""
-    book = read_recorded_scenario(folder)
-    fleet = book.incarnations[0].settings.fleet
-    inferred, held_out = infer_from(book)
-    measured = service_quality(fleet, book.requests)
-    found = [play(book, inferred, {}, seed) for seed in range(3)]
-    replayed = sum(row.service for row in found) / len(found)
-    by_class = {
-        name: round(sum(row.quality["by_class"][name] for row in found) / len(found) - part, 4)
-        for name, part in measured["by_class"].items()
+def measure_fidelity(kind: str, folder: Path) -> dict[str, Any]:
+    """How near the scenario's own replay comes to what was measured, on the whole and by class."""
+    recorded = read_recorded_scenario(folder)
+    fleet = recorded.incarnations[0].settings.fleet
+    inferred, held_out = infer_from(recorded)
+    measured = service_quality(fleet, recorded.requests)
+    outcomes = [play(recorded, inferred, {}, seed) for seed in range(SEEDS)]
+    replayed = mean(outcome.service for outcome in outcomes)
+    errors = {
+        name: round(mean(outcome.quality["by_class"][name] for outcome in outcomes) - share, 4)
+        for name, share in measured["by_class"].items()
     }
     return {
-        "day": kind, "exchanges": len(book.requests), "measured": measured["service"],
+        "day": kind, "exchanges": len(recorded.requests), "measured": measured["service"],
         "replayed": round(replayed, 4), "error": round(replayed - measured["service"], 4),
-        "worst_class_error": max(by_class.values(), key=abs), "told_apart": held_out["told_apart"],
+        "worst_class_error": max(errors.values(), key=abs), "told_apart": held_out["told_apart"],
         "time_error_median": held_out["time_error_median"],
     }  # fmt: skip
 
 
-def speed(folder: Path) -> dict[str, Any]:
-    """Both replays of one day: times real time, twice alike, memory."""
-    faithful_s = span_s = 0.0
+class FaithfulSpeed(NamedTuple):
+    """Two faithful replays of all recordings of a folder; the times are those of the first."""
+
+    is_identical: bool
+    is_repeatable: bool
+    cpu_s: float
+    recorded_s: float
+
+
+def measure_faithful(folder: Path) -> FaithfulSpeed:
+    """Plays all recordings through the controller's core, twice."""
+    cpu_s = recorded_s = 0.0
     digests: list[list[str]] = [[], []]
-    identical = True
-    for run in range(2):
+    is_identical = True
+    for run_index in range(2):
         for path in sorted(folder.glob("capture-*")):
-            for life in read_incarnations(path):
-                begun = time.process_time()
-                outcome = Replay(life.header).play(read_records(life))
-                identical = identical and outcome.is_identical
-                digests[run].append(outcome.digest)
-                if run == 0:
-                    faithful_s += time.process_time() - begun
-                    span_s += outcome.span_ms / 1000.0
-    book = read_recorded_scenario(folder)
-    inferred, _ = infer_from(book)
-    begun = time.process_time()
-    one = play(book, inferred, {}, 1)
-    whatif_s = time.process_time() - begun
-    two = play(book, inferred, {}, 1)
-    day_s = (book.end_ms - min(life.first_ms for life in book.incarnations)) / 1000.0
+            for incarnation in read_incarnations(path):
+                begun_s = time.process_time()
+                outcome = Replay(incarnation.header).play(read_records(incarnation))
+                is_identical = is_identical and outcome.is_identical
+                digests[run_index].append(outcome.digest)
+                if run_index == 0:
+                    cpu_s += time.process_time() - begun_s
+                    recorded_s += outcome.span_ms / 1000.0
+    return FaithfulSpeed(is_identical, digests[0] == digests[1], cpu_s, recorded_s)
+
+
+def measure_speed(folder: Path) -> dict[str, Any]:
+    """Both replays of one scenario: times real time, whether alike twice, memory."""
+    faithful = measure_faithful(folder)
+    recorded = read_recorded_scenario(folder)
+    inferred = infer_from(recorded).endpoints
+    begun_s = time.process_time()
+    first = play(recorded, inferred, {}, 1)
+    whatif_s = time.process_time() - begun_s
+    second = play(recorded, inferred, {}, 1)
+    begin_ms = min(incarnation.first_ms for incarnation in recorded.incarnations)
+    recorded_s = (recorded.end_ms - begin_ms) / 1000.0
+    measured = service_quality(recorded.incarnations[0].settings.fleet, recorded.requests)
+    recording_bytes = sum(file.stat().st_size for file in folder.glob("capture-*/*.qcap"))
     return {
-        "day": f"{len(book.proxies)} proxies", "exchanges": len(book.requests),
-        "faithful_identical": identical, "faithful_twice_alike": digests[0] == digests[1],
-        "faithful_times_real": round(span_s / faithful_s, 1), "whatif_times_real": round(day_s / whatif_s, 1),
-        "whatif_twice_alike": one.digest == two.digest, "measured": service_quality(
-            book.incarnations[0].settings.fleet, book.requests)["service"], "replayed": one.service,
+        "day": f"{len(recorded.proxies)} proxies", "exchanges": len(recorded.requests),
+        "faithful_identical": faithful.is_identical, "faithful_twice_alike": faithful.is_repeatable,
+        "faithful_times_real": round(faithful.recorded_s / faithful.cpu_s, 1),
+        "whatif_times_real": round(recorded_s / whatif_s, 1), "whatif_twice_alike": first.digest == second.digest,
+        "measured": measured["service"], "replayed": first.service,
         "memory_MB": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0),
-        "capture_kB_a_s": round(sum(f.stat().st_size for f in folder.glob("capture-*/*.qcap")) / 1000.0 / day_s, 1),
+        "capture_kB_a_s": round(recording_bytes / 1000.0 / recorded_s, 1),
     }  # fmt: skip
 
 
-def capture_cost(proxies: int, exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
-    """The pilot's processor time with a capture over that without, the same day played twice in one run."""
-    plain = scenario_of(proxies, exchanges_per_s, seconds, 1)
-    used = {}
-    for capture in (False, True):
-        day = ScenarioSettings.model_validate({**plain.model_dump(), "capture": capture})
-        arm = play_arm(day, folder / f"cost-{capture}")
-        used[capture] = arm.controller_cpu_s / arm.duration_s
+def measure_recording_cost(proxies: int, requests_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
+    """The controller's processor time with a recording over that without; the same scenario is played twice."""
+    plain = scenario_of(proxies, requests_per_s, seconds, 1)
+    cpu_share = {}
+    for is_recorded in (False, True):
+        scenario = ScenarioSettings.model_validate({**plain.model_dump(), "capture": is_recorded})
+        arm = play_arm(scenario, folder / f"cost-{is_recorded}")
+        cpu_share[is_recorded] = arm.controller_cpu_s / arm.duration_s
     return {
-        "day": f"{proxies} proxies, captured or not", "pilot_cpu_without": round(used[False], 4),
-        "pilot_cpu_with": round(used[True], 4), "with_over_without": round(used[True] / used[False], 3),
+        "day": f"{proxies} proxies, captured or not", "pilot_cpu_without": round(cpu_share[False], 4),
+        "pilot_cpu_with": round(cpu_share[True], 4), "with_over_without": round(cpu_share[True] / cpu_share[False], 3),
     }  # fmt: skip
 
 
-def run(proxies: int, exchanges_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
-    """The large day first, then five small ones side by side."""
+def run(proxies: int, requests_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
+    """The large scenario first, then five small ones side by side."""
     large = ScenarioSettings.model_validate(
-        {**scenario_of(proxies, exchanges_per_s, seconds, 1).model_dump(), "capture": True}
+        {**scenario_of(proxies, requests_per_s, seconds, 1).model_dump(), "capture": True}
     )
 
-    def played(kind: str) -> Path:
-        return play_arm(small_day(kind), folder / kind.replace(" ", "-")).folder
+    def play_small(kind: str) -> Path:
+        return play_arm(small_scenario(kind), folder / kind.replace(" ", "-")).folder
 
-    rows = [speed(play_arm(large, folder / "large").folder)]
-    rows.append(capture_cost(max(16, proxies // 4), exchanges_per_s / 4.0, 20.0, folder))
-    with ThreadPoolExecutor(len(KINDS)) as pool:
-        folders = list(pool.map(played, KINDS))
-    rows += [fidelity(kind, each) for kind, each in zip(KINDS, folders, strict=True)]
+    rows = [measure_speed(play_arm(large, folder / "large").folder)]
+    rows.append(measure_recording_cost(max(16, proxies // 4), requests_per_s / 4.0, 20.0, folder))
+    with ThreadPoolExecutor(len(FAULTS_BY_KIND)) as pool:
+        folders = list(pool.map(play_small, FAULTS_BY_KIND))
+    rows += [measure_fidelity(kind, each) for kind, each in zip(FAULTS_BY_KIND, folders, strict=True)]
     return {
         "bench": "replay",
         "machine": machine_name(),
--- a/quillstep/bench/streams.py
+++ b/quillstep/bench/streams.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from quillstep.bench.results import MAX_KEPT_VIOLATIONS, acknowledgement_times, machine_name
+from quillstep.bench.results import MAX_KEPT_VIOLATIONS, acknowledgement_times, ejected_endpoints, machine_name
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_drain_ms, longest_queue
 from quillstep.invariants.evidence import Row
@@ -47,9 +47,8 @@
     acks = acknowledgement_times(evidence)
     ejections: dict[str, list[Row]] = defaultdict(list)  # updates that proxies applied, by the endpoint they eject
     for row in evidence.applied_updates:
-        for resource, _ in row["changed"]:
-            if "/withdrawn/" in resource:
-                ejections[resource.rpartition("/")[2]].append(row)
+        for endpoint in ejected_endpoints(row):
+            ejections[endpoint].append(row)
     drains_ms = []
     for update in evidence.discovery_updates:
         if update["state"] != "terminating":
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -1,35 +1,45 @@
-"""Every answer of a loopback run traced; late, stalling and lost orders judged; what it costs; what the model explored.
+"""Every response of a loopback run traced, late and lost updates judged against the truth, and what it costs.
 
-One played day at one size, in three arms in turn, twice: nothing written down, the sockets' record, record and spans.
-The day drains, loses responses and answers, refuses, answers late and applies slowly.  A second day, of proxies that
-apply slowly and lose a pilot, is played with and without spreading.
+One scenario at one size is played in three arms, in turn: nothing recorded, the sockets' record, record and spans.  It
+drains endpoints, loses responses and answers, and has proxies that refuse, answer late and apply slowly.  A second
+scenario, of proxies that apply slowly and lose a controller, is played with and without splitting large updates.
 """
 
 from collections import Counter, defaultdict
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
-from quillstep.bench.results import machine_name
+from quillstep.bench.results import MAX_KEPT_VIOLATIONS, machine_name
 from quillstep.bench.streams import scenario_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, Rule, check_invariants
 from quillstep.model_checking.runner import check_all
+from quillstep.routing.ack_latency import LOST
 from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 from quillstep.tracing.otlp import read_spans
 from quillstep.tracing.report import read_trace_index, summarize
 
-ARMS = {"bare": (False, 0.0), "record": (True, 0.0), "spans": (True, 0.05)}
-SLOW_LINE_MS = 3.0
-MATCH_MS = 8000.0  # within which a lost response must be told, or its stream has been ended
+SLOW_LINE_MS = 3.0  # that a slow proxy needs to apply a line
+MAX_DETECTION_MS = 8000.0  # within which a lost response must be detected, or its stream have ended
 
 
-def traced_day(proxies: int, exchanges_per_s: float, seconds: float) -> ScenarioSettings:
-    """The day of `bench streams`, with all that makes orders late or lost."""
-    base = scenario_of(proxies, exchanges_per_s, seconds, 1).model_dump()
+class TracingArm(NamedTuple):
+    """What is recorded in one arm."""
+
+    has_record: bool
+    sampled_share: float  # of traces, whose spans are written
+
+
+ARMS = {"bare": TracingArm(False, 0.0), "record": TracingArm(True, 0.0), "spans": TracingArm(True, 0.05)}
+
+
+def traced_scenario(proxies: int, requests_per_s: float, seconds: float) -> ScenarioSettings:
+    """The scenario of `bench streams`, with all that makes updates late or lost."""
+    base = scenario_of(proxies, requests_per_s, seconds, 1).model_dump()
     few = max(2, proxies // 20)
     part = seconds / 10.0
     base["troubles"] += [
@@ -44,8 +54,8 @@
     return ScenarioSettings.model_validate({**base, "name": f"traced, {proxies} proxies"})
 
 
-def slow_day(proxies: int, splits_updates: bool) -> ScenarioSettings:
-    """Proxies that apply a line in 3 ms and move between two pilots, each of which learns slots of its own."""
+def slow_scenario(proxies: int, splits_updates: bool) -> ScenarioSettings:
+    """Proxies that apply slowly and move between two controllers, each of which learns slots of its own."""
     base = scenario_of(proxies, 3.0 * proxies, 16.0, 2).model_dump()
     for row in base["fleet"]["classes"]:
         row.update(agreed_ms=400.0, cut_off_ms=1500.0)
@@ -60,91 +70,107 @@
     return ScenarioSettings.model_validate({**base, "name": f"slow lines, {proxies} proxies"})
 
 
-def judged(evidence: Evidence) -> dict[str, Any]:
-    """The verdicts against what the proxies wrote down: lost ones found, and told though not lost."""
-    lost = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.lost_responses}
-    ends: dict[str, list[float]] = defaultdict(list)
+def judge_detection(evidence: Evidence) -> dict[str, Any]:
+    """Compares the updates that a controller took for lost with those that proxies recorded as lost."""
+    lost_ms = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.lost_responses}
+    statuses = [row for row in evidence.channel_rows if row["what"] == "verdict"]
+    detected_ms = {(row["proxy"], row["nonce"]): row["at"] for row in statuses if row["kind"] == LOST}
+    delays_ms = [at_ms - lost_ms[key] for key, at_ms in detected_ms.items() if key in lost_ms]
+    return {
+        "verdicts": dict(sorted(Counter(row["kind"] for row in statuses).items())),
+        "lost": len(lost_ms),
+        "lost_found": len(delays_ms),
+        "lost_missed": _count_missed(evidence, {key: at for key, at in lost_ms.items() if key not in detected_ms}),
+        "lost_wrongly": sum(key not in lost_ms for key in detected_ms),
+        "lost_found_after_ms": round(max(delays_ms, default=0.0), 1),
+    }
+
+
+def _count_missed(evidence: Evidence, undetected_ms: dict[tuple[str, str], float]) -> int:
+    """Lost responses that were not detected though their stream went on and the run was long enough."""
+    ends_ms: dict[str, list[float]] = defaultdict(list)
     for row in evidence.stream_changes:
         if not row["up"]:
-            ends[row["proxy"]].append(row["at"])
-    told = Counter(row["kind"] for row in evidence.channel_rows if row["what"] == "verdict")
-    named = {
-        (r["proxy"], r["nonce"]): r["at"]
-        for r in evidence.channel_rows
-        if r["what"] == "verdict" and r["kind"] == "lost"
-    }
-    late = [at - lost[key] for key, at in named.items() if key in lost]
-    over = 0
-    for key, at in lost.items():
-        ended = any(at <= end <= at + MATCH_MS for end in ends[key[0]])
-        over += key not in named and not ended and at < evidence.end_ms - MATCH_MS
-    return {
-        "verdicts": dict(sorted(told.items())), "lost": len(lost), "lost_found": len(late), "lost_missed": over,
-        "lost_wrongly": sum(key not in lost for key in named),
-        "lost_found_after_ms": round(max(late, default=0.0), 1),
-    }  # fmt: skip
+            ends_ms[row["proxy"]].append(row["at"])
+    missed = 0
+    for (proxy, _), at_ms in undetected_ms.items():
+        has_ended = any(at_ms <= end_ms <= at_ms + MAX_DETECTION_MS for end_ms in ends_ms[proxy])
+        missed += not has_ended and at_ms < evidence.end_ms - MAX_DETECTION_MS
+    return missed
 
 
-def took(evidence: Evidence, part: float) -> float:
-    """A quantile of the times of answered exchanges, milliseconds."""
-    times = sorted(row["end"] - row["at"] for row in evidence.requests if row["outcome"] == "ok")
-    return round(times[min(len(times) - 1, int(part * len(times)))], 1) if times else 0.0
+def latency_quantile(evidence: Evidence, share: float) -> float:
+    """A quantile of the latencies of answered requests, milliseconds."""
+    times_ms = sorted(row["end"] - row["at"] for row in evidence.requests if row["outcome"] == "ok")
+    return round(times_ms[min(len(times_ms) - 1, int(share * len(times_ms)))], 1) if times_ms else 0.0
 
 
-def kept_spans(arm: Arm) -> tuple[int, int]:
-    """Spans that the pilot and the proxies wrote, and how many name a parent that nobody wrote."""
+class SpanCounts(NamedTuple):
+    """The spans of an arm, and those whose parent nobody wrote."""
+
+    spans: int
+    orphans: int
+
+
+def count_spans(arm: Arm) -> SpanCounts:
+    """Counts the spans that the controller and the proxies wrote."""
     spans = [span for path in sorted(arm.folder.glob("spans-*.json")) for span in read_spans(path)]
     known = {(span["traceId"], span["spanId"]) for span in spans}
     orphans = sum("parentSpanId" in span and (span["traceId"], span["parentSpanId"]) not in known for span in spans)
-    return len(spans), orphans
+    return SpanCounts(len(spans), orphans)
 
 
-def measure(day: ScenarioSettings, name: str, folder: Path) -> dict[str, Any]:
-    """One arm of the traced day."""
-    record, spans = ARMS[name]
-    arm = play_arm(day.model_copy(update={"record": record, "spans": spans}), folder)
+def measure(scenario: ScenarioSettings, name: str, folder: Path) -> dict[str, Any]:
+    """Plays one arm of the traced scenario."""
+    has_record, sampled_share = ARMS[name]
+    arm = play_arm(scenario.model_copy(update={"record": has_record, "spans": sampled_share}), folder)
     row: dict[str, Any] = {
         "arm": name, "pilot_cpu_of_a_core": round(arm.controller_cpu_s / arm.duration_s, 4),
         "stolen": round(arm.stolen_share, 3),
     }  # fmt: skip
     evidence = arm.evidence()
-    row["exchanges_per_s"] = round(len(evidence.requests) / day.seconds, 1)
-    row["service"] = service_quality(day.fleet, evidence.requests)["service"]
-    if record:
-        breaks = check_invariants(evidence)
+    row["exchanges_per_s"] = round(len(evidence.requests) / scenario.seconds, 1)
+    row["service"] = service_quality(scenario.fleet, evidence.requests)["service"]
+    if has_record:
+        violations = check_invariants(evidence)
         traced = msgspec.to_builtins(summarize(read_trace_index(arm.folder)))
         row.update(
-            rules_broken=len(breaks), breaks=[found.to_row() for found in breaks[:5]],
-            run_twice=sum(found.rule == Rule.DUPLICATE_EFFECT for found in breaks),
+            rules_broken=len(violations),
+            breaks=[violation.to_row() for violation in violations[:MAX_KEPT_VIOLATIONS]],
+            run_twice=sum(violation.rule == Rule.DUPLICATE_EFFECT for violation in violations),
             **{name: traced[name] for name in ("answers", "untraced", "rounds", "word_lost", "standing")},
-            **judged(evidence),
+            **judge_detection(evidence),
         )  # fmt: skip
-    if spans:
-        row["spans"], row["spans_without_parent"] = kept_spans(arm)
+    if sampled_share:
+        row["spans"], row["spans_without_parent"] = count_spans(arm)
     return row
 
 
-def spread(proxies: int, splits_updates: bool, folder: Path) -> dict[str, Any]:
-    """One arm of the slow day: how long proxies stood still at once."""
-    day = slow_day(proxies, splits_updates)
-    arm = play_arm(day, folder)
+def measure_splitting(proxies: int, splits_updates: bool, folder: Path) -> dict[str, Any]:
+    """Plays one arm of the slow scenario: how long an update stalled proxies."""
+    scenario = slow_scenario(proxies, splits_updates)
+    arm = play_arm(scenario, folder)
     evidence = arm.evidence()
-    stood = sorted(row.get("stood", 0.0) for row in evidence.applied_updates if row["at"] >= arm.begin_ms)
-    breaks = check_invariants(evidence)
+    stalls_ms = sorted(row.get("stood", 0.0) for row in evidence.applied_updates if row["at"] >= arm.begin_ms)
+    violations = check_invariants(evidence)
     return {
-        "arm": "spread" if splits_updates else "all at once", "rules_broken": len(breaks),
-        "breaks": [found.to_row() for found in breaks[:5]],
-        "stood_still_most_ms": round(stood[-1], 1), "stood_still_p99_ms": round(stood[int(0.99 * len(stood))], 1),
-        "exchange_p99_ms": took(evidence, 0.99), "service": service_quality(day.fleet, evidence.requests)["service"],
+        "arm": "spread" if splits_updates else "all at once", "rules_broken": len(violations),
+        "breaks": [violation.to_row() for violation in violations[:MAX_KEPT_VIOLATIONS]],
+        "stood_still_most_ms": round(stalls_ms[-1], 1),
+        "stood_still_p99_ms": round(stalls_ms[int(0.99 * len(stalls_ms))], 1),
+        "exchange_p99_ms": latency_quantile(evidence, 0.99),
+        "service": service_quality(scenario.fleet, evidence.requests)["service"],
     }  # fmt: skip
 
 
-def run(proxies: int, exchanges_per_s: float, seconds: float, turns: int, depth: int, folder: Path) -> dict[str, Any]:
-    """All arms in turn, the slow day, and the model."""
-    day = traced_day(proxies, exchanges_per_s, seconds)
-    rows = [measure(day, name, folder / f"lineage-{name}-{turn}") for turn in range(turns) for name in ARMS]
+def run(proxies: int, requests_per_s: float, seconds: float, turns: int, depth: int, folder: Path) -> dict[str, Any]:
+    """Plays all arms in turn and the slow scenario, and checks the model to a depth."""
+    scenario = traced_scenario(proxies, requests_per_s, seconds)
+    rows = [measure(scenario, name, folder / f"lineage-{name}-{turn}") for turn in range(turns) for name in ARMS]
     cpu = {name: sum(row["pilot_cpu_of_a_core"] for row in rows if row["arm"] == name) / turns for name in ARMS}
-    slow = [spread(max(8, proxies // 8), way, folder / f"slow-{way}") for way in (True, False)]
+    slow = [
+        measure_splitting(max(8, proxies // 8), is_split, folder / f"slow-{is_split}") for is_split in (True, False)
+    ]
     model = check_all(depth)
     traced = [row for row in rows if "untraced" in row]
     return {
--- a/quillstep/testbed/proxies.py
+++ b/quillstep/testbed/proxies.py
@@ -362,7 +362,7 @@
         super().__init__(path)
         from quillstep.tracing.spans import SpanRecorder  # only who wants spans needs the library for them
 
-        self.spans = SpanRecorder(spans["file"], spans["part"], spans["max_spans_per_s"], spans["service"])
+        self.spans = SpanRecorder(spans["file"], spans["part"], spans["most_per_s"], spans["service"])
 
     def put(self, **fields: Any) -> None:
         super().put(**fields)
--- a/tests/load_reports/test_sampling.py
+++ b/tests/load_reports/test_sampling.py
@@ -2,7 +2,7 @@
 
 from load_report_builders import USUAL
 
-from quillstep.bench.sampling import sampled
+from quillstep.bench.sampling import measure_sampling
 from quillstep.load_reports.sampling import STAGES, Sampler
 from quillstep.load_reports.summary import ProxyRow
 
@@ -71,6 +71,6 @@
 
 def test_sampled_sums_are_unbiased_and_their_error_is_as_stated():
     """Over all turns of a cycle the expected sum is the true one; one turn's error is far below 15 in 100."""
-    found = sampled(proxies=600, endpoints=12, rows_per_s=30000.0, seconds=130.0, seed=3)
+    found = measure_sampling(proxies=600, endpoints=12, rows_per_s=30000.0, seconds=130.0, seed=3)
     assert found["groups"] > 1
     assert abs(found["bias"]) < 0.02 and found["error_rms"] < 0.15
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -16,6 +16,7 @@
 from quillstep.testbed.scenarios.plan import ControllerAction, ControllerCommand, ProxyCommand, plan_scenario
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
+from quillstep.tracing.otlp import read_spans
 
 KEYED = {**TIMES, "name": "save", "credit": 2.0, "semantics": "keyed", "scope": "all"}
 MANY_FAULTS = [
@@ -134,6 +135,14 @@
     assert not evidence.unroutable and all(row["outcome"] != "bare" for row in evidence.requests)
 
 
+def test_controllers_and_proxies_of_a_scenario_write_the_spans_that_it_asks_for(tmp_path):
+    arm, evidence = play(small_day(seconds=2.0, spans=1.0), tmp_path)
+    names = {path.stem: {span["name"] for span in read_spans(path)} for path in sorted(arm.folder.glob("spans-*.json"))}
+    assert len(evidence.requests) > 50 and check_invariants(evidence) == []
+    assert {name.rpartition("-")[0] for name in names} == {"spans-pilot", "spans-proxies"}
+    assert all(names.values())
+
+
 def test_endpoints_drop_keyed_repeats_within_the_window_and_not_after(tmp_path):
     rows = [{**KEYED, "name": "long", "window_ms": 60000.0}, {**KEYED, "name": "short", "window_ms": 0.001}]
     host = ChildProcess("endpoints-0", ["quillstep.testbed.endpoints"], tmp_path)
