--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -20,7 +20,7 @@
 
 KEYED = {**TIMES, "name": "save", "credit": 2.0, "semantics": "keyed", "scope": "all"}
 MANY_FAULTS = [
-    {"at_s": 0.5, "for_s": 5.0, "what": "lose_answers", "count": 1, "factor": 2.0},
+    {"at_s": 0.5, "for_s": 5.0, "what": "lose_answers", "count": 2, "factor": 2.0},
     {"at_s": 1.0, "for_s": 1.5, "what": "drain", "zone": "a", "count": 1},
     {"at_s": 2.0, "for_s": 1.5, "what": "pilot_kill", "count": 1},
     {"at_s": 2.5, "for_s": 1.0, "what": "proxy_reads_nothing", "count": 1},
