--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -9,7 +9,13 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from quillstep.bench.results import MAX_KEPT_VIOLATIONS, acknowledgement_times, ejected_endpoints, machine_name
+from quillstep.bench.results import (
+    MAX_KEPT_VIOLATIONS,
+    acknowledgement_times,
+    ejected_endpoints,
+    machine_name,
+    quantile,
+)
 from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, scenario_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
@@ -106,12 +112,6 @@
     return times_ms
 
 
-def quantile(values: list[float], share: float) -> float:
-    """A quantile, rounded to a tenth; 0 without values."""
-    ordered = sorted(values)
-    return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], 1) if ordered else 0.0
-
-
 def last_status(arm: Arm, event: str = "status") -> dict[str, Any]:
     """The fields of the first controller's last log line of an event; nothing where there is none."""
     status: dict[str, Any] = {}
--- a/quillstep/bench/results.py
+++ b/quillstep/bench/results.py
@@ -22,3 +22,9 @@
 def acknowledgement_times(evidence: Evidence) -> dict[tuple[str, str], float]:
     """When each response was acknowledged, by its proxy and nonce."""
     return {(row["proxy"], row["nonce"]): row["at"] for row in evidence.channel_rows if row["what"] == "ack"}
+
+
+def quantile(values: list[float], share: float) -> float:
+    """A quantile, rounded to a tenth; 0 without values."""
+    ordered = sorted(values)
+    return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], 1) if ordered else 0.0
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -7,6 +7,7 @@
 """
 
 import json
+import statistics
 import time
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
@@ -22,10 +23,10 @@
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import check_invariants, longest_drain_ms, longest_queue
 from quillstep.invariants.evidence import Row
+from quillstep.net.clock import now_ms
 from quillstep.routing.resources import WEIGHT, make_resource
 from quillstep.store import Store
 from quillstep.store.records import OPERATOR_COMMANDS, VERSIONS, Entry, OperatorCommand, VersionRow, number_key
-from quillstep.testbed.process import now_ms
 from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.plan import plan_scenario
 from quillstep.testbed.scenarios.runner import play_arm
@@ -266,8 +267,7 @@
     rows = [*costs, *rollbacks, *crashes]
 
     def mean(arm: str, key: str) -> float:
-        values = [row[key] for row in crashes if row["arm"] == arm]
-        return round(sum(values) / len(values), 4)
+        return round(statistics.fmean(row[key] for row in crashes if row["arm"] == arm), 4)
 
     return {
         "bench": "store", "machine": machine_name(), "rows": rows,
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from quillstep.bench.results import MAX_KEPT_VIOLATIONS, machine_name
+from quillstep.bench.results import MAX_KEPT_VIOLATIONS, machine_name, quantile
 from quillstep.bench.streams import scenario_of
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, Rule, check_invariants
@@ -101,8 +101,7 @@
 
 def latency_quantile(evidence: Evidence, share: float) -> float:
     """A quantile of the latencies of answered requests, milliseconds."""
-    times_ms = sorted(row["end"] - row["at"] for row in evidence.requests if row["outcome"] == "ok")
-    return round(times_ms[min(len(times_ms) - 1, int(share * len(times_ms)))], 1) if times_ms else 0.0
+    return quantile([row["end"] - row["at"] for row in evidence.requests if row["outcome"] == "ok"], share)
 
 
 class SpanCounts(NamedTuple):
@@ -151,13 +150,13 @@
     scenario = slow_scenario(proxies, splits_updates)
     arm = play_arm(scenario, folder)
     evidence = arm.evidence()
-    stalls_ms = sorted(row.get("stood", 0.0) for row in evidence.applied_updates if row["at"] >= arm.begin_ms)
+    stalls_ms = [row.get("stood", 0.0) for row in evidence.applied_updates if row["at"] >= arm.begin_ms]
     violations = check_invariants(evidence)
     return {
         "arm": "spread" if splits_updates else "all at once", "rules_broken": len(violations),
         "breaks": [violation.to_row() for violation in violations[:MAX_KEPT_VIOLATIONS]],
-        "stood_still_most_ms": round(stalls_ms[-1], 1),
-        "stood_still_p99_ms": round(stalls_ms[int(0.99 * len(stalls_ms))], 1),
+        "stood_still_most_ms": quantile(stalls_ms, 1.0),
+        "stood_still_p99_ms": quantile(stalls_ms, 0.99),
         "exchange_p99_ms": latency_quantile(evidence, 0.99),
         "service": service_quality(scenario.fleet, evidence.requests)["service"],
     }  # fmt: skip
--- a/quillstep/testbed/discovery_server.py
+++ b/quillstep/testbed/discovery_server.py
@@ -15,7 +15,8 @@
 from envoy.service.discovery.v3 import discovery_pb2
 
 from quillstep.config.controller import LimitSettings
-from quillstep.testbed.process import STACK_BYTES, EventLog, answer, now_ms, read_setup, serve
+from quillstep.net.clock import now_ms
+from quillstep.testbed.process import STACK_BYTES, EventLog, answer, read_setup, serve
 from quillstep.xds.events import StreamEnded, StreamEvent, StreamRequest
 from quillstep.xds.resources import LEDS
 from quillstep.xds.server import Peer, Server
--- a/quillstep/testbed/endpoints.py
+++ b/quillstep/testbed/endpoints.py
@@ -13,8 +13,9 @@
 import time
 from typing import Any
 
+from quillstep.net.clock import now_ms
 from quillstep.testbed.endpoint_cores import EndpointCores
-from quillstep.testbed.process import STACK_BYTES, EventLog, answer, now_ms, read_setup, serve
+from quillstep.testbed.process import STACK_BYTES, EventLog, answer, read_setup, serve
 
 MAX_HEAD_BYTES = 16 * 1024
 LISTEN_BACKLOG = 256
--- a/quillstep/testbed/file_subscriber.py
+++ b/quillstep/testbed/file_subscriber.py
@@ -18,7 +18,7 @@
 
 from quillstep.files.disk import safe_name
 from quillstep.files.generation_files import MANIFEST, Manifest, decode
-from quillstep.testbed.process import now_ms
+from quillstep.net.clock import now_ms
 from quillstep.testbed.proxy_interface import ProxyInterface
 from quillstep.testbed.xds_subscriber import MESSAGES, drop_shares_of, line_of, routes_of
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LEDS, RDS
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -13,7 +13,7 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.testbed.process import now_ms
+from quillstep.net.clock import now_ms
 from quillstep.testbed.proxy_interface import ProxyInterface
 from quillstep.xds.client import MAX_MESSAGE_BYTES
 from quillstep.xds.http2 import GrpcConnection, MessageReceived, ProtocolError, StreamEnded
--- a/quillstep/testbed/process.py
+++ b/quillstep/testbed/process.py
@@ -17,11 +17,6 @@
 FLUSH_INTERVAL_S = 0.2
 
 
-def now_ms() -> float:
-    """Return the machine's monotonic clock in milliseconds, the same in all processes."""
-    return time.monotonic() * 1000.0
-
-
 class EventLog:
     """Appends JSON lines to a file from any thread; a daemon thread of its own writes them out until the end."""
 
--- a/quillstep/testbed/proxies.py
+++ b/quillstep/testbed/proxies.py
@@ -16,9 +16,10 @@
 import time
 from typing import Any
 
+from quillstep.net.clock import now_ms
 from quillstep.testbed.file_subscriber import FileSubscriber
 from quillstep.testbed.load_reporting import LoadReporter, bucket
-from quillstep.testbed.process import STACK_BYTES, EventLog, answer, now_ms, read_setup, serve
+from quillstep.testbed.process import STACK_BYTES, EventLog, answer, read_setup, serve
 from quillstep.testbed.proxy_interface import Address, HeldTables, Route
 from quillstep.testbed.xds_subscriber import DeltaSubscriber, SotwSubscriber, XdsSubscriber
 
@@ -220,7 +221,7 @@
             return
         with self.lock:
             # The routes of its beginning are its routes to its end: a further try, if they allow one, is of the same
-            # table.  Found by the model: one that took its further try by newer routes met another zone's endpoints.
+            # table.  With newer routes a retry could go to another zone's endpoints.
             route, went_by = self.held.routes.get(name), self.held.routes_version
             table = self.table(route)
         tries_left = route.tries if route else self.host.default_retry_policy
--- a/quillstep/testbed/scenarios/arm.py
+++ b/quillstep/testbed/scenarios/arm.py
@@ -10,7 +10,7 @@
 
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, read_evidence
-from quillstep.testbed.process import now_ms
+from quillstep.net.clock import now_ms
 from quillstep.testbed.scenarios.arm_folder import ArmFolder, controller_name
 from quillstep.testbed.scenarios.child_processes import ChildProcess
 from quillstep.testbed.scenarios.controller_processes import ControllerProcesses
--- a/quillstep/testbed/scenarios/controller_processes.py
+++ b/quillstep/testbed/scenarios/controller_processes.py
@@ -12,7 +12,7 @@
 from quillstep.config.controller import ControllerSettings, StoreSettings
 from quillstep.config.fleet import FleetSettings
 from quillstep.config.scenario import ScenarioSettings
-from quillstep.testbed.process import now_ms
+from quillstep.net.clock import now_ms
 from quillstep.testbed.scenarios.arm_folder import ArmFolder, controller_name
 from quillstep.testbed.scenarios.child_processes import ChildProcess
 from quillstep.testbed.scenarios.plan import ControllerAction
--- a/quillstep/testbed/scenarios/runner.py
+++ b/quillstep/testbed/scenarios/runner.py
@@ -6,7 +6,7 @@
 
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_drain_ms, longest_queue
-from quillstep.testbed.process import now_ms
+from quillstep.net.clock import now_ms
 from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.plan import plan_scenario
 from quillstep.testbed.scenarios.service_quality import service_quality
--- a/quillstep/testbed/xds_subscriber.py
+++ b/quillstep/testbed/xds_subscriber.py
@@ -16,7 +16,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.message import DecodeError
 
-from quillstep.testbed.process import now_ms
+from quillstep.net.clock import now_ms
 from quillstep.testbed.proxy_interface import Line, ProxyInterface, Route
 from quillstep.xds.client import GrpcClient
 from quillstep.xds.http2 import MessageReceived, StreamEnded
