--- a/quillstep/planner/__init__.py
+++ b/quillstep/planner/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of quillstep, without I/O or a clock: which endpoints the proxies use, and what they admit."""
+"""Decides which endpoints the proxies use and which requests they admit, without I/O or a clock."""
--- a/quillstep/planner/admission.py
+++ b/quillstep/planner/admission.py
@@ -1,13 +1,13 @@
 """Admission limits and retry policies under overload.
 
-What the learned capacity cannot serve is shed, from the class with the least priority per work first.  Retries are
+Load above the learned capacity is shed, starting with the class that has the lowest priority per work.  Retries are
 allowed only while there is capacity for them.
 """
 
 from collections.abc import Sequence
 
 from quillstep.planner.capacity import (
-    LATE_RELATIVE_LATENCY,
+    HIGH_RELATIVE_LATENCY,
     TARGET_UTILIZATION,
     CapacityEstimator,
     warm_up_fraction,
@@ -21,24 +21,24 @@
 )
 
 UNLIMITED_REQUESTS_PER_S = 1e6
-MIN_SHEDDING_UTILIZATION = 0.7  # of the fleet, below which nothing needs to be shed
-CALM_UTILIZATION = 0.5  # of the fleet, below which any failure may be retried
-REOPENING_FRACTION = 0.15  # of the offered work, that is admitted again each interval below the shedding utilization
-MAX_SHED_SHARE = 0.9  # of one class, so that what happens to the rest still shows
-ADMITTED_SHARE_GAIN = 0.5  # how far one interval moves a class's smoothed admitted share
-CLIENT_ATTEMPTS = 3  # that a client is taken to make of a request that is rejected each time
-RATE_GAIN_INCREASE = 1.05  # each interval
-RATE_GAIN_DECREASE = 0.95  # each interval
+MIN_SHEDDING_UTILIZATION = 0.7  # nothing needs to be shed below this fleet utilization
+LOW_UTILIZATION = 0.5  # overload does not restrict retry policies below this fleet utilization
+ADMISSION_RECOVERY_FRACTION = 0.15  # share of offered work readmitted per interval below MIN_SHEDDING_UTILIZATION
+MAX_SHED_SHARE = 0.9  # per class; the outcomes of the remaining requests stay observable
+ADMITTED_SHARE_GAIN = 0.5  # smoothing factor per interval of a class's admitted share
+CLIENT_ATTEMPTS = 3  # assumed attempts of a client at a request that is rejected each time
+RATE_GAIN_INCREASE = 1.05  # factor per interval
+RATE_GAIN_DECREASE = 0.95  # factor per interval
 MAX_RATE_GAIN = 2.0
 
 
 class AdmissionController:
-    """Chooses the admission limit and the retry policy of each class.
+    """Sets the admission limit and the retry policy of each class.
 
     Attributes:
-        admitted_fraction: The part of the offered work that is admitted.
-        min_admitted_fraction: The least part that is admitted; it rises while the fleet is not loaded.
-        rate_gain: The sum of the rate limits over what they should admit: uneven arrivals fill only some of them.
+        admitted_fraction: Fraction of the offered work that is admitted.
+        min_admitted_fraction: Lower bound of `admitted_fraction`; it rises while the fleet is not loaded.
+        rate_gain: Sum of the rate limits over the rate to admit; uneven arrivals use up only some of the limits.
     """
 
     def __init__(self, fleet: FleetState, capacity: CapacityEstimator) -> None:
@@ -48,7 +48,7 @@
         self.rate_gain = 1.0
 
     def update(self, now_ms: float, is_interval_due: bool) -> None:
-        """Sets the limits and retry policies; what is learned over time moves only where an interval is due."""
+        """Updates limits and retry policies; learned and smoothed values change only when an interval is due."""
         in_use = endpoints_in_use(self.fleet)
         usable_weight = sum(
             (endpoint.listed_weight or 1.0) * warm_up_fraction(self.fleet.config, endpoint, now_ms)
@@ -65,7 +65,7 @@
         self._shed(first_attempt_rates, now_ms, is_interval_due)
 
     def first_attempt_rates(self) -> list[float]:
-        """Requests per second of each class without the repeats of rejected ones, which are no further demand."""
+        """Returns requests per second by class, without repeats of rejected requests: they add no demand."""
         rates = []
         for rate, state in zip(self.fleet.request_rates(), self.fleet.classes, strict=True):
             rejected_share = 1.0 - state.smoothed_admitted_share
@@ -73,7 +73,7 @@
         return rates
 
     def _allowed_per_s(self, usable_weight: float) -> float:
-        """What may be admitted; it follows endpoints that fail or return before the load on the others shows them."""
+        """Returns the rate to admit; it reflects failed and restored endpoints before the load on the others does."""
         capacity_per_s = TARGET_UTILIZATION * self.capacity.per_proxy * len(self.fleet.proxies) * usable_weight
         return capacity_per_s / max(1.0, self.capacity.effective_utilization)
 
@@ -81,27 +81,27 @@
         self, allowed_per_s: float, offered_per_s: float, now_ms: float, is_interval_due: bool
     ) -> None:
         capacity, utilization = self.capacity, self.capacity.effective_utilization
-        # What a proxy brings that comes from another controller may have been limited there: it counts as new load.
-        has_migrated = self.fleet.has_recent_migration(now_ms) and utilization > CALM_UTILIZATION
+        # The previous controller may have limited the load of a migrating proxy: it counts as new load.
+        has_migrated = self.fleet.has_recent_migration(now_ms) and utilization > LOW_UTILIZATION
         may_shed = has_migrated or utilization > MIN_SHEDDING_UTILIZATION or self.admitted_fraction < 1.0
         if may_shed and capacity.per_proxy and offered_per_s:
             self.admitted_fraction = min(1.0, allowed_per_s / offered_per_s)
         else:
             self.admitted_fraction = 1.0
-        # Reopens whatever the demand seems to be: rejected requests come again and look like demand.  Failing
-        # attempts count as utilization, so that this does not reopen a fleet that fails at a low load.
+        # Admission recovers regardless of the apparent demand, which includes repeats of rejected requests.  Failures
+        # count as utilization, so admission does not recover in a fleet that fails at low load.
         if utilization > MIN_SHEDDING_UTILIZATION or has_migrated:
             self.min_admitted_fraction = self.admitted_fraction
         elif is_interval_due:
-            self.min_admitted_fraction = min(1.0, self.min_admitted_fraction + REOPENING_FRACTION)
+            self.min_admitted_fraction = min(1.0, self.min_admitted_fraction + ADMISSION_RECOVERY_FRACTION)
         self.admitted_fraction = max(self.admitted_fraction, self.min_admitted_fraction)
 
     def _update_rate_gain(self, allowed_per_s: float, is_interval_due: bool) -> None:
-        """Raises the rate limits while less than allowed is admitted, halves what was added under load."""
+        """Raises the rate limits while less than allowed is admitted; under load, halves what was added."""
         capacity = self.capacity
         if (
             capacity.effective_utilization > MIN_SHEDDING_UTILIZATION
-            or capacity.relative_latency > LATE_RELATIVE_LATENCY
+            or capacity.relative_latency > HIGH_RELATIVE_LATENCY
         ):
             self.rate_gain = 1.0 + 0.5 * (self.rate_gain - 1.0)
         elif is_interval_due and self.admitted_fraction < 1.0:
@@ -112,9 +112,9 @@
         return sum(endpoint.listed_weight or 1.0 for endpoint in self.fleet.endpoints.values()) or 1.0
 
     def _shed(self, first_attempt_rates: Sequence[float], now_ms: float, is_interval_due: bool) -> None:
-        """Takes what may not be admitted from the classes, the one with the least priority per work first.
+        """Sheds the excess load, starting with the class that has the lowest priority per work.
 
-        A class's work is taken as its latency objective, as nothing reports the work itself.
+        The work of a request is estimated by its latency objective, because nothing reports the work itself.
         """
         rows = zip(first_attempt_rates, self.fleet.config.classes, strict=True)
         work = [rate * row.latency_objective_ms for rate, row in rows]
@@ -125,7 +125,7 @@
             shed = min(excess, MAX_SHED_SHARE * work[index])
             excess -= shed
             state = classes[index]
-            # A request is rejected for good only where each of the client's attempts is.
+            # A request is lost only if each of the client's attempts is rejected.
             admitted_share = 1.0 - (shed / work[index]) ** (1.0 / CLIENT_ATTEMPTS) if work[index] > 0 else 1.0
             if is_interval_due:
                 state.smoothed_admitted_share += ADMITTED_SHARE_GAIN * (admitted_share - state.smoothed_admitted_share)
@@ -134,14 +134,14 @@
 
     def _retry_policy(self, state: ClassState, is_settling: bool) -> int:
         utilization = self.capacity.effective_utilization
-        if utilization < CALM_UTILIZATION and not is_settling:
-            return state.calm_retry_policy
+        if utilization < LOW_UTILIZATION and not is_settling:
+            return state.normal_retry_policy
         return RETRY_IF_NOT_STARTED if utilization < 1.0 else NO_RETRY
 
     def admission_limit(self, class_index: int, admitted_share: float) -> float:
-        """The limit that admits a share of a class: the share itself, or requests per second at each proxy.
+        """Returns the limit that admits a share of a class: the share itself, or requests per second at each proxy.
 
-        The rate is one for all proxies: the max-min fair one, under which the sum of what they admit fits.
+        All proxies get the same rate: the max-min fair one, with which the total of admitted requests fits.
         """
         if self.fleet.config.admission != "rate":
             return admitted_share
@@ -149,10 +149,10 @@
             return UNLIMITED_REQUESTS_PER_S
         rates = sorted(proxy.request_rates[class_index] for proxy in self.fleet.proxies.values())
         total = sum(proxy.request_rates[class_index] for proxy in self.fleet.proxies.values())
-        left = self.rate_gain * admitted_share * total
+        remaining = self.rate_gain * admitted_share * total
         for position, rate in enumerate(rates):
-            unserved = len(rates) - position
-            if rate * unserved >= left:
-                return left / unserved
-            left -= rate
+            remaining_proxies = len(rates) - position
+            if rate * remaining_proxies >= remaining:
+                return remaining / remaining_proxies
+            remaining -= rate
         return UNLIMITED_REQUESTS_PER_S
--- a/quillstep/planner/assignment.py
+++ b/quillstep/planner/assignment.py
@@ -1,56 +1,56 @@
-"""Assigns tables to proxies: the calendar, or before it a subset of it.
+"""Assigns tables to proxies: the calendar, or a temporary subset of it.
 
-A proxy that joins keeps what it holds until it is assigned the calendar.  Where many join at once, the calendars for
-all of them fill the channel for seconds; a proxy that may hold no usable endpoint is assigned a subset first, which is
-small.  A subset is not kept up to date: it bridges the time until the calendar.
+A proxy that joins keeps its tables until it is assigned the calendar.  When many proxies join at once, their calendars
+fill the channel for seconds; a proxy that may have no usable endpoint is therefore first assigned a small subset.  A
+subset is not updated: it only serves until the calendar is assigned.
 """
 
 from collections.abc import Iterable
 
 from quillstep.planner.messages import EndpointId, PlannerOutput
 from quillstep.planner.state import CalendarTable, FleetState, JoinedProxy
-from quillstep.planner.update_budget import TRUSTED_RATE_FRACTION, UpdateBudget
+from quillstep.planner.update_budget import ASSUMED_RATE_FRACTION, UpdateBudget
 
-FIRST_SUBSET_TABLE = 1000  # below are the tables of the calendars
+FIRST_SUBSET_TABLE = 1000  # lower numbers are calendar tables
 
 
 class TableAssigner:
-    """Writes assignments as far as the update budget allows; each assignment is one message to its proxy."""
+    """Assigns tables within the update budget; each assignment is one message to its proxy."""
 
     def __init__(self, fleet: FleetState, budget: UpdateBudget) -> None:
         self.fleet, self.budget = fleet, budget
-        self._subsets: dict[int, list[EndpointId]] = {}  # what each subset table lists
+        self._subsets: dict[int, list[EndpointId]] = {}  # endpoints by subset table
 
     def proxies_without_usable_endpoint(self) -> list[int]:
-        """The proxies that are assigned a subset before anything else, in the order they joined.
+        """Returns the proxies that need a subset before any other update, in the order they joined.
 
-        A proxy that joins may hold only endpoints that are ejected or, after a start, that no list here names any
-        more.  It needs a subset where endpoints are ejected, or where the calendars of all that wait would
-        take much of the drain grace.
+        All endpoints of a proxy that joins may be ejected or, after a start, missing from the endpoint list.  Such a
+        proxy needs a subset if endpoints are ejected, or if sending the calendar to all waiting proxies would take
+        much of the drain grace.
         """
         waiting = [number for number, proxy in self.fleet.proxies.items() if not proxy.has_calendar]
         ejected = self.fleet.ejected_endpoints()
         endpoints = self.fleet.endpoints
         calendar_lines = len(waiting) * (len(endpoints) + self.budget.lines_per_message)
         has_usable = any(state.published_slots and not state.is_ejected for state in endpoints.values())
-        fits_grace = calendar_lines <= TRUSTED_RATE_FRACTION * self.budget.drain_grace_lines
+        fits_grace = calendar_lines <= ASSUMED_RATE_FRACTION * self.budget.drain_grace_lines
         if not has_usable or (not ejected and fits_grace):
             return []
-        return [number for number in waiting if may_lack_endpoint(self.fleet.proxies[number], ejected)]
+        return [number for number in waiting if may_lack_usable_endpoint(self.fleet.proxies[number], ejected)]
 
     def proxies_awaiting_calendar(self) -> list[int]:
-        """The proxies without a calendar, those that most requests reach first."""
+        """Returns the proxies without the calendar, in descending order of request rate."""
         waiting = [
             (sum(proxy.request_rates), number) for number, proxy in self.fleet.proxies.items() if not proxy.has_calendar
         ]
         return [number for _, number in sorted(waiting, reverse=True)]
 
     def assign_calendar(self, proxies: Iterable[int], output: PlannerOutput) -> int:
-        """Assigns the calendar to these proxies while there is budget, and returns the messages that makes."""
+        """Assigns the calendar to proxies within the budget, in the given order; returns the number of messages."""
         return self._assign(proxies, True, len(self.fleet.endpoints), output)
 
     def assign_subsets(self, proxies: Iterable[int], output: PlannerOutput) -> int:
-        """Assigns subsets to these proxies while there is budget, and returns the messages that makes."""
+        """Assigns subsets to proxies within the budget, in the given order; returns the number of messages."""
         return self._assign(proxies, False, self.fleet.config.initial_table_size, output)
 
     def _assign(self, proxies: Iterable[int], is_calendar: bool, expected_lines: int, output: PlannerOutput) -> int:
@@ -81,7 +81,7 @@
         ejected: set[EndpointId],
         output: PlannerOutput,
     ) -> list[EndpointId]:
-        """Assigns a proxy its subset of one table, and returns the endpoints of the subset."""
+        """Assigns a proxy a subset of one table, and returns the endpoints of the subset."""
         subset = self._subset_for(number, published, ejected)
         subset_table = FIRST_SUBSET_TABLE + number * (1 + len(self.fleet.config.zones)) + table.number
         self._write_subset(subset_table, subset, table, output)
@@ -93,7 +93,7 @@
         return [id_ for id_, state in self.fleet.endpoints.items() if state.published_slots.get(table.number)]
 
     def _subset_for(self, number: int, published: list[EndpointId], ejected: set[EndpointId]) -> list[EndpointId]:
-        """Every n-th endpoint of a calendar that is in service; the proxy's number says with which it begins."""
+        """Returns every n-th usable endpoint of a calendar, from an offset that depends on the proxy's number."""
         endpoints = self.fleet.endpoints
         usable = [id_ for id_ in published if id_ not in ejected]
         usable = [id_ for id_ in usable if endpoints[id_].is_in_service] or usable
@@ -103,7 +103,7 @@
     def _write_subset(
         self, subset_table: int, subset: list[EndpointId], table: CalendarTable, output: PlannerOutput
     ) -> None:
-        """Writes a subset with the calendar's slots, in place of what its table listed before."""
+        """Writes a subset with the calendar's slots, and removes the table's previous endpoints."""
         for endpoint in self._subsets.get(subset_table, ()):
             if endpoint not in subset:
                 output.set_weight(subset_table, endpoint, 0)
@@ -113,6 +113,6 @@
         self._subsets[subset_table] = subset
 
 
-def may_lack_endpoint(proxy: JoinedProxy, ejected: set[EndpointId]) -> bool:
-    """Whether all endpoints of one of a proxy's subsets, or all that it joined with, may be ejected."""
+def may_lack_usable_endpoint(proxy: JoinedProxy, ejected: set[EndpointId]) -> bool:
+    """Whether all endpoints of one of a proxy's subsets, or of the tables it joined with, may be ejected."""
     return not proxy.subsets or any(subset and ejected.issuperset(subset) for subset in proxy.subsets)
--- a/quillstep/planner/calendar.py
+++ b/quillstep/planner/calendar.py
@@ -1,12 +1,12 @@
-"""The calendar: how many slots of a table each endpoint gets.
+"""The calendar: the number of slots that each endpoint has in a table.
 
-One calendar is shared by all joined proxies.  As in the paper's equation 6 an endpoint's part is its Q value, here
-times its listed weight, over the sum of all; it is rounded into slots, one at least.
+All joined proxies share one calendar.  As in the paper's equation 6, an endpoint's share is its Q value, here times its
+listed weight, over the sum for all endpoints.  The share is rounded to slots, at least one.
 """
 
 from quillstep.planner.admission import MIN_SHEDDING_UTILIZATION, AdmissionController
 from quillstep.planner.capacity import (
-    LATE_RELATIVE_LATENCY,
+    HIGH_RELATIVE_LATENCY,
     TARGET_UTILIZATION,
     CapacityEstimator,
     warm_up_fraction,
@@ -19,24 +19,24 @@
 
 
 class Calendar:
-    """Divides the slots of a table among the endpoints that may hold some."""
+    """Divides the slots of a table among the usable endpoints."""
 
     def __init__(self, fleet: FleetState, capacity: CapacityEstimator, admission: AdmissionController) -> None:
         self.fleet, self.capacity, self.admission = fleet, capacity, admission
 
     def slots(self, zone: str | None, now_ms: float) -> dict[EndpointId, int]:
-        """Slots by endpoint of the zone's calendar, or of the shared one."""
+        """Returns slots by endpoint, of one zone's calendar or, where the zone is None, of the shared calendar."""
         weights = self._weights(zone, now_ms)
         total = sum(weights.values()) or 1.0
         scale = SLOTS_PER_ENDPOINT * len(weights)
         return {id_: max(1, round(scale * weight / total)) for id_, weight in weights.items()}
 
     def _weights(self, zone: str | None, now_ms: float) -> dict[EndpointId, float]:
-        """Q value times listed weight; warming endpoints are capped at their fraction of the mean of the warm ones."""
+        """Returns Q value times listed weight; warming endpoints are capped at their fraction of the warm mean."""
         usable = self._usable_endpoints(zone)
         config = self.fleet.config
         warm = {id_: e for id_, e in usable.items() if warm_up_fraction(config, e, now_ms) >= 1.0}
-        # Where none is warm there is nothing to wait behind: a table without endpoints would leave proxies none.
+        # If no endpoint is warm, the warming ones are used: an empty table would leave proxies without endpoints.
         if warm and self._must_hold_back_warming(now_ms):
             usable = warm
         mean_q = mean_q_value(self.fleet)
@@ -54,7 +54,7 @@
         return weights
 
     def _usable_endpoints(self, zone: str | None) -> dict[EndpointId, EndpointState]:
-        """The endpoints in service without the outliers; with them where nothing else is left."""
+        """Returns the endpoints in service except outliers, or all in service if all are outliers."""
         in_service = {
             id_: endpoint
             for id_, endpoint in self.fleet.endpoints.items()
@@ -65,14 +65,14 @@
     def _must_hold_back_warming(self, now_ms: float) -> bool:
         """Whether warming endpoints stay out of the tables.
 
-        In a storm proxies avoid the endpoints that fail, and what is left to them gets everything.  A storm shows by
-        load, or by attempts that fail or are late.  The tables that a proxy held before it is assigned the calendar
-        give a warming endpoint its full part.
+        When many attempts fail, proxies avoid the failing endpoints and send everything to the others, which would
+        overload a warming endpoint.  High load, failures and high latency indicate this.  Until a proxy is assigned
+        the calendar, its earlier tables give a warming endpoint its full weight.
         """
         capacity, fleet = self.capacity, self.fleet
         is_joining = not fleet.all_proxies_have_calendar()
         max_utilization = TARGET_UTILIZATION if self.admission.admitted_fraction == 1.0 else MIN_SHEDDING_UTILIZATION
         is_loaded = (
-            capacity.effective_utilization > max_utilization or capacity.relative_latency > LATE_RELATIVE_LATENCY
+            capacity.effective_utilization > max_utilization or capacity.relative_latency > HIGH_RELATIVE_LATENCY
         )
         return is_joining or fleet.is_settling(now_ms) or not capacity.per_proxy or is_loaded
--- a/quillstep/planner/outliers.py
+++ b/quillstep/planner/outliers.py
@@ -1,7 +1,7 @@
-"""Outlier detection: an endpoint is an outlier where statistics suggest it and health checks confirm it.
+"""Outlier detection: an endpoint is an outlier when statistics suggest it and health checks confirm it.
 
-Outliers stay out of the calendar while other endpoints can hold it.  An outlier comes back after health checks that it
-passed, with a low Q value from which it learns its way up.
+Outliers stay out of the calendar as long as it has other endpoints.  An outlier is restored after consecutive passed
+health checks, with a low Q value that then rises by learning.
 """
 
 from quillstep.planner.capacity import TARGET_UTILIZATION
@@ -9,11 +9,12 @@
 from quillstep.planner.q_learning import mean_q_value
 from quillstep.planner.state import EndpointState, FleetState
 
-MAX_OUTLIER_FRACTION = 0.8  # of the endpoints in service; high, as a zone that is cut off sees only its own as healthy
-MIN_FAILED_HEALTH_CHECKS = 2  # in a row, to confirm an outlier
-MIN_PASSED_HEALTH_CHECKS = 2  # in a row, to restore one
-RESTORED_Q_FRACTION = 0.1  # of the mean Q value
-MAX_UNCHECKED_FAILURES = 2  # since the last success, beyond which health checks are requested
+# Fraction of the endpoints in service.  High, because a partitioned zone reaches only its own endpoints.
+MAX_OUTLIER_FRACTION = 0.8
+MIN_FAILED_HEALTH_CHECKS = 2  # consecutive failed checks that confirm an outlier
+MIN_PASSED_HEALTH_CHECKS = 2  # consecutive passed checks that restore an outlier
+RESTORED_Q_FRACTION = 0.1  # Q value of a restored endpoint, divided by the mean Q value
+MAX_UNCHECKED_FAILURES = 2  # health checks are requested above this number of failures since the last success
 
 
 def detect_outliers(fleet: FleetState, output: PlannerOutput) -> None:
@@ -21,8 +22,8 @@
     in_service = {id_: endpoint for id_, endpoint in fleet.endpoints.items() if endpoint.is_in_service}
     outliers = sum(endpoint.is_outlier for endpoint in in_service.values())
     allowed = int(len(in_service) * MAX_OUTLIER_FRACTION) - outliers
-    # Where those that answer are full too, it is overload and no fault of the silent ones.
-    others_have_capacity = _utilization_of_answering(fleet, in_service) < TARGET_UTILIZATION
+    # If the responsive endpoints are full as well, the cause is overload and not a failure of the others.
+    others_have_capacity = _mean_responsive_utilization(fleet, in_service) < TARGET_UTILIZATION
     for id_, endpoint in in_service.items():
         is_suspected = is_unreachable(fleet, endpoint) and others_have_capacity
         if endpoint.is_outlier and endpoint.passed_health_checks >= MIN_PASSED_HEALTH_CHECKS:
@@ -38,9 +39,9 @@
 
 
 def is_unreachable(fleet: FleetState, endpoint: EndpointState) -> bool:
-    """Whether as many attempts in a row failed as make a proxy avoid it, and health checks confirm that.
+    """Whether enough consecutive attempts failed for a proxy to avoid the endpoint, and health checks confirm it.
 
-    A slow or overloaded endpoint still answers some attempts; one that is unreachable answers none.
+    A slow or overloaded endpoint still responds to some attempts; one that is unreachable responds to none.
     """
     return (
         endpoint.failures_since_success >= _min_failures(fleet)
@@ -49,10 +50,10 @@
 
 
 def endpoints_in_use(fleet: FleetState) -> list[EndpointState]:
-    """The endpoints that proxies can use, also where no more may be marked as outliers.
+    """Returns the endpoints that proxies can use: without unreachable ones, even if not marked as outliers.
 
-    Those that are not published yet are idle, and would hide that all others are full; they count only where none is
-    published.
+    Endpoints that are not published yet are idle, and would hide that all others are full; they count only if no
+    endpoint is published.
     """
     usable = [
         endpoint
@@ -66,15 +67,15 @@
     return max(1, fleet.config.local_ejection_failures)
 
 
-def _utilization_of_answering(fleet: FleetState, in_service: dict[EndpointId, EndpointState]) -> float:
-    """The mean utilization of the endpoints that answer; full where none does."""
+def _mean_responsive_utilization(fleet: FleetState, in_service: dict[EndpointId, EndpointState]) -> float:
+    """Returns the mean utilization of the endpoints that respond; 1 if none does."""
     min_failures = _min_failures(fleet)
-    answering = [
+    responsive = [
         endpoint.utilization
         for endpoint in in_service.values()
         if endpoint.failures_since_success < min_failures and endpoint.utilization is not None
     ]
-    return sum(answering) / len(answering) if answering else 1.0
+    return sum(responsive) / len(responsive) if responsive else 1.0
 
 
 def _restore(fleet: FleetState, endpoint: EndpointState) -> None:
--- a/quillstep/planner/planner.py
+++ b/quillstep/planner/planner.py
@@ -1,17 +1,18 @@
-"""The planner: which endpoints the proxies use, in what parts, and which requests they admit.
+"""The planner: sets the endpoints that the proxies use, their weights, and the admission limits.
 
-The design follows EJFAT (`docs/design.md`): a Q value for each endpoint learns from a load-derived payoff; Q value
-times listed weight, normalised, is rounded into the slots of one calendar that all joined proxies share.  Beside it
-stand six mechanisms:
+The design follows EJFAT (`docs/design.md`): each endpoint has a Q value that is learned from a load-derived payoff.
+Q value times listed weight, normalised, is rounded to slots of one calendar that all joined proxies share.  Six
+mechanisms complement the calendar:
 
-    outlier detection   an endpoint stays out where statistics suggest it and health checks confirm it (`outliers`)
-    last endpoint       no table loses its last usable endpoint (`calendar`); a proxy that may hold none is assigned
+    outlier detection   an endpoint is kept out when statistics suggest a failure and health checks confirm
+                        it (`outliers`)
+    last endpoint       no table loses its last usable endpoint (`calendar`); a proxy that may have none is assigned
                         a subset of the calendar first (`assignment`)
-    admission limits    under overload less is admitted, the least priority per work first (`admission`)
-    retry policies      follow what a class allows, and allow fewer retries under overload (`admission`)
-    update budget       lines and messages are counted; drains, failures and joins go before ordinary changes
+    admission limits    under overload, the classes with the lowest priority per work are shed first (`admission`)
+    retry policies      depend on the class's semantics, and allow fewer retries under overload (`admission`)
+    update budget       lines and messages are limited; drains, failures and joins precede ordinary changes
                         (`update_budget`, `publishing`)
-    clean start         nothing is taken over from before a start; each proxy is assigned tables as it joins
+    clean start         no state survives a restart; each proxy is assigned tables when it joins
 """
 
 from random import Random
@@ -27,20 +28,20 @@
 from quillstep.planner.state import CONTROL_INTERVAL_MS, FleetState
 from quillstep.planner.update_budget import UpdateBudget
 
-INTERVAL_TIMER = 1  # the token of the timer for the next control interval
+INTERVAL_TIMER = 1  # token of the timer for the next control interval
 
 
 class Planner:
-    """Decides for one controller, from a start to the next.
+    """Makes the decisions of one controller, from one start to the next.
 
     Attributes:
-        fleet: What is known of endpoints, proxies and classes.
-        capacity: The load on the fleet and its learned capacity.
+        fleet: The state of endpoints, proxies and classes.
+        capacity: The fleet's load and its learned capacity.
         admission: The admission limits.
-        budget: The use of the channel to the proxies.
+        budget: How much of the channel to the proxies is in use.
         assigner: The assignment of tables to proxies.
         calendar: The slots of each table.
-        publisher: What goes to the proxies.
+        publisher: Sends changes to the proxies.
     """
 
     def __init__(self, config: PlannerConfig, seed: int) -> None:
@@ -56,12 +57,16 @@
         self._next_interval_ms: float | None = None
 
     def run_interval(self, observations: Observations, output: PlannerOutput) -> None:
-        """Takes in what was observed, and writes what follows from it.
+        """Handles observations, and writes the updates that result from them.
 
-        Observations are taken in at each call; learning goes by full control intervals, whenever one is due.
+        Each call handles its observations; learning advances only when a full control interval is due.
+
+        Args:
+            observations: Everything observed since the previous call.
+            output: Receives the updates.
         """
         if self.config.slices:
-            return  # fleets with sliced key spaces are not supported
+            return  # sliced key spaces are not supported
         now_ms = observations.now_ms
         if self._next_interval_ms is None:
             self._next_interval_ms = self._start(now_ms, output)
@@ -78,7 +83,7 @@
         self.publisher.publish(now_ms, is_interval_due, output)
 
     def _start(self, now_ms: float, output: PlannerOutput) -> float:
-        """Begins at a random moment of an interval, so that controllers started together do not act together."""
+        """Starts the first interval at a random phase, so that controllers started together do not act in lockstep."""
         first_interval_ms = now_ms + CONTROL_INTERVAL_MS * self._random.random()
         output.set_timer(INTERVAL_TIMER, first_interval_ms)
         if self.config.watches_on_request:
--- a/quillstep/planner/publishing.py
+++ b/quillstep/planner/publishing.py
@@ -1,8 +1,9 @@
-"""Publishes what has changed, within the update budget.
+"""Publishes changes to the proxies within the update budget.
 
-Drains and failures go at once, assignments as the budget allows, and at each control interval the changes that are
-largest.  Only differences are written: slots and limits that moved by more than a set part of what was published.  An
-endpoint that no table lists any more is ejected, which is one line a proxy and holds for tables of any origin.
+Drains and failures are published at once, assignments as the budget allows, and the largest other changes at each
+control interval.  Only differences are published: slots and limits that differ from the published value by more than
+MIN_RELATIVE_CHANGE.  An endpoint without slots is ejected, which takes one line per proxy and applies to all its
+tables, whichever controller wrote them.
 """
 
 from collections import Counter
@@ -23,57 +24,57 @@
 )
 from quillstep.planner.update_budget import UpdateBudget
 
-URGENT_TIMER = 2  # the token of the timer for what could not be published at once
+URGENT_TIMER = 2  # token of the timer for changes that could not be published at once
 URGENT_RETRY_MS = 0.2 * CONTROL_INTERVAL_MS
-MIN_RELATIVE_CHANGE = 0.1  # of what was published, up to which a value is not published again
-URGENT_RANK = -1e9  # at and below: drains, failures, and warming endpoints that must lose slots
-ADDED_ENDPOINT_SLOTS = 3 * SLOTS_PER_ENDPOINT  # what an added or restored endpoint ranks as at least
-DELISTED_RETENTION_MS = 20 * CONTROL_INTERVAL_MS  # after an endpoint left the list, until its lines are removed
+MIN_RELATIVE_CHANGE = 0.1  # smaller changes, relative to the published value, are not published
+URGENT_RANK = -1e9  # ranks up to this: drains, failures, and warming endpoints that must lose slots
+ADDED_ENDPOINT_SLOTS = 3 * SLOTS_PER_ENDPOINT  # minimum size by which an added or restored endpoint is ranked
+DELISTED_RETENTION_MS = 20 * CONTROL_INTERVAL_MS  # time until a delisted endpoint is removed from the tables
 NOT_PUBLISHED = PublishedAdmission(0.0, -1)
 
 
 class EndpointChange(NamedTuple):
-    """What should be published of one endpoint; the lowest rank goes first."""
+    """A change of one endpoint that is due; changes are published in ascending order of rank."""
 
     rank: float
     endpoint: EndpointId
-    slots: dict[int, int]  # by table
+    slots: dict[int, int]  # by table number
     is_ejected: bool
 
     @property
     def is_urgent(self) -> bool:
-        """Whether it goes at once, and before everything that is not urgent."""
+        """Whether the change is published at once, before all changes that are not urgent."""
         return self.rank <= URGENT_RANK
 
 
 @dataclass(slots=True)
 class Audience:
-    """Whom updates reach, counted when publishing begins."""
+    """Numbers of proxies that updates reach, counted when publishing begins."""
 
     joined: int
     with_calendar: int
-    users: dict[int, int]  # proxies by the calendar's table that they use
-    outside_subsets: int  # all but those that use only a subset
-    subset_users: Counter[EndpointId]  # proxies by endpoint of the subset that they use
+    table_users: dict[int, int]  # proxies with the calendar, by calendar table
+    outside_subsets: int  # proxies except those that use only a subset
+    subset_users: Counter[EndpointId]  # proxies without the calendar, by endpoint of their subsets
 
     @classmethod
     def of(cls, fleet: FleetState) -> "Audience":
-        """Counts the joined proxies by what they were assigned."""
+        """Counts the joined proxies by their assigned tables."""
         zones = [proxy.zone for proxy in fleet.proxies.values() if proxy.has_calendar]
-        users = {table.number: zones.count(table.zone) if table.zone else len(zones) for table in fleet.tables}
+        table_users = {table.number: zones.count(table.zone) if table.zone else len(zones) for table in fleet.tables}
         waiting = [proxy.subsets for proxy in fleet.proxies.values() if not proxy.has_calendar]
         subset_users = Counter(endpoint for subsets in waiting for subset in subsets for endpoint in subset)
         joined = len(fleet.proxies)
-        return cls(joined, len(zones), users, joined - sum(map(bool, waiting)), subset_users)
+        return cls(joined, len(zones), table_users, joined - sum(map(bool, waiting)), subset_users)
 
-    def ejection_receivers(self, change: EndpointChange) -> int:
-        """How many proxies an ejection or restore is sent to: a subset without the endpoint needs none."""
+    def ejection_recipients(self, change: EndpointChange) -> int:
+        """Returns how many proxies get an ejection or restoration; a subset without the endpoint needs no ejection."""
         return self.outside_subsets + self.subset_users[change.endpoint] if change.is_ejected else self.joined
 
 
 @dataclass(slots=True)
 class WrittenUpdates:
-    """What one call has written so far: lines over all proxies, and the proxies that get a message."""
+    """Running totals of one call: lines over all proxies, and the proxies that get a message."""
 
     lines: int
     messages: int
@@ -81,91 +82,95 @@
 
 
 class Publisher:
-    """Writes updates within the update budget."""
+    """Publishes changes and assigns tables within the update budget."""
 
     def __init__(self, fleet: FleetState, calendar: Calendar, budget: UpdateBudget, assigner: TableAssigner) -> None:
         self.fleet, self.calendar, self.budget, self.assigner = fleet, calendar, budget, assigner
         self._retry_ms = self._published_ms = float("-inf")
 
     def publish(self, now_ms: float, is_interval_due: bool, output: PlannerOutput) -> None:
-        """Writes all that is due and fits, and requests acks of it."""
+        """Writes all due updates that fit the budget, and requests acks for them."""
         fleet, budget, assigner = self.fleet, self.budget, self.assigner
         budget.estimate_sent(now_ms)
-        # Messages to all are spaced: failures that arrive one by one must not use up those allowed to a proxy.
-        may_message_all = not budget.is_crowded() and now_ms >= self._published_ms + budget.min_message_gap_ms
+        # Messages to all proxies are spaced out: failures that arrive one by one must not use up the message limit.
+        may_message_all = not budget.is_congested() and now_ms >= self._published_ms + budget.min_message_gap_ms
         written_before = budget.written_lines
-        lacking = assigner.proxies_without_usable_endpoint()
-        messages = assigner.assign_subsets(lacking, output)
+        without_endpoint = assigner.proxies_without_usable_endpoint()
+        messages = assigner.assign_subsets(without_endpoint, output)
         if (is_interval_due or fleet.has_urgent_change) and may_message_all:
             fleet.has_urgent_change = False
-            subsets_wait = messages < len(lacking)
-            published = self.publish_changes(now_ms, is_interval_due, subsets_wait, output)
+            subsets_pending = messages < len(without_endpoint)
+            published = self.publish_changes(now_ms, is_interval_due, subsets_pending, output)
             self._published_ms = now_ms if published else self._published_ms
             messages += published
-        if not lacking:
+        if not without_endpoint:
             messages += assigner.assign_calendar(assigner.proxies_awaiting_calendar(), output)
         self._schedule_retry(now_ms, output)
         if messages:
             budget.request_ack(written_before, messages, output)
 
     def _schedule_retry(self, now_ms: float, output: PlannerOutput) -> None:
-        """Asks for an early control interval where something urgent is left."""
-        is_waiting = self.fleet.has_urgent_change or not self.fleet.all_proxies_have_calendar()
-        if is_waiting and self._retry_ms <= now_ms:
+        """Requests an early control interval if urgent changes or assignments are still pending."""
+        is_pending = self.fleet.has_urgent_change or not self.fleet.all_proxies_have_calendar()
+        if is_pending and self._retry_ms <= now_ms:
             self._retry_ms = now_ms + URGENT_RETRY_MS
             output.set_timer(URGENT_TIMER, self._retry_ms)
 
-    def publish_changes(self, now_ms: float, is_interval_due: bool, subsets_wait: bool, output: PlannerOutput) -> int:
-        """Writes the differences between what is wanted and what is published.
+    def publish_changes(
+        self, now_ms: float, is_interval_due: bool, subsets_pending: bool, output: PlannerOutput
+    ) -> int:
+        """Writes the differences between the wanted and the published state.
 
         Args:
-            now_ms: The control interval's time.
-            is_interval_due: Whether ordinary changes go as well.
-            subsets_wait: Whether subsets wait for the channel, which then takes less of anything else.
-            output: Where the changes are written.
+            now_ms: Time of the control interval.
+            is_interval_due: Whether to publish ordinary changes as well as urgent ones.
+            subsets_pending: Whether subsets wait for the channel; other updates then get less of it.
+            output: Receives the changes.
 
         Returns:
-            The messages that this makes.
+            The number of messages.
         """
         fleet, budget = self.fleet, self.budget
         audience = Audience.of(fleet)
         wanted = {table.number: self.calendar.slots(table.zone, now_ms) for table in fleet.tables}
-        lines = sum(audience.users[table.number] * self._publish_admission(table, output) for table in fleet.tables)
+        lines = sum(
+            audience.table_users[table.number] * self._publish_admission(table, output) for table in fleet.tables
+        )
         written = WrittenUpdates(lines, audience.with_calendar if lines else 0)
-        max_urgent = budget.max_urgent_lines(subsets_wait)
+        max_urgent = budget.max_urgent_lines(subsets_pending)
         max_ordinary = budget.max_ordinary_lines(max_urgent, audience.with_calendar != audience.joined)
         queued = budget.queued_lines + budget.lines_per_message * audience.joined
-        for change in sorted(self._changes(now_ms, wanted), key=lambda change: change.rank):
+        for change in sorted(self._wanted_changes(now_ms, wanted), key=lambda change: change.rank):
             is_urgent = change.is_urgent
-            cost = self._cost(change, audience)
+            cost = self._line_cost(change, audience)
             if cost and not is_urgent and not is_interval_due:
                 continue
             if queued + written.lines + cost > (max_urgent if is_urgent else max_ordinary):
-                fleet.has_urgent_change |= is_urgent  # the rest goes soon
+                fleet.has_urgent_change |= is_urgent  # retried at the next early control interval
                 continue
-            self._count(change, cost, audience, written)
-            self._write(change, output)
+            self._add_to_written(change, cost, audience, written)
+            self._write_change(change, output)
         budget.written_lines += written.lines + budget.lines_per_message * written.messages
         return written.messages
 
-    def _cost(self, change: EndpointChange, audience: Audience) -> int:
-        """The lines that a change makes, over all proxies."""
-        lines = sum(audience.users[table] for table in change.slots)
+    def _line_cost(self, change: EndpointChange, audience: Audience) -> int:
+        """Returns the lines that a change takes, over all proxies."""
+        lines = sum(audience.table_users[table] for table in change.slots)
         if change.is_ejected != self.fleet.endpoints[change.endpoint].is_ejected:
-            lines += audience.ejection_receivers(change)
+            lines += audience.ejection_recipients(change)
         return lines
 
-    def _count(self, change: EndpointChange, cost: int, audience: Audience, written: WrittenUpdates) -> None:
-        """Adds a change to what is written, before it is."""
+    def _add_to_written(self, change: EndpointChange, cost: int, audience: Audience, written: WrittenUpdates) -> None:
+        """Adds a change to the totals; call before the change is written, which updates the published state."""
         if change.is_ejected != self.fleet.endpoints[change.endpoint].is_ejected:
-            written.subset_messages += audience.ejection_receivers(change) - audience.outside_subsets
+            written.subset_messages += audience.ejection_recipients(change) - audience.outside_subsets
             reached = min(audience.joined, audience.outside_subsets + written.subset_messages)
         else:
             reached = audience.with_calendar if cost else 0
         written.messages = max(written.messages, reached)
         written.lines += cost
 
-    def _write(self, change: EndpointChange, output: PlannerOutput) -> None:
+    def _write_change(self, change: EndpointChange, output: PlannerOutput) -> None:
         state = self.fleet.endpoints[change.endpoint]
         for table, slots in change.slots.items():
             output.set_weight(table, change.endpoint, slots)
@@ -176,26 +181,26 @@
         if state.delisted_ms is not None and not change.is_ejected:
             del self.fleet.endpoints[change.endpoint]
 
-    def _changes(self, now_ms: float, wanted: dict[int, dict[EndpointId, int]]) -> Iterator[EndpointChange]:
-        """What should be published, given the wanted slots by table and endpoint."""
+    def _wanted_changes(self, now_ms: float, wanted: dict[int, dict[EndpointId, int]]) -> Iterator[EndpointChange]:
+        """Yields the changes that are due, given the wanted slots by table and endpoint."""
         for id_, state in self.fleet.endpoints.items():
             slots = {table: calendar.get(id_, 0) for table, calendar in wanted.items()}
             holds_slots = any(slots.values())
             if self._can_remove(state, now_ms):
                 yield EndpointChange(0.0, id_, dict.fromkeys(state.published_slots, 0), False)
             elif holds_slots:
-                change = self._slots_change(id_, state, slots, now_ms)
+                change = self._slot_change(id_, state, slots, now_ms)
                 if change:
                     yield change
             elif not state.is_ejected and (state.published_slots or not state.is_in_service):
-                # Drains and failures before endpoints that are only held back; what holds most slots first.
-                urgency = self._is_weak(state, now_ms) + (not state.is_in_service)
+                # Drains and failures precede warming endpoints and outliers; then endpoints with most slots go first.
+                urgency = self._has_reduced_capacity(state, now_ms) + (not state.is_in_service)
                 yield EndpointChange(URGENT_RANK * urgency - sum(state.published_slots.values()), id_, {}, True)
 
-    def _slots_change(
+    def _slot_change(
         self, id_: EndpointId, state: EndpointState, slots: dict[int, int], now_ms: float
     ) -> EndpointChange | None:
-        """The slots that moved enough to be published again, or all of an endpoint that is restored."""
+        """Returns an endpoint's slots that changed enough to be published, or a restoration; None if neither is due."""
         before = state.published_slots
         moved = {}
         for table, wanted in slots.items():
@@ -205,21 +210,21 @@
         if not moved and not state.is_ejected:
             return None
         loses_slots = any(wanted < before.get(table, 0) for table, wanted in moved.items())
-        is_urgent = loses_slots and self._is_weak(state, now_ms)
-        # An added or restored endpoint has few slots at first, and yet brings the capacity of a whole one.
+        is_urgent = loses_slots and self._has_reduced_capacity(state, now_ms)
+        # An added or restored endpoint has few slots at first, but adds the capacity of a complete endpoint.
         least = ADDED_ENDPOINT_SLOTS if state.is_ejected or not before else 0
         size = max(least, *(abs(wanted - before.get(table, 0)) for table, wanted in slots.items()))
         return EndpointChange(URGENT_RANK * is_urgent - size, id_, moved, False)
 
-    def _is_weak(self, state: EndpointState, now_ms: float) -> bool:
-        """Whether it is not in service, or still warming up."""
+    def _has_reduced_capacity(self, state: EndpointState, now_ms: float) -> bool:
+        """Whether an endpoint is not in service, or is still warming up."""
         return not state.is_in_service or warm_up_fraction(self.fleet.config, state, now_ms) < 1.0
 
     def _can_remove(self, state: EndpointState, now_ms: float) -> bool:
-        """Whether an endpoint left the list for good, so that its lines can be removed.
+        """Whether a delisted endpoint can be removed from the tables.
 
-        Endpoints are replaced under new ids all day, and tables would grow.  A proxy without the calendar may still
-        hold the endpoint, so that none is restored before all proxies have one.
+        Endpoints are replaced under new ids all the time, so tables would grow without removal.  Removal restores the
+        ejected endpoint, so it waits until all proxies have the calendar: others may still hold the endpoint.
         """
         return (
             state.delisted_ms is not None
@@ -229,7 +234,7 @@
         )
 
     def _publish_admission(self, table: CalendarTable, output: PlannerOutput) -> int:
-        """Writes the limits and retry policies of a table that moved, and returns how many did."""
+        """Writes a table's changed limits and retry policies, and returns the number of changes."""
         changes = 0
         for index in table.classes:
             state = self.fleet.classes[index]
--- a/quillstep/planner/q_learning.py
+++ b/quillstep/planner/q_learning.py
@@ -1,29 +1,29 @@
-"""Q-learning per endpoint on a load-derived payoff.
+"""Q-learning with one Q value per endpoint and a load-derived payoff.
 
 The update is equation 1 of M. Goodrich and others, "EJFAT: Towards Intelligent Compute Destination Load Balancing":
 
     Q[t+1, node] = Q[t, node] + alpha * (R[t, node] + gamma * max(E{R[node]}) - Q[t, node])
 
 with a maximum expected future payoff of 1.  The paper's payoff R is the empty fraction of a server's input queue
-(equation 2); here it is one minus the reported load.  `docs/design.md` lists what differs from the paper, and why.
+(equation 2); here it is one minus the reported load.  `docs/design.md` lists the differences from the paper, and why.
 """
 
 from quillstep.planner.state import CONTROL_INTERVAL_MS, EndpointState, FleetState
 
-LEARNING_RATE = 0.15  # alpha; reports are two to three intervals old, so a higher rate chases its own effect
-DISCOUNT_RATE = 0.1  # gamma; also what a full endpoint keeps, so that it stays in the calendar
+LEARNING_RATE = 0.15  # alpha; reports are two to three intervals old, and a higher rate would oscillate
+DISCOUNT_RATE = 0.1  # gamma; also the Q value that a full endpoint tends to, which keeps it in the calendar
 MAX_EXPECTED_PAYOFF = 1.0
-MAX_REPORT_AGE_INTERVALS = 2.0  # a report counts by its age, up to this
-UTILIZATION_GAIN = 0.7  # how far one report moves the smoothed utilization
-SILENT_FAILURE_SHARE = 0.5  # of failed attempts, from which an endpoint without a load report counts as full
+MAX_REPORT_AGE_INTERVALS = 2.0  # limit on the age by which a report is weighted
+UTILIZATION_GAIN = 0.7  # smoothing factor per report
+MAX_UNREPORTED_FAILURE_SHARE = 0.5  # an endpoint without a load report counts as full above this share of failures
 
 
 def update_q_values(fleet: FleetState, now_ms: float) -> None:
-    """Applies each endpoint's newest load report once, and starts to count its attempts anew."""
+    """Applies each endpoint's newest load report once, and resets its attempt counts."""
     for endpoint in fleet.endpoints.values():
         failure_share = endpoint.failures / endpoint.attempts if endpoint.attempts else 0.0
-        if endpoint.reported_load is None and failure_share > SILENT_FAILURE_SHARE:
-            endpoint.reported_load = 1.0  # it answers no attempt, so no report will come
+        if endpoint.reported_load is None and failure_share > MAX_UNREPORTED_FAILURE_SHARE:
+            endpoint.reported_load = 1.0  # most attempts get no response, so no load report arrives
         if endpoint.reported_load is not None:
             load = min(1.0, max(0.0, endpoint.reported_load))
             _update_utilization(endpoint, max(load, failure_share))
@@ -35,12 +35,12 @@
 
 
 def payoff(load: float, failure_share: float) -> float:
-    """The empty fraction of an endpoint, lowered by failing attempts: one that fails fast reports an empty queue."""
+    """Returns an endpoint's free fraction, reduced by failures: an endpoint that fails fast reports an empty queue."""
     return (1.0 - load) * (1.0 - failure_share) ** 2
 
 
 def mean_q_value(fleet: FleetState) -> float:
-    """What an endpoint without a report counts as; 1 where none has reported, as in the paper's equal start."""
+    """Returns the mean Q value, used for endpoints without a report; 1 where none has reported, as in the paper."""
     q_values = [
         endpoint.q_value
         for endpoint in fleet.endpoints.values()
@@ -50,7 +50,7 @@
 
 
 def _update_q_value(endpoint: EndpointState, reward: float, now_ms: float) -> None:
-    """Equation 1; a report that covers several intervals counts as as many updates, within bounds."""
+    """Applies equation 1, repeated for a report that covers several intervals, up to MAX_REPORT_AGE_INTERVALS."""
     assert endpoint.q_value is not None
     intervals = 1.0
     if endpoint.q_updated_ms is not None:
@@ -61,7 +61,11 @@
 
 
 def _update_utilization(endpoint: EndpointState, observed: float) -> None:
-    """Failing attempts count as load: where most fail there is no capacity left, whatever the few answers report."""
+    """Smooths the utilization.
+
+    Callers count failures as load: an endpoint at which most attempts fail has no capacity left, whatever the load
+    reports of the few responses.
+    """
     if endpoint.utilization is None:
         endpoint.utilization = observed
     else:
--- a/quillstep/planner/state.py
+++ b/quillstep/planner/state.py
@@ -1,7 +1,7 @@
-"""What the planner knows between control intervals: endpoints, joined proxies, classes, and what changed lately.
+"""The planner's state between control intervals: endpoints, joined proxies, classes and recent changes.
 
-`FleetState` follows the observations; the other modules of this package read it, and write the learned values and the
-published values of its records.  Times are milliseconds of the caller's clock.
+`FleetState` applies the observations; the other modules of this package read it, and update the learned and published
+values of its records.  Times are milliseconds of the caller's clock.
 """
 
 from collections.abc import Iterable
@@ -21,14 +21,14 @@
 )
 
 CONTROL_INTERVAL_MS = 1000.0
-SETTLING_INTERVALS = 5  # until reports show what a proxy that joined or left has changed
-SHARED_TABLE = 0  # the calendar of all classes that may leave their zone; the tables of the zones follow
-REQUEST_RATE_RETENTION = 0.7  # the part of a smoothed request rate that is left after one control interval
+SETTLING_INTERVALS = 5  # time until reports reflect a proxy that joined or left
+SHARED_TABLE = 0  # calendar of the classes that may leave their zone; the zones' tables follow
+REQUEST_RATE_RETENTION = 0.7  # weight of the previous smoothed rate after one control interval
 
 NO_RETRY = 0
-RETRY_IF_NOT_STARTED = 1  # one retry, after proof that the attempt never ran
+RETRY_IF_NOT_STARTED = 1  # one retry, if the attempt provably did not start
 RETRY_ANY_FAILURE = 2  # one retry, after any failure
-MAX_PROXY_STALL_OBJECTIVES = 2.5  # latency objectives that a proxy may stand still between two attempts
+MAX_PROXY_STALL_OBJECTIVES = 2.5  # longest proxy stall between two attempts, in latency objectives
 
 
 class CalendarTable(NamedTuple):
@@ -40,7 +40,7 @@
 
 
 class PublishedAdmission(NamedTuple):
-    """What a table's proxies were last sent for a class."""
+    """The limit and retry policy of a class that were last published for a table."""
 
     limit: float
     retry_policy: int
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True)
 class EndpointState:
-    """One listed endpoint: what is listed, observed and learned of it, and what has been published."""
+    """One endpoint: its listed, observed, learned and published values."""
 
     zone: str
     is_in_service: bool
     listed_weight: float
     started_ms: float
     # Observed since the last control interval.
-    reported_load: float | None = None  # the newest
+    reported_load: float | None = None  # newest load report
     attempts: float = 0
     failures: float = 0
     total_success_ms: float = 0.0
@@ -64,44 +64,44 @@
     q_updated_ms: float | None = None
     utilization: float | None = None  # smoothed; failing attempts count as load
     failures_since_success: float = 0
-    failed_health_checks: int = 0  # in a row
-    passed_health_checks: int = 0  # in a row
+    failed_health_checks: int = 0  # consecutive
+    passed_health_checks: int = 0  # consecutive
     is_outlier: bool = False
     # Published.
-    published_slots: dict[int, int] = field(default_factory=dict)  # by table
-    is_ejected: bool = False  # proxies keep it out of all tables
-    delisted_ms: float | None = None  # since when it is no longer listed, or listed as terminated
+    published_slots: dict[int, int] = field(default_factory=dict)  # by table number
+    is_ejected: bool = False  # ejected from all tables of the proxies
+    delisted_ms: float | None = None  # when it left the endpoint list, or was listed as terminated
 
 
 @dataclass(slots=True)
 class JoinedProxy:
-    """A proxy with an open stream, and the requests per second that reach it of each class."""
+    """A proxy with an open stream, and the requests per second of each class that it receives."""
 
     zone: str
     request_rates: list[float]
-    subsets: list[list[EndpointId]] = field(default_factory=list)  # the endpoints of each subset that it was assigned
+    subsets: list[list[EndpointId]] = field(default_factory=list)  # endpoints of each assigned subset
     has_calendar: bool = False
     has_reported: bool = False
 
 
 @dataclass(slots=True)
 class ClassState:
-    """One class: the limits that the planner chose for it, and what was published."""
+    """One class: its admission limit and retry policy, and their published values."""
 
-    calm_retry_policy: int  # while nothing is loaded or changing
-    priority_per_work: float  # the priority weight a millisecond of the latency objective
+    normal_retry_policy: int  # without load, and with no recent joins or leaves
+    priority_per_work: float  # priority weight per millisecond of the latency objective
     retry_policy: int = RETRY_IF_NOT_STARTED
     admission_limit: float = 1.0
     smoothed_admitted_share: float = 1.0
-    published: dict[int, PublishedAdmission] = field(default_factory=dict)  # by table
+    published: dict[int, PublishedAdmission] = field(default_factory=dict)  # by table number
 
 
 class FleetState:
-    """The endpoints, proxies and classes of one planner, from a start to the next.
+    """The endpoints, proxies and classes of one planner, from one start to the next.
 
     Attributes:
-        tables: The tables that hold calendars; they follow from the configuration.
-        has_urgent_change: Something changed that must be published before the next control interval is due.
+        tables: The calendar tables, derived from the configuration.
+        has_urgent_change: A change must be published before the next control interval is due.
         must_watch_again: Discovery reported an error; the watch is requested again when the next interval is due.
         last_proxy_change_ms: When a proxy left, or joined while it held another controller's updates.
         last_migration_ms: When a proxy last joined while it held another controller's updates.
@@ -118,9 +118,9 @@
         self.last_proxy_change_ms = self.last_migration_ms = float("-inf")
 
     def apply_endpoint_list(self, update: EndpointListUpdate, now_ms: float) -> None:
-        """Follows an endpoint list or a change of it."""
+        """Applies a complete endpoint list or a change to it."""
         if update.kind == "error":
-            # Not asked again at once: a call that failed may have met an overloaded discovery.
+            # Not requested again at once: discovery may have failed because it is overloaded.
             self.must_watch_again = True
             return
         if update.kind != "partial":
@@ -145,7 +145,7 @@
         state.delisted_ms = now_ms if entry.state == "terminated" else None
 
     def _restarted(self, entry: EndpointEntry, before: EndpointState | None) -> EndpointState:
-        """An endpoint that has just started: only what is published of the one before still holds."""
+        """Returns the state of an endpoint that was added or restarted; only the published values carry over."""
         state = EndpointState(entry.zone, False, entry.weight, entry.started_ms)
         if before is not None:
             state.is_in_service = bool(before.published_slots)
@@ -154,7 +154,7 @@
         return state
 
     def apply_proxy_stream(self, event: ProxyStreamEvent, now_ms: float) -> None:
-        """Follows a proxy that joined or left; one that joins again starts anew."""
+        """Adds a proxy that joined or removes one that left; state is reset when a proxy joins again."""
         if self.proxies.pop(event.proxy, None):
             self.last_proxy_change_ms = now_ms
         if event.is_open:
@@ -165,7 +165,7 @@
                 self.has_urgent_change = True
 
     def apply_upstream_stats(self, rows: Iterable[UpstreamStats]) -> None:
-        """Adds up what proxies met at each endpoint."""
+        """Adds up the outcomes of attempts at each endpoint."""
         for stats in rows:
             state = self.endpoints.get(stats.endpoint)
             if state is None:
@@ -180,9 +180,10 @@
             state.reported_load = stats.load.get("util", state.reported_load)
 
     def apply_health_checks(self, results: Iterable[HealthCheckResult]) -> None:
-        """Counts the outcomes of health checks, and takes their load reports.
+        """Counts the outcomes of health checks, and applies their load reports.
 
-        A failed check reads as full load: a full endpoint that falls silent must not keep its last, lower figure.
+        A failed check counts as full load: an overloaded endpoint that stops responding must not keep its last, lower
+        load.
         """
         for result in results:
             state = self.endpoints.get(result.endpoint)
@@ -198,7 +199,7 @@
                 state.passed_health_checks = 0
 
     def apply_downstream_stats(self, rows: Iterable[DownstreamStats]) -> None:
-        """Smooths the request rate of each proxy and class, by the time that each report covers."""
+        """Smooths the request rate of each proxy and class, weighted by the window that each report covers."""
         for stats in rows:
             proxy, window_ms = self.proxies.get(stats.proxy), stats.window_ms
             if proxy is None or window_ms <= 0:
@@ -209,36 +210,36 @@
             rates[index] += step * (stats.requests * 1000.0 / window_ms - rates[index])
 
     def request_rates(self) -> list[float]:
-        """Requests per second of each class, over all joined proxies."""
+        """Returns requests per second by class, over all joined proxies."""
         proxies = self.proxies.values()
         return [sum(proxy.request_rates[index] for proxy in proxies) for index in range(len(self.classes))]
 
     def ejected_endpoints(self) -> set[EndpointId]:
-        """The endpoints whose ejection has been published."""
+        """Returns the endpoints whose ejection has been published."""
         return {endpoint for endpoint, state in self.endpoints.items() if state.is_ejected}
 
     def all_proxies_have_calendar(self) -> bool:
-        """Whether no joined proxy still waits for the calendar."""
+        """Whether all joined proxies have been assigned the calendar."""
         return all(proxy.has_calendar for proxy in self.proxies.values())
 
     def has_recent_migration(self, now_ms: float) -> bool:
-        """Whether a proxy that came from another controller joined so lately that reports do not show it yet."""
+        """Whether a proxy migrated from another controller so recently that reports do not reflect it yet."""
         return now_ms - self.last_migration_ms < SETTLING_INTERVALS * CONTROL_INTERVAL_MS
 
     def is_settling(self, now_ms: float) -> bool:
-        """Whether proxies joined or left so lately that reports do not show it yet."""
+        """Whether proxies joined or left so recently that reports do not reflect it yet."""
         return now_ms - self.last_proxy_change_ms < SETTLING_INTERVALS * CONTROL_INTERVAL_MS
 
 
 def class_state(row: ClassConfig, config: PlannerConfig) -> ClassState:
-    """The state of a class at a start, with the retry policy that its semantics allow while the fleet is calm."""
+    """Returns the initial state of a class, with the retry policy that its semantics allow without overload."""
     priority_per_work = row.priority_weight / max(row.latency_objective_ms, 1.0)
-    return ClassState(_calm_retry_policy(row, config), priority_per_work)
+    return ClassState(_normal_retry_policy(row, config), priority_per_work)
 
 
-def _calm_retry_policy(row: ClassConfig, config: PlannerConfig) -> int:
-    """Any failure may be retried only where a repeat is safe, or recognised wherever and whenever it arrives."""
-    # A repeat may arrive after the wait for the first attempt, a stall of the proxy and a delayed update.
+def _normal_retry_policy(row: ClassConfig, config: PlannerConfig) -> int:
+    """Allows retries after any failure only if a repeat is safe, or is recognised wherever and whenever it arrives."""
+    # A repeat may be delayed by the timeout of the first attempt, a stall of the proxy and a delayed update.
     longest_repeat_ms = (
         config.attempt_timeout_factor + MAX_PROXY_STALL_OBJECTIVES
     ) * row.latency_objective_ms + config.max_update_delay_ms
@@ -248,7 +249,7 @@
 
 
 def calendar_tables(config: PlannerConfig) -> list[CalendarTable]:
-    """One table that all classes share, and one a zone for the classes that may not leave their zone."""
+    """Returns a shared table, and a table per zone for the classes that may not leave their zone."""
     home_classes = [index for index, row in enumerate(config.classes) if row.home_zone_only]
     shared_classes = [index for index, row in enumerate(config.classes) if not row.home_zone_only]
     tables = []
--- a/quillstep/planner/update_budget.py
+++ b/quillstep/planner/update_budget.py
@@ -1,49 +1,50 @@
 """The update budget: how much of the channel to the proxies is in use.
 
-The channel sends update lines one after another and at its own pace, which the planner does not see.  The budget
-counts what was written to it, and takes from the acks how much has left; since the last ack it trusts a part of the
-usual pace.
+The channel sends update lines one after another, at a rate that the planner cannot observe.  The budget counts the
+lines written to the channel and derives the sent lines from acks; since the last ack, it assumes a fraction of the
+configured rate.
 """
 
 from dataclasses import dataclass
 
 from quillstep.planner.messages import PlannerConfig, PlannerOutput
 
-TRUSTED_RATE_FRACTION = 0.5  # of the channel's usual pace
-MAX_ACK_SERIALS = 64  # in use at a time
-MAX_QUEUE_FRACTION = 0.93  # of the channel's limit, that all updates may fill
-JOIN_QUEUE_FRACTION = 0.5  # of the same, that assignments of the calendar may fill
-ORDINARY_QUEUE_FRACTION = 0.4  # of the same, that ordinary changes may fill
-ORDINARY_GRACE_FRACTION = 0.2  # of the drain grace, that ordinary changes may take: drains queue behind them
-JOINING_ORDINARY_FACTOR = 0.5  # on what ordinary changes may fill while proxies wait for the calendar
-MESSAGE_GAP_FACTOR = 1.2  # on the least mean time between two messages to a proxy
+ASSUMED_RATE_FRACTION = 0.5  # sending rate assumed since the last ack, divided by the configured channel rate
+MAX_ACK_SERIALS = 64  # serials are reused after this many ack requests
+# Fractions of the channel's limit of queued lines, by kind of update.
+MAX_QUEUE_FRACTION = 0.93  # all updates together
+JOIN_QUEUE_FRACTION = 0.5  # table assignments
+ORDINARY_QUEUE_FRACTION = 0.4  # ordinary changes
+ORDINARY_GRACE_FRACTION = 0.2  # share of the drain grace for queued ordinary changes, which delay drains behind them
+JOINING_ORDINARY_FACTOR = 0.5  # applied to the limit of ordinary changes while proxies wait for the calendar
+MESSAGE_GAP_FACTOR = 1.2  # factor on the minimum mean gap between two messages to a proxy
 
 
 @dataclass(slots=True)
 class InFlightUpdate:
-    """One interval's messages: how many lines have left the channel once so many of them are acknowledged."""
+    """The messages of one interval; each ack advances `sent_lines` by `lines_per_message`."""
 
     sent_lines: float
     lines_per_message: float
 
 
 class UpdateBudget:
-    """Counts the lines in the channel, and says how many more it may take.
+    """Counts the lines in the channel, and limits how many more may be written.
 
     Attributes:
-        written_lines: Lines that were written to the channel since the start.
-        sent_lines: The part of them that is taken to have left it.
+        written_lines: Lines written to the channel since the start.
+        sent_lines: Written lines that are assumed to have left the channel.
     """
 
     def __init__(self, config: PlannerConfig) -> None:
         self.lines_per_message = config.lines_per_message
         self.written_lines = self.sent_lines = 0.0
-        self.in_flight: dict[int, InFlightUpdate] = {}  # by the serial of the ack that was requested
-        self._acked_lines = 0.0  # what left by the acks, at `_acked_ms`
+        self.in_flight: dict[int, InFlightUpdate] = {}  # by serial of the requested ack
+        self._acked_lines = 0.0  # lines sent as of the newest ack, at `_acked_ms`
         self._acked_ms = 0.0
         self._serial = 0
-        self._trusted_lines_per_ms = TRUSTED_RATE_FRACTION * config.channel_lines_per_s / 1000.0
-        # A limit that is not configured holds nothing back.
+        self._assumed_lines_per_ms = ASSUMED_RATE_FRACTION * config.channel_lines_per_s / 1000.0
+        # A limit that is not configured does not restrict updates.
         self.max_queued_lines = config.max_queued_lines or float("inf")
         self.drain_grace_lines = config.drain_grace_ms * config.channel_lines_per_s / 1000.0 or float("inf")
         self.ack_delay_lines = config.channel_lines_per_s * config.max_update_delay_ms / 1000.0 or float("inf")
@@ -53,13 +54,13 @@
 
     @property
     def queued_lines(self) -> float:
-        """Lines that wait in the channel, as far as is known."""
+        """Estimated lines that are queued in the channel."""
         return self.written_lines - self.sent_lines
 
     def apply_acks(self, serials: list[int], now_ms: float) -> None:
-        """Counts acks, one for each proxy and message.
+        """Applies acks, one per proxy and message.
 
-        Messages leave in the order written: an ack proves that everything written before has left as well.
+        Messages are sent in the order written: an ack proves that everything written earlier was sent as well.
         """
         for serial in serials:
             update = self.in_flight.get(serial)
@@ -71,46 +72,46 @@
                 self._acked_ms = now_ms
 
     def estimate_sent(self, now_ms: float) -> None:
-        """Counts what left by the acks, and what the trusted pace has sent since the last of them."""
+        """Updates `sent_lines` from the acks, and from the assumed sending rate since the newest of them."""
         if self.sent_lines >= self.written_lines:
             self._acked_lines, self._acked_ms = self.written_lines, now_ms
-        since_ack = self._trusted_lines_per_ms * (now_ms - self._acked_ms)
+        since_ack = self._assumed_lines_per_ms * (now_ms - self._acked_ms)
         self.sent_lines = min(self.written_lines, self._acked_lines + since_ack)
 
-    def is_crowded(self) -> bool:
-        """Whether so much waits that no change is written at all."""
+    def is_congested(self) -> bool:
+        """Whether the queue is too long for any change to be written."""
         return self.queued_lines > JOIN_QUEUE_FRACTION * self.max_queued_lines
 
     def has_capacity_for_assignment(self, expected_lines: float) -> bool:
-        """Whether one more proxy may be assigned tables; an empty channel takes one of any size.
+        """Whether one more proxy may be assigned tables; an empty channel accepts an assignment of any size.
 
-        No more than is sent until an ack arrives: a drain may have to wait behind it.
+        The queue is limited to the lines sent before an ack arrives, because a drain may have to wait behind it.
         """
         window = min(JOIN_QUEUE_FRACTION * self.max_queued_lines, self.ack_delay_lines)
         return not (self.sent_lines < self.written_lines and self.queued_lines + expected_lines > window)
 
-    def max_urgent_lines(self, subsets_wait: bool) -> float:
-        """How full urgent changes may make the channel; less while subsets wait for it."""
-        return self.ack_delay_lines if subsets_wait else MAX_QUEUE_FRACTION * self.max_queued_lines
+    def max_urgent_lines(self, subsets_pending: bool) -> float:
+        """Returns the limit of queued lines for urgent changes; lower while subsets wait for the channel."""
+        return self.ack_delay_lines if subsets_pending else MAX_QUEUE_FRACTION * self.max_queued_lines
 
-    def max_ordinary_lines(self, max_urgent_lines: float, proxies_wait: bool) -> float:
-        """How full ordinary changes may make the channel; less while proxies wait for the calendar."""
+    def max_ordinary_lines(self, max_urgent_lines: float, proxies_pending: bool) -> float:
+        """Returns the limit of queued lines for ordinary changes; lower while proxies wait for the calendar."""
         lines = min(
             max_urgent_lines,
             ORDINARY_QUEUE_FRACTION * self.max_queued_lines,
             ORDINARY_GRACE_FRACTION * self.drain_grace_lines,
         )
-        return lines * (JOINING_ORDINARY_FACTOR if proxies_wait else 1.0)
+        return lines * (JOINING_ORDINARY_FACTOR if proxies_pending else 1.0)
 
     def request_ack(self, sent_lines: float, messages: int, output: PlannerOutput) -> None:
-        """Requests an ack of this interval's messages.
+        """Requests acks of this interval's messages.
 
         Args:
-            sent_lines: What had been written before them.
-            messages: How many proxies they reach.
-            output: Where the request is written.
+            sent_lines: Lines written before these messages.
+            messages: Number of messages, one per proxy that they reach.
+            output: Receives the request.
         """
-        self.written_lines += messages  # the request is a line of each message
+        self.written_lines += messages  # the ack request adds a line to each message
         self._serial = (self._serial + 1) % MAX_ACK_SERIALS
         self.in_flight[self._serial] = InFlightUpdate(sent_lines, (self.written_lines - sent_lines) / messages)
         output.request_ack(self._serial)
--- a/tests/planner/test_planner.py
+++ b/tests/planner/test_planner.py
@@ -1,17 +1,17 @@
-"""One control interval: timers, the endpoint watch, and observations that are odd."""
+"""Control intervals: timers, the endpoint watch, and unusual observations."""
 
 import pytest
 from planner_harness import PlannerHarness, entry, planner_config
 
 
 @pytest.mark.parametrize("on_request", [False, True])
-def test_the_endpoint_watch_is_requested_only_where_the_site_asks_for_it(on_request):
+def test_the_endpoint_watch_is_requested_only_if_configured(on_request):
     harness = PlannerHarness(planner_config(watches_on_request=on_request), entries=[])
     assert (("watch_endpoints",) in harness.written_at_start) == on_request
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "observations",
     [
         {"endpoint_lists": [("complete", [])]},
         {"endpoint_lists": [("error", [])]},
@@ -22,15 +22,15 @@
         {"endpoint_lists": [("partial", [entry(1, weight=0.0), entry(1, weight=0.0)])], "after": 90000.0},
     ],
 )
-def test_odd_but_legal_observations_never_fail(odd):
+def test_unusual_but_valid_observations_do_not_fail(observations):
     harness = PlannerHarness(planner_config(), entries=[entry(1), entry(2)])
     harness.settle()
-    harness.observe(**odd)
+    harness.observe(**observations)
     harness.run_interval()
-    assert harness.interval_timers() == 1  # one interval is due next, however much came at once
+    assert harness.interval_timers() == 1  # the next interval is scheduled once
 
 
-def test_sites_with_slices_are_not_decided():
+def test_sliced_key_spaces_get_no_updates():
     harness = PlannerHarness(planner_config(slices=8), entries=[entry(1)])
     harness.run_interval()
     assert harness.written_at_start == [] and harness.written == []
--- a/tests/planner/test_update_budget.py
+++ b/tests/planner/test_update_budget.py
@@ -1,4 +1,4 @@
-"""The channel to the proxies stays within its limits."""
+"""Limits of the channel to the proxies."""
 
 from random import Random
 
@@ -6,47 +6,48 @@
 from planner_harness import ChannelModel, PlannerHarness, entry, planner_config
 
 
-def test_updates_keep_to_the_messages_allowed_to_one_proxy():
+def test_updates_respect_the_message_limit_per_proxy():
     limits = planner_config(max_messages=20, message_window_ms=10000.0)
-    harness = PlannerHarness(limits, entries=[entry(at) for at in range(1, 60)])
+    harness = PlannerHarness(limits, entries=[entry(number) for number in range(1, 60)])
     harness.settle()
     written = []
-    for at in range(1, 149):  # a list update every 100 ms wants a message each time
-        change = entry(at % 40 + 1, state=("in_service", "terminated")[at // 40 % 2])
+    for step in range(1, 149):  # each list update, every 100 ms, requires a message
+        change = entry(step % 40 + 1, state=("in_service", "terminated")[step // 40 % 2])
         harness.observe(after=100.0, endpoint_lists=[("partial", [change])])
-        written += [harness.now] if any(call[0] in ("set_weight", "set_ejected") for call in harness.written) else []
-    assert len(written) >= 15  # each update within 0.6 s, and none is ever held for long
-    assert max(sum(now - 10000.0 < at <= now for at in written) for now in written) <= 18  # two for joins
+        written += [harness.now_ms] if any(call[0] in ("set_weight", "set_ejected") for call in harness.written) else []
+    assert len(written) >= 15  # each update is sent within 0.6 s, and none is delayed for long
+    # Two of the allowed messages remain for joins.
+    assert max(sum(now_ms - 10000.0 < sent_ms <= now_ms for sent_ms in written) for now_ms in written) <= 18
     assert max(b - a for a, b in zip(written, written[1:], strict=False)) <= 1300.0
 
 
-@pytest.mark.parametrize("pace", [1.0, 0.5])
-def test_joins_at_full_size_keep_the_queue_short_and_finish(pace):
-    # The joins of one start, or of another controller's proxies, must not overrun the channel at once.
+@pytest.mark.parametrize("rate_factor", [1.0, 0.5])
+def test_mass_joins_stay_within_the_queue_limit_and_complete(rate_factor):
+    # Simultaneous joins, at a start or from another controller, must not exceed the channel's limit.
     limits = planner_config(channel_lines_per_s=2700.0, max_queued_lines=4500.0, lines_per_message=3.0)
-    harness = PlannerHarness(limits, entries=[entry(at) for at in range(100)], proxies=125)
-    channel = ChannelModel(harness, pace)
-    for at in range(300):
-        streams = [(n, True, "b", 5.0, False) for n in range(125, 250)] if at == 50 else []
-        dead = [("partial", [entry(n, state="terminated") for n in range(20)])] if at == 45 else []
-        channel.observe(100.0, proxy_streams=streams, endpoint_lists=dead)
-        assert at != 45 + 20 / pace or all(harness.endpoint(n).is_ejected for n in range(20))
+    harness = PlannerHarness(limits, entries=[entry(number) for number in range(100)], proxies=125)
+    channel = ChannelModel(harness, rate_factor)
+    for step in range(300):
+        streams = [(n, True, "b", 5.0, False) for n in range(125, 250)] if step == 50 else []
+        terminated = [("partial", [entry(n, state="terminated") for n in range(20)])] if step == 45 else []
+        channel.observe(100.0, proxy_streams=streams, endpoint_lists=terminated)
+        assert step != 45 + 20 / rate_factor or all(harness.endpoint(n).is_ejected for n in range(20))
     assert channel.max_queued_lines <= 4500.0 and all(proxy.has_calendar for proxy in harness.fleet.proxies.values())
 
 
-@pytest.mark.parametrize("pace", [0.14, 0.5, 1.0])
-def test_a_channel_far_below_its_usual_pace_is_not_overrun(pace):
-    # Acks that arrive seconds late must not let more into the channel than its limit.
+@pytest.mark.parametrize("rate_factor", [0.14, 0.5, 1.0])
+def test_a_channel_far_below_its_configured_rate_stays_within_its_limit(rate_factor):
+    # Acks that are delayed by seconds must not let the queue exceed its limit.
     limits = planner_config(channel_lines_per_s=3600.0, max_queued_lines=5400.0)
-    harness = PlannerHarness(limits, [entry(at) for at in range(30)], 88)
+    harness = PlannerHarness(limits, [entry(number) for number in range(30)], 88)
     channel, draw = ChannelModel(harness, 1.0), Random(3).random
-    for at in range(600):
-        channel.pace = pace if at > 100 else 1.0
-        new = at // 27
-        swap = [("partial", [entry(30 + new, started=harness.now), entry(new, state="terminated")])]
+    for step in range(600):
+        channel.rate_factor = rate_factor if step > 100 else 1.0
+        new = step // 27
+        replacement = [("partial", [entry(30 + new, started=harness.now_ms), entry(new, state="terminated")])]
         checks = [(number, True, 5.0, {"util": draw()}) for number in list(harness.fleet.endpoints)]
         channel.observe(
-            100.0, endpoint_lists=swap if at % 27 == 0 else [], health_checks=checks if at % 10 == 0 else []
+            100.0, endpoint_lists=replacement if step % 27 == 0 else [], health_checks=checks if step % 10 == 0 else []
         )
     assert channel.max_queued_lines <= 5400.0
 
@@ -54,9 +55,9 @@
 @pytest.mark.parametrize(
     "absent", [{"channel_lines_per_s": 0.0}, {"drain_grace_ms": 0.0}, {"max_update_delay_ms": 0.0}]
 )
-def test_a_limit_that_is_not_configured_holds_nothing_back(absent):
-    """Counted as 0 they let no ordinary change and, at a join, one proxy at a time into the channel."""
-    harness = PlannerHarness(planner_config(**absent), entries=[entry(at) for at in range(1, 11)], proxies=6)
+def test_a_limit_that_is_not_configured_does_not_restrict_updates(absent):
+    """A limit of 0 would block ordinary changes, and admit joining proxies only one at a time."""
+    harness = PlannerHarness(planner_config(**absent), entries=[entry(number) for number in range(1, 11)], proxies=6)
     assert sum(call[0] == "assign_table" for call in harness.written_at_start) == 6
     harness.settle()
     harness.run_interval(acks=list(harness.budget.in_flight))
--- a/tests/planner_harness.py
+++ b/tests/planner_harness.py
@@ -1,4 +1,4 @@
-"""One planner under test: its observations, a clock, and an output that keeps its calls as tuples."""
+"""A planner under test, with a clock and an output that records the planner's calls as tuples."""
 
 from quillstep.planner.assignment import FIRST_SUBSET_TABLE
 from quillstep.planner.messages import (
@@ -25,25 +25,25 @@
 }
 
 
-def class_config(semantics="safe", priority_weight=1.0, **other):
+def class_config(semantics="safe", priority_weight=1.0, **overrides):
     row = {
         "latency_objective_ms": 1000.0,
         "idempotency_scope": "all",
         "idempotency_window_ms": 5000.0,
         "home_zone_only": False,
-        **other,
+        **overrides,
     }
     return ClassConfig(semantics=semantics, priority_weight=priority_weight, **row)
 
 
-def planner_config(**other):
-    base = {
+def planner_config(**overrides):
+    defaults = {
         "classes": [class_config(), class_config("unsafe", 3.0)], "health_checks_allowed": True, "admission": "share",
         "channel_lines_per_s": 3000.0, "lines_per_message": 6.0, "max_queued_lines": 5000.0, "initial_capacity": 0.2,
         "warm_up_ms": 18000.0, "overload_multiple": 3.0, "local_ejection_failures": 5, "attempt_timeout_factor": 0.8,
         "max_update_delay_ms": 800.0, "initial_table_size": 5, "drain_grace_ms": 3000.0, "zones": ["a", "b"],
     }  # fmt: skip
-    return PlannerConfig(**{**base, **other})
+    return PlannerConfig(**{**defaults, **overrides})
 
 
 def entry(endpoint, zone="a", state="in_service", weight=1.0, started=0.0):
@@ -51,21 +51,21 @@
 
 
 def typed(kind, rows):
-    """Plain tuples as the planner's messages of this kind; acks have no type of their own."""
+    """Converts tuples to the planner's messages of a kind; acks are plain integers."""
     return [OBSERVATION_TYPES[kind](*row) if kind in OBSERVATION_TYPES else row for row in rows]
 
 
 class PlannerHarness:
-    """Runs a planner; `written` holds its calls of the newest run, `written_at_start` those of the first."""
+    """Runs a planner; `written` holds the calls of the last run, `written_at_start` those of the first."""
 
     def __init__(self, config, entries, proxies=2):
         self.config = config
         self.planner = Planner(config, SEED)
         self.fleet, self.capacity, self.admission = self.planner.fleet, self.planner.capacity, self.planner.admission
         self.budget = self.planner.budget
-        self.now = 1000.0
+        self.now_ms = 1000.0
         self.written = []
-        self.written_admission = {}  # limit and retry policy by class
+        self.written_admission = {}  # limit and retry policy by class index
         streams = [(number, True, "ab"[number % 2], 10.0, True) for number in range(proxies)]
         self.written_at_start = self.observe(endpoint_lists=[("persisted", entries)], proxy_streams=streams)
 
@@ -79,19 +79,19 @@
         self.written_admission.update({index: (limit, retry_policy) for index in classes})
 
     def observe(self, after=0.0, **observations):
-        """Passes observations to the planner, so many milliseconds after the ones before."""
-        self.now += after
+        """Passes observations to the planner, `after` milliseconds after the previous ones."""
+        self.now_ms += after
         self.written = []
         observed = {kind: typed(kind, rows) for kind, rows in observations.items()}
-        self.planner.run_interval(Observations(self.now, **observed), self)
+        self.planner.run_interval(Observations(self.now_ms, **observed), self)
         return self.written
 
     def run_interval(self, **observations):
-        """The same, when the next control interval is due."""
+        """Passes observations to the planner when the next control interval is due."""
         return self.observe(after=JUST_OVER_AN_INTERVAL_MS, **observations)
 
     def settle(self, util=0.5, attempts=10, failures=0, intervals=12):
-        """Control intervals of even traffic, the same load at every endpoint."""
+        """Runs control intervals with uniform traffic and the same load at every endpoint."""
         fleet = self.fleet
         upstream = [(e, attempts, failures, 200.0, 1000.0, {"util": util}) for e in fleet.endpoints]
         downstream = [(index, p, attempts // 2, 0, 1000.0) for index in (0, 1) for p in fleet.proxies]
@@ -102,12 +102,12 @@
         return self.fleet.endpoints[endpoint]
 
     def slots(self, table=0):
-        """The published slots of a table's endpoints that are not ejected."""
-        used = {e: state for e, state in self.fleet.endpoints.items() if not state.is_ejected}
-        return {e: state.published_slots[table] for e, state in used.items() if state.published_slots.get(table)}
+        """Returns the published slots of a table, without ejected endpoints."""
+        usable = {e: state for e, state in self.fleet.endpoints.items() if not state.is_ejected}
+        return {e: state.published_slots[table] for e, state in usable.items() if state.published_slots.get(table)}
 
     def limits(self):
-        """The published limit and retry policy of each class."""
+        """Returns the published limit and retry policy of each class."""
         return [self.written_admission[index] for index in sorted(self.written_admission)]
 
     def interval_timers(self):
@@ -115,46 +115,55 @@
 
 
 class ChannelModel:
-    """A planner's channel, counted line by line; each message that leaves is acknowledged."""
+    """Simulates a planner's channel line by line; each message that is sent is acknowledged.
 
-    def __init__(self, harness, pace):
-        self.harness, self.pace, self.queue, self.max_queued_lines = harness, pace, [], 0.0
-        self.listed = {}  # the endpoints of each table
-        self.tables = {}  # by proxy, the table of each class
-        self.reached = {}  # by proxy, when its first assigned table left the channel
-        self.take(harness.written_at_start)
+    `rate_factor` is the sending rate divided by the configured channel rate.
+    """
+
+    def __init__(self, harness, rate_factor):
+        self.harness, self.rate_factor, self.queue, self.max_queued_lines = harness, rate_factor, [], 0.0
+        self.table_endpoints = {}  # endpoints by table
+        self.proxy_tables = {}  # table by class, by proxy
+        self.first_sent_ms = {}  # time when the first assigned table was sent, by proxy
+        self.enqueue(harness.written_at_start)
 
     def observe(self, after, **observations):
-        capacity, acks = self.harness.config.channel_lines_per_s * self.pace * after / 1000.0, []
+        capacity, acks = self.harness.config.channel_lines_per_s * self.rate_factor * after / 1000.0, []
         while self.queue and capacity >= self.queue[0][0]:
             capacity -= self.queue[0][0]
             _, serial, assigned_proxy = self.queue.pop(0)
             acks.append(serial)
             if assigned_proxy is not None:
-                self.reached.setdefault(assigned_proxy, self.harness.now)
+                self.first_sent_ms.setdefault(assigned_proxy, self.harness.now_ms)
         if self.queue:
             self.queue[0][0] -= capacity
-        self.take(self.harness.observe(after, acks=acks, **observations))
+        self.enqueue(self.harness.observe(after, acks=acks, **observations))
         return self.harness.written
 
-    def take(self, written):
-        """Queues the messages of one run."""
+    def enqueue(self, written):
+        """Queues the messages of one run of the planner."""
         assigned_lines = {}
         for call in written:
             if call[0] == "set_weight":
-                listed = self.listed.setdefault(call[1], set())
-                (listed.add if call[3] else listed.discard)(call[2])
+                endpoints = self.table_endpoints.setdefault(call[1], set())
+                (endpoints.add if call[3] else endpoints.discard)(call[2])
             if call[0] == "assign_table":
-                lines = sum(1 + self.harness.endpoint(endpoint).is_ejected for endpoint in self.listed[call[2]])
+                lines = sum(
+                    1 + self.harness.endpoint(endpoint).is_ejected for endpoint in self.table_endpoints[call[2]]
+                )
                 assigned_lines[call[1]] = assigned_lines.get(call[1], 0) + 1 + len(call[3]) + lines
-                self.tables.setdefault(call[1], {}).update(dict.fromkeys(call[3], call[2]))
+                self.proxy_tables.setdefault(call[1], {}).update(dict.fromkeys(call[3], call[2]))
         ejections = [call[1] for call in written if call[0] == "set_ejected"]
         changes = sum(call[0] in ("set_weight", "set_admission") and call[1] < FIRST_SUBSET_TABLE for call in written)
         for number, proxy in self.harness.fleet.proxies.items():
-            # An ejection is a line at each proxy that holds a table with that endpoint; one without an assigned table
-            # may hold it, and one that is assigned the calendar in this run gets it with its table.
-            holds = {endpoint for table in self.tables.get(number, {}).values() for endpoint in self.listed[table]}
-            sent = [endpoint for endpoint in ejections if number not in self.tables or endpoint in holds]
+            # An ejection takes a line for each proxy whose table lists the endpoint, and for each proxy without an
+            # assigned table, which may use the endpoint.  A table assigned in this run includes its ejections.
+            held = {
+                endpoint
+                for table in self.proxy_tables.get(number, {}).values()
+                for endpoint in self.table_endpoints[table]
+            }
+            sent = [endpoint for endpoint in ejections if number not in self.proxy_tables or endpoint in held]
             cost = (
                 assigned_lines[number]
                 if number in assigned_lines
