--- a/quillstep/simulator/__init__.py
+++ b/quillstep/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: speaks the line protocol on standard input and output for any number of instances."""
+"""The simulator's adapter: runs any number of planners over a line protocol on standard input and output."""
--- a/quillstep/simulator/__main__.py
+++ b/quillstep/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Runs as `python -m quillstep.simulator`: the wire on standard input and output, errors on standard error."""
+"""Entry point of `python -m quillstep.simulator`; errors go to standard error."""
 
 import sys
 
@@ -6,7 +6,11 @@
 
 
 def main() -> int:
-    """Serves the wire until the input ends; returns the exit status."""
+    """Serves standard input until it ends.
+
+    Returns:
+        The exit status: 1 after malformed input, an interrupt or a closed output, otherwise 0.
+    """
     try:
         Host().serve(sys.stdin.buffer, sys.stdout)
     except MalformedInputError as error:
--- a/quillstep/simulator/decode.py
+++ b/quillstep/simulator/decode.py
@@ -1,7 +1,7 @@
-"""Reads lines of the simulator's wire, and maps their names and units to the planner's messages.
+"""Decodes lines of the simulator's protocol to the planner's messages.
 
-The wire's names of lines and fields appear here alone (the settings of a start in `quillstep.config.start_settings`,
-what is written in `quillstep.simulator.output`).  Times are microseconds on the wire and milliseconds in the code.
+The protocol's names are confined to this module, to `quillstep.config.start_settings` for the settings of a start, and
+to `quillstep.simulator.output` for replies.  Times are microseconds in the protocol and milliseconds in the code.
 """
 
 from typing import NamedTuple
@@ -24,7 +24,7 @@
     UpstreamStats,
 )
 
-# The names of the lines that this program acts on.
+# Names of the lines that this program handles.
 BATCH_START = "turn"
 BATCH_END = "over_to_you"
 START = "start"
@@ -53,7 +53,7 @@
     UPSTREAM_STATS: ("i", "endpoint", "many", "errors"),
     DOWNSTREAM_STATS: ("i", "service", "many", "agent"),
     ACK: ("i", "serial", "agent"),
-    # Only give their instance a control interval.
+    # These only trigger a control interval of their instance.
     "timer": ("i", "cookie"),
     "heard": ("i",),
     "weight_seen": ("i", "mapId"),
@@ -64,25 +64,25 @@
 
 
 class MalformedLineError(QuillstepError, ValueError):
-    """A line that is not as the wire has it, or out of order; the message says what is wrong."""
+    """A line that violates the protocol, or is out of order."""
 
 
 class Line(NamedTuple):
-    """One line of the wire: its name, and its fields as text."""
+    """One line of the protocol: its name, and its fields as text."""
 
     name: str
     fields: Fields
 
 
 class ListAnnouncement(NamedTuple):
-    """A numbered endpoint list, whose entries follow line by line."""
+    """The start of a numbered endpoint list, whose entries follow one per line."""
 
     number: int
     entries: int
 
 
 class ListReference(NamedTuple):
-    """An update of an instance's endpoint list, by the number of the list that holds its entries."""
+    """An endpoint list update of an instance; `number` refers to the list that holds its entries."""
 
     kind: str
     number: int
@@ -92,53 +92,53 @@
     """Splits a line into its name and fields.
 
     Raises:
-        MalformedLineError: The name is not known, a part is not a pair, or a required field is missing.
+        MalformedLineError: The name is unknown, a part is not a `name=value` pair, or a required field is missing.
     """
     name, *parts = text.split(" ")
     if name not in REQUIRED_FIELDS:
-        raise MalformedLineError(f"its name {name!r} is not known")
+        raise MalformedLineError(f"unknown line name {name!r}")
     fields = {}
     for part in parts:
         key, equals, value = part.partition("=")
         if not equals or not key:
-            raise MalformedLineError(f"{part!r} is not a name=value pair")
+            raise MalformedLineError(f"expected a name=value pair, got {part!r}")
         fields[key] = value
     for key in REQUIRED_FIELDS[name]:
         if key not in fields:
-            raise MalformedLineError(f"the field {key!r} of {name!r} is missing")
+            raise MalformedLineError(f"missing field {key!r} of {name!r}")
     return Line(name, fields)
 
 
-# Each of these raises `InvalidFieldError` where a value can't be read.
+# Each of the following functions raises `InvalidFieldError` if a value is invalid.
 
 
 def batch_time_ms(fields: Fields) -> float:
-    """The clock of a batch."""
+    """Returns the time of a batch, in milliseconds."""
     return read_milliseconds(fields, "atTime")
 
 
 def instance_name(fields: Fields) -> str:
-    """The instance that a line is about."""
+    """Returns the name of the instance that a line belongs to."""
     return fields["i"]
 
 
 def start_config(fields: Fields) -> tuple[PlannerConfig, list[str]]:
-    """The planner's configuration at a start, and the names of the classes by their indexes."""
+    """Returns the planner's configuration at a start, and the names of the classes in order of their indexes."""
     return planner_config_from_start(fields)
 
 
 def start_seed(fields: Fields) -> int:
-    """The seed of an instance's random numbers."""
+    """Returns the random seed of an instance."""
     return read_integer(fields, "randomSeed")
 
 
 def list_announcement(fields: Fields) -> ListAnnouncement:
-    """The number of an endpoint list, and of its entries."""
+    """Returns the number of an endpoint list, and how many entries it has."""
     return ListAnnouncement(read_integer(fields, "bank"), read_integer(fields, "membersList"))
 
 
 def endpoint_entry(fields: Fields) -> EndpointEntry:
-    """One endpoint of a list."""
+    """Returns one endpoint of a list."""
     return EndpointEntry(
         read_integer(fields, "endpoint"),
         fields["regionPart"],
@@ -149,24 +149,24 @@
 
 
 def list_reference(fields: Fields) -> ListReference:
-    """The kind of an endpoint list update, and the number of its list."""
+    """Returns the kind of an endpoint list update, and the number of its list."""
     return ListReference(fields["mode"].lower(), read_integer(fields, "bank"))
 
 
 def proxy_joined(fields: Fields) -> ProxyStreamEvent:
-    """A proxy's stream that was opened."""
+    """Returns the event of a proxy's stream that was opened."""
     expected_requests_per_s, is_fresh = read_number(fields, "part"), read_flag(fields, "active")
     proxy = read_integer(fields, "agent")
     return ProxyStreamEvent(proxy, True, fields["regionPart"], expected_requests_per_s, is_fresh)
 
 
 def proxy_left(fields: Fields) -> ProxyStreamEvent:
-    """A proxy's stream that has ended."""
+    """Returns the event of a proxy's stream that was closed."""
     return ProxyStreamEvent(read_integer(fields, "agent"), False)
 
 
 def upstream_stats(fields: Fields) -> UpstreamStats:
-    """What proxies met at an endpoint."""
+    """Returns the outcomes of the proxies' attempts at an endpoint."""
     return UpstreamStats(
         read_integer(fields, "endpoint"),
         read_integer(fields, "many"),
@@ -178,14 +178,14 @@
 
 
 def downstream_stats(fields: Fields, class_indexes: dict[str, int]) -> DownstreamStats:
-    """What reached a proxy of one class.
+    """Returns the requests of one class that a proxy received.
 
     Raises:
-        MalformedLineError: The class is not one of the start's.
+        MalformedLineError: The class is not one of the instance's classes.
     """
     class_index = class_indexes.get(fields["service"])
     if class_index is None:
-        raise MalformedLineError(f"service={fields['service']!r} is no class of the settings")
+        raise MalformedLineError(f"unknown class service={fields['service']!r}")
     return DownstreamStats(
         class_index,
         read_integer(fields, "agent"),
@@ -196,7 +196,7 @@
 
 
 def health_check_result(fields: Fields) -> HealthCheckResult:
-    """The outcome of a health check."""
+    """Returns the outcome of a health check."""
     return HealthCheckResult(
         read_integer(fields, "endpoint"),
         fields["disposition"] == HEALTHY,
@@ -206,11 +206,11 @@
 
 
 def ack_serial(fields: Fields) -> int:
-    """The serial that an ack answers."""
+    """Returns the serial of an ack."""
     return read_integer(fields, "serial")
 
 
 def load_report(fields: Fields) -> dict[str, float]:
-    """A load report by metric; on the wire `name:value` pairs with commas between them."""
+    """Returns a load report by metric name, from comma-separated `name:value` pairs."""
     pairs = dict(part.partition(":")[::2] for part in fields.get("gauge", "").split(",") if part)
     return {metric: read_number(pairs, metric) for metric in pairs}
--- a/quillstep/simulator/host.py
+++ b/quillstep/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts the instances: reads a batch, runs the planner of each instance with an event once, writes one reply."""
+"""Hosts the instances: reads a batch, runs the planner of each instance that has events once, and writes a reply."""
 
 import traceback
 from collections.abc import Iterable
@@ -16,48 +16,48 @@
 
 
 class MalformedInputError(QuillstepError):
-    """The input can't be read any further; the message is the sentence for the operator."""
+    """The input violates the protocol and processing stops; the message is printed for the operator."""
 
 
 class EndpointLists:
-    """The numbered endpoint lists of the process, which any instance's update may refer to."""
+    """The numbered endpoint lists of the process; updates of any instance may refer to them."""
 
     def __init__(self) -> None:
         self.missing_entries = 0
         self._lists: dict[int, list[EndpointEntry]] = {}
-        self._filling: list[EndpointEntry] = []
+        self._current: list[EndpointEntry] = []
 
     def announce(self, announcement: decode.ListAnnouncement) -> None:
-        """Begins a list, in place of the one that had its number."""
-        self._filling = self._lists[announcement.number] = []
+        """Starts a list, replacing any list with the same number."""
+        self._current = self._lists[announcement.number] = []
         self.missing_entries = announcement.entries
 
     def add(self, fields: Fields) -> None:
-        """Adds the entry of a line to the list that was begun.
+        """Adds an entry to the list that was announced last.
 
         Raises:
-            MalformedLineError: The list is complete.
+            MalformedLineError: The list is complete, or none was announced.
         """
         if not self.missing_entries:
-            raise MalformedLineError("an 'item' came that no 'manifest' had announced")
-        self._filling.append(decode.endpoint_entry(fields))
+            raise MalformedLineError("unexpected 'item': not announced by a 'manifest'")
+        self._current.append(decode.endpoint_entry(fields))
         self.missing_entries -= 1
 
     def update(self, reference: decode.ListReference) -> EndpointListUpdate:
-        """The update that refers to a list, as the list is now.
+        """Returns the update that refers to a list, with the list's present entries.
 
         Raises:
-            MalformedLineError: No list has that number.
+            MalformedLineError: No list has this number.
         """
         if reference.kind == "error":
             return EndpointListUpdate(reference.kind, [])
         if reference.number not in self._lists:
-            raise MalformedLineError(f"no 'manifest' gave the list number {reference.number}")
+            raise MalformedLineError(f"unknown list number {reference.number}: not announced by a 'manifest'")
         return EndpointListUpdate(reference.kind, list(self._lists[reference.number]))
 
 
 class Instance:
-    """One started planner, and its observations of the batch that is being read."""
+    """One started planner, and its observations in the current batch."""
 
     def __init__(self, fields: Fields, lists: EndpointLists) -> None:
         config, class_names = decode.start_config(fields)
@@ -67,18 +67,18 @@
         self._observations: Observations | None = None
 
     def begin_interval(self, now_ms: float) -> Observations:
-        """Has the planner run after this batch, and returns the observations to add to."""
+        """Schedules a run of the planner after this batch, and returns the batch's observations."""
         if self._observations is None:
             self._observations = Observations(now_ms)
         return self._observations
 
     def drain_observations(self) -> Observations | None:
-        """The observations of this batch, or None where the planner does not run; the next ones are a new batch's."""
+        """Returns and clears the observations of this batch; None if the planner is not scheduled to run."""
         observations, self._observations = self._observations, None
         return observations
 
     def observe(self, line: Line, now_ms: float) -> None:
-        """Adds one event; one that this program does not act on only has the planner run."""
+        """Adds one event; an event without observations only schedules a run of the planner."""
         observations, fields = self.begin_interval(now_ms), line.fields
         match line.name:
             case decode.UPSTREAM_STATS:
@@ -98,7 +98,7 @@
 
 
 class Host:
-    """All instances of this process, by the names that the wire gives them."""
+    """All instances of this process, by name."""
 
     def __init__(self) -> None:
         self._instances: dict[str, Instance] = {}
@@ -106,10 +106,14 @@
         self._now_ms = 0.0
 
     def serve(self, source: Iterable[bytes], sink: TextIO) -> None:
-        """Answers batch after batch until the input ends between two of them.
+        """Replies to each batch until the input ends.
+
+        Args:
+            source: Lines of the input.
+            sink: Receives the replies; flushed after each of them.
 
         Raises:
-            MalformedInputError: A line can't be read, or the input ends inside a batch.
+            MalformedInputError: A line is malformed, or the input ends within a batch.
         """
         in_batch = False
         number = 0
@@ -120,27 +124,27 @@
                     continue
                 line = decode.parse_line(text)
                 if in_batch == (line.name == decode.BATCH_START):
-                    raise MalformedLineError("a batch begins with 'turn' and ends with 'over_to_you'")
+                    raise MalformedLineError("expected a batch to begin with 'turn' and end with 'over_to_you'")
                 in_batch = line.name != decode.BATCH_END
                 self.handle(line)
             except ValueError as error:
-                sentence = f"quillstep: line {number} of the input can't be read: {error}."
+                sentence = f"quillstep: input line {number}: {error}"
                 raise MalformedInputError(sentence) from error
             if not in_batch:
                 sink.write("\n".join([*self.reply(), f"{END_OF_REPLY}\n"]))
                 sink.flush()
         if in_batch:
-            raise MalformedInputError(f"quillstep: line {number} of the input is the last, but its batch is cut off.")
+            raise MalformedInputError(f"quillstep: input line {number}: the input ended within a batch")
 
     def handle(self, line: Line) -> None:
         """Applies one line of a batch.
 
         Raises:
-            ValueError: The line, or what it refers to, is wrong.
+            ValueError: The line is malformed, out of order, or refers to an unknown list or class.
         """
         name, fields = line
         if self._lists.missing_entries and name != decode.ENDPOINT_ENTRY:
-            raise MalformedLineError(f"{self._lists.missing_entries} more 'item' lines were due")
+            raise MalformedLineError(f"expected {self._lists.missing_entries} more 'item' lines")
         match name:
             case decode.ENDPOINT_ENTRY:
                 self._lists.add(fields)
@@ -157,12 +161,12 @@
             case decode.BATCH_END:
                 pass
             case _:
-                # Events of an instance that was stopped are void.
+                # Events of a stopped instance are ignored.
                 if receiver := self._instances.get(decode.instance_name(fields)):
                     receiver.observe(line, self._now_ms)
 
     def reply(self) -> list[str]:
-        """Runs each planner that has an event, and returns the lines of the reply."""
+        """Runs each planner that has events, and returns the lines of the reply."""
         lines: list[str] = []
         for name, instance in self._instances.items():
             observations = instance.drain_observations()
@@ -171,7 +175,7 @@
             output = SimulatorOutput(name, lines)
             try:
                 instance.planner.run_interval(observations, output)
-            except Exception as error:  # whatever goes wrong in the planner ends the simulation with its cause
+            except Exception as error:  # any exception in the planner ends the simulation and is reported
                 traceback.print_exc()
                 output.report_failure(error)
         return lines
--- a/quillstep/simulator/output.py
+++ b/quillstep/simulator/output.py
@@ -1,4 +1,4 @@
-"""Writes what one instance's planner orders as lines of the simulator's wire, whose names appear here alone."""
+"""Encodes a planner's updates as reply lines of the simulator's protocol."""
 
 from collections.abc import Iterable
 
@@ -19,7 +19,7 @@
         self._write("set_line", f" mapId={table} endpoint={endpoint} part={weight:g}")
 
     def set_ejected(self, endpoint: EndpointId, ejected: bool) -> None:
-        """Writes an ejection or a restore."""
+        """Writes an ejection or a restoration."""
         self._write("cordon", f" endpoint={endpoint} active={int(ejected)}")
 
     def assign_table(self, proxy: int, table: int, classes: Iterable[int]) -> None:
@@ -32,19 +32,19 @@
         self._write("set_level", f"{target} allowance={limit:.10g} secondTry={retry_policy}")
 
     def request_health_check(self, endpoint: EndpointId) -> None:
-        """Writes the request of a health check."""
+        """Writes the request for a health check."""
         self._write("health_check", f" endpoint={endpoint}")
 
     def request_ack(self, serial: int) -> None:
-        """Writes the request of acks from the proxies that this reply reaches."""
+        """Writes the request for acks from the proxies that this reply reaches."""
         self._write("ask_receipt", f" active=0 serial={serial}")
 
     def watch_endpoints(self) -> None:
-        """Writes the request of endpoint list updates."""
+        """Writes the request for endpoint list updates."""
         self._write("track", " active=1")
 
     def set_timer(self, token: int, at_ms: float) -> None:
-        """Writes the request of a timer event."""
+        """Writes the request for a timer event."""
         self._write("sleep", f" cookie={token} at={round(at_ms * MICROSECONDS_PER_MS)}")
 
     def log_note(self, text: str) -> None:
@@ -52,7 +52,7 @@
         self._write("trace", f" line={text}")
 
     def report_failure(self, error: Exception) -> None:
-        """Declares the planner broken, which ends the simulation with this text."""
+        """Reports that the planner failed, which ends the simulation with the error's text."""
         text = f"{type(error).__name__}: {error}"
         self._write("broken", f" line={' '.join(text.split())}")
 
@@ -61,5 +61,5 @@
 
 
 def _class_bits(classes: Iterable[int]) -> int:
-    """Classes as the wire has them: a bit for each index."""
+    """Returns the classes as a bit mask, one bit per index."""
     return sum(1 << index for index in classes)
--- a/quillstep/wirehost/__init__.py
+++ b/quillstep/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The earlier name of `quillstep.simulator`, kept for scripts that start it by `python -m quillstep.wirehost`."""
+"""Former name of `quillstep.simulator`, kept for scripts that run `python -m quillstep.wirehost`."""
--- a/quillstep/wirehost/__main__.py
+++ b/quillstep/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Runs `python -m quillstep.simulator` under its earlier name."""
+"""Runs `python -m quillstep.simulator` under its former name."""
 
 import sys
 
--- a/tests/simulator/test_host.py
+++ b/tests/simulator/test_host.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: decoding, output, many instances, and the errors of bad input."""
+"""The simulator's adapter: decoding, output, multiple instances, and errors for malformed input."""
 
 import subprocess
 import sys
@@ -28,12 +28,12 @@
     return [START.format(number), LIST, UPDATE.format(number), JOIN.format(number)]
 
 
-def test_an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean():
+def test_empty_batches_get_empty_replies_and_end_of_input_exits_with_0():
     done = run(*batch(), "", *batch())
     assert (done.returncode, done.stdout, done.stderr) == (0, "end\nend\n", "")
 
 
-def test_output_is_written_in_the_wires_names_and_units():
+def test_output_uses_the_protocols_names_and_units():
     out = run(*batch(*start_events(3))).stdout.splitlines()
     assert out[0].startswith("sleep i=pilot/3 cookie=1 at=1") and len(out[0].split("at=")[1]) == 7
     assert "set_line i=pilot/3 mapId=0 endpoint=7 part=10" in out
@@ -41,41 +41,44 @@
     assert out[-3:] == [install, "ask_receipt i=pilot/3 active=0 serial=1", "end"]
 
 
-def test_instances_write_the_same_alone_and_together():
+def test_instances_write_the_same_output_alone_and_together():
     alone = [run(*batch(*start_events(number))).stdout.splitlines()[:-1] for number in (1, 2)]
     both = run(*batch(*start_events(1), *start_events(2))).stdout.splitlines()
     assert alone[0] and both == [*alone[0], *alone[1], "end"]
 
 
-def test_a_start_in_the_batch_of_a_stop_takes_nothing_over():
-    again = [line for line in start_events(1) if not line.startswith("joined")]
-    out = run(*batch(*start_events(1)), *batch("stop i=pilot/1", *again, at=9000000)).stdout
+def test_a_start_in_the_batch_of_a_stop_keeps_no_state():
+    restart = [line for line in start_events(1) if not line.startswith("joined")]
+    out = run(*batch(*start_events(1)), *batch("stop i=pilot/1", *restart, at=9000000)).stdout
     assert "install" not in out.split("end\n")[1]
 
 
 @pytest.mark.parametrize(
     ("lines", "message"),
     [
-        (["turn atTime=1", "what i=pilot/1", "over_to_you"], "line 2 of the input can't be read"),
-        (["turn atTime=1", "joined i=pilot/1 agent=3", "over_to_you"], "'regionPart' of 'joined' is missing"),
+        (["turn atTime=1", "what i=pilot/1", "over_to_you"], "input line 2: unknown line name 'what'"),
+        (["turn atTime=1", "joined i=pilot/1 agent=3", "over_to_you"], "missing field 'regionPart' of 'joined'"),
         (["turn atTime=soon", "over_to_you"], "atTime='soon' is not a number"),
-        (["turn"], "the field 'atTime' of 'turn' is missing"),
-        (["over_to_you"], "a batch begins with 'turn'"),
-        (["turn atTime=1", "turn atTime=1"], "a batch begins with 'turn'"),
-        (["turn atTime=1", "manifest bank=0 membersList=2", "over_to_you"], "2 more 'item' lines were due"),
-        (["turn atTime=1", "joined  i=pilot/1"], "'' is not a name=value pair"),
-        (["turn atTime=1", *start_events(1), "membership i=pilot/1 mode=Complete bank=9"], "the list number 9"),
-        (["turn atTime=1", *start_events(1), "traffic i=pilot/1 service=x many=1 agent=3"], "is no class"),
-        (["turn atTime=1", *start_events(1)], "its batch is cut off"),
+        (["turn"], "missing field 'atTime' of 'turn'"),
+        (["over_to_you"], "expected a batch to begin with 'turn'"),
+        (["turn atTime=1", "turn atTime=1"], "expected a batch to begin with 'turn'"),
+        (["turn atTime=1", "manifest bank=0 membersList=2", "over_to_you"], "expected 2 more 'item' lines"),
+        (["turn atTime=1", "joined  i=pilot/1"], "expected a name=value pair, got ''"),
+        (["turn atTime=1", *start_events(1), "membership i=pilot/1 mode=Complete bank=9"], "unknown list number 9"),
+        (
+            ["turn atTime=1", *start_events(1), "traffic i=pilot/1 service=x many=1 agent=3"],
+            "unknown class service='x'",
+        ),
+        (["turn atTime=1", *start_events(1)], "the input ended within a batch"),
     ],
 )
-def test_malformed_input_ends_with_one_sentence_and_no_reply(lines, message):
+def test_malformed_input_is_reported_in_one_line_without_a_reply(lines, message):
     done = run(*lines)
     assert done.returncode != 0 and message in done.stderr and done.stdout == ""
     assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
 
 
-def test_the_adapter_imports_nothing_but_the_standard_library():
+def test_the_adapter_imports_only_the_standard_library():
     code = (
         "import sys, quillstep.simulator.__main__\n"
         "print(sorted({name.partition('.')[0] for name in sys.modules} - set(sys.stdlib_module_names)))"
@@ -84,7 +87,7 @@
     assert out.strip() == "['__main__', 'quillstep']"
 
 
-def test_an_exception_in_the_planner_is_reported_as_the_wire_has_it(monkeypatch):
+def test_an_exception_in_the_planner_is_reported_as_a_broken_line(monkeypatch):
     def fail(*_):
         raise RuntimeError("out of\nreach")
 
