--- a/quillstep/errors.py
+++ b/quillstep/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that quillstep raises on purpose."""
+"""Base class of the errors that quillstep raises."""
 
 
 class QuillstepError(Exception):
-    """Something a caller can act on; the message says what was wrong, where, and with which value."""
+    """An error that a caller can handle; the message names the place, the problem and the invalid value."""
--- a/quillstep/logging.py
+++ b/quillstep/logging.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error: for people on a terminal, JSON otherwise."""
+"""Logging to standard error: readable text on a terminal, JSON otherwise."""
 
 import logging
 import sys
@@ -7,14 +7,14 @@
 from structlog.typing import Processor
 
 
-def configure_logging(form: str, level: str) -> None:
+def configure_logging(output_format: str, level: str) -> None:
     """Configure structlog for this process.
 
     Args:
-        form: `human`, `json`, or `auto` for the first on a terminal and the second elsewhere.
-        level: The lowest level that is written, such as `info`.
+        output_format: `human`, `json`, or `auto`, which means `human` on a terminal and `json` elsewhere.
+        level: The lowest level that is logged, such as `info`.
     """
-    is_human = form == "human" or (form == "auto" and sys.stderr.isatty())
+    is_human = output_format == "human" or (output_format == "auto" and sys.stderr.isatty())
     renderer: Processor = structlog.dev.ConsoleRenderer() if is_human else structlog.processors.JSONRenderer()
     structlog.configure(
         processors=[
@@ -31,7 +31,7 @@
 
 
 class _StderrLogger:
-    """Writes rendered lines to standard error; a log that nobody reads any more must not end the program."""
+    """Writes rendered lines to standard error; the program continues if standard error is closed."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -40,6 +40,6 @@
         try:
             sys.stderr.write(line + "\n")
         except OSError:
-            pass  # nobody reads the log any more
+            pass  # the reader of standard error is gone
 
     log = debug = info = warning = warn = error = critical = exception = fatal = msg
--- a/tests/architecture/test_imports.py
+++ b/tests/architecture/test_imports.py
@@ -1,4 +1,4 @@
-"""The packages import one way: each only what stands below it, as docs/ARCHITECTURE.md shows."""
+"""Packages import only packages of lower layers, as described in docs/ARCHITECTURE.md."""
 
 import ast
 import re
@@ -7,7 +7,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-# From the bottom up; packages of one row do not import each other.
+# From the lowest layer up; packages of the same layer do not import each other.
 LAYERS = [
     ["errors", "logging"],
     ["planner", "net"],
@@ -21,12 +21,12 @@
     ["bench"],
     ["cli", "wirehost"],
 ]
-LAYER_OF = {package: height for height, row in enumerate(LAYERS) for package in row}
+LAYER_OF = {package: layer for layer, packages in enumerate(LAYERS) for package in packages}
 NESTED = ("load_reports.readers", "platform.protocol", "testbed.scenarios")
 
 
 def package_of(module):
-    """The package that a module belongs to, by its name below quillstep."""
+    """Returns the package of a module, named relative to quillstep; empty for quillstep itself."""
     parts = module.split(".")[1:]
     nested = ".".join(parts[:2])
     return nested if nested in NESTED else parts[0] if parts else ""
@@ -38,7 +38,7 @@
 
 
 def imports_of(path):
-    """Modules of quillstep that a file imports, those within functions included."""
+    """Yields the modules of quillstep that a file imports, including imports within functions."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.split(".")[0] == "quillstep":
             for alias in node.names:
@@ -60,43 +60,45 @@
 
 
 @pytest.mark.parametrize("package", LAYER_OF)
-def test_a_package_imports_only_what_stands_below_it(package):
-    wrong = [
+def test_a_package_imports_only_lower_layers(package):
+    violations = [
         (source, target)
         for source, target in sorted(EDGES)
         if package_of(source) == package
         and package_of(target) not in ("", package)
         and LAYER_OF[package_of(target)] >= LAYER_OF[package]
     ]
-    assert wrong == []
+    assert violations == []
 
 
-def test_no_modules_import_each_other_in_a_circle():
+def test_there_are_no_import_cycles():
     targets = {}
     for source, target in EDGES:
         if source != target:
             targets.setdefault(source, set()).add(target)
-    settled, path = set(), []
+    visited, path = set(), []
 
     def visit(module):
         if module in path:
             raise AssertionError(" -> ".join([*path[path.index(module) :], module]))
-        if module in settled:
+        if module in visited:
             return
         path.append(module)
         for target in sorted(targets.get(module, ())):
             visit(target)
         path.pop()
-        settled.add(module)
+        visited.add(module)
 
     for module in sorted(targets):
         visit(module)
 
 
-def test_the_testbed_is_never_imported_by_the_program():
-    program = {"planner", "controller", "platform", "platform.protocol", "routing", "store", "net", "xds", "files"}
-    program |= {"recording", "load_reports", "tracing", "config", "simulator", "invariants"}
-    assert not [edge for edge in sorted(EDGES) if package_of(edge[0]) in program and "testbed" in package_of(edge[1])]
+def test_production_packages_do_not_import_the_testbed():
+    production = {"planner", "controller", "platform", "platform.protocol", "routing", "store", "net", "xds", "files"}
+    production |= {"recording", "load_reports", "tracing", "config", "simulator", "invariants"}
+    assert not [
+        edge for edge in sorted(EDGES) if package_of(edge[0]) in production and "testbed" in package_of(edge[1])
+    ]
 
 
 def test_paths_on_the_architecture_page_exist():
