--- a/quillstep/simulator/host.py
+++ b/quillstep/simulator/host.py
@@ -128,8 +128,8 @@
                 in_batch = line.name != decode.BATCH_END
                 self.handle(line)
             except ValueError as error:
-                sentence = f"quillstep: input line {number}: {error}"
-                raise MalformedInputError(sentence) from error
+                message = f"quillstep: input line {number}: {error}"
+                raise MalformedInputError(message) from error
             if not in_batch:
                 sink.write("\n".join([*self.reply(), f"{END_OF_REPLY}\n"]))
                 sink.flush()
