--- a/quillstep/platform/protocol/__init__.py
+++ b/quillstep/platform/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: JSON objects behind their length, from proxies and collectors, and updates to proxies.
+"""The platform's protocol: length-prefixed JSON messages from proxies and collectors, and updates to proxies.
 
-`names` holds every name of the wire; no other package knows them.
+All names on the wire are defined in `names` and used by this package only.
 """
--- a/quillstep/platform/protocol/connections.py
+++ b/quillstep/platform/protocol/connections.py
@@ -1,7 +1,7 @@
-"""Who connects: proxies by their streams, collectors, and peers that have not registered.
+"""Accepts connections of proxies and collectors, and registers them.
 
-All of it runs in the poller's thread.  An unregistered connection may send a heartbeat and register, nothing else; of
-a registered one every message is read, and an invalid one is dropped and counted.
+Everything here runs in the poller's thread.  An unregistered peer may only send heartbeats and register; any other
+message closes the connection.  Invalid messages of a registered peer are dropped and counted.
 """
 
 from collections import Counter
@@ -24,14 +24,14 @@
 from quillstep.platform.protocol.stats_merging import merge_downstream_stats, merge_upstream_stats
 from quillstep.platform.protocol.validation import Deployment, InvalidMessageError
 
-HEARTBEAT_ANSWER = encode_message({names.KIND: names.HEARTBEAT_ANSWER})
+HEARTBEAT_REPLY = encode_message({names.KIND: names.HEARTBEAT_REPLY})
 MAX_UNREGISTERED_MESSAGE_BYTES = 4096
-MAX_COLLECTORS_PER_ZONE = 2  # one that connects, and one whose end has not been seen yet
-DROP_LOG_INTERVAL_MS = 2000.0  # between two log lines on messages dropped for the same reason
+MAX_COLLECTORS_PER_ZONE = 2  # a new connection, and an old one not yet seen as closed
+DROP_LOG_INTERVAL_MS = 2000.0  # between log lines with the same reason
 
 
 class ConnectionLimits(NamedTuple):
-    """What one connection may cost; see `quillstep.net.connection.Limits`."""
+    """Resource limits of the connections; see `quillstep.net.connection.Limits`."""
 
     max_connections: int
     max_unregistered: int
@@ -39,27 +39,27 @@
     messages_per_s: float = 20000.0
     handshake_timeout_ms: float = 1000.0
     write_timeout_ms: float = 15000.0
-    idle_timeout_ms: float = float("inf")  # no peer is obliged to send anything
+    idle_timeout_ms: float = float("inf")  # peers may be idle: the protocol requires no keep-alives
     ping_interval_ms: float = float("inf")
 
 
 class Publish(Protocol):
-    """Passes an event to the deciding thread without blocking; see `EventQueue.put_nowait`."""
+    """Queues an event for the deciding thread without blocking; see `EventQueue.put_nowait`."""
 
     def __call__(
         self, event: ProtocolEvent, key: Hashable = None, merge: Callable[[Any, Any], Any] | None = None
     ) -> None:
-        """Publish the event, merged with others of its key where the queue is full."""
+        """Publish the event; if the queue is full, it is merged with a queued event of the same key."""
 
 
 class ConnectionManager:
-    """The listening socket, and who is registered on which connection."""
+    """The listening socket, and the proxies and collectors registered on its connections."""
 
     def __init__(self, listen: str, limits: ConnectionLimits, deployment: Deployment, publish: Publish) -> None:
-        """Bind the socket; see `Poller`.
+        """Bind the listening socket; see `Poller`.
 
         Raises:
-            OSError: The address can't be bound.
+            OSError: The address cannot be bound.
         """
         self.deployment, self.publish = deployment, publish
         self.poller: Poller[MessageCodec, MessageEvent] = Poller(
@@ -71,14 +71,14 @@
             idle_timeout_ms=limits.idle_timeout_ms,
         )
         self.proxies: dict[ProtocolConnection, int] = {}
-        self.collectors: dict[ProtocolConnection, str] = {}  # and their zones
-        self.dropped: Counter[str] = Counter()  # messages by reason
-        self.closed_unregistered: Counter[str] = Counter()  # connections by reason
-        self.last_logged_ms: dict[str, float] = {}  # by reason of dropped messages
+        self.collectors: dict[ProtocolConnection, str] = {}  # zone by collector connection
+        self.dropped: Counter[str] = Counter()  # dropped messages by reason
+        self.closed_unregistered: Counter[str] = Counter()  # connections that closed without registering, by reason
+        self.last_logged_ms: dict[str, float] = {}  # time of the last log line by reason of dropped messages
         self.log = structlog.get_logger("connections")
 
     def handle_event(self, connection: ProtocolConnection, event: MessageEvent) -> None:
-        """Answer, publish or drop one message; close the connection where it can't be read."""
+        """Reply to, publish or drop a message; close the connection if its stream cannot be decoded."""
         if connection.close_reason:
             return
         if isinstance(event, StreamBroken):
@@ -86,7 +86,7 @@
             return
         kind = validation.message_kind(event)
         if kind == names.HEARTBEAT:
-            connection.send(0, HEARTBEAT_ANSWER)
+            connection.send(0, HEARTBEAT_REPLY)
             return
         try:
             if connection.is_registered:
@@ -100,7 +100,7 @@
                 connection.close(str(error))
 
     def handle_closed(self, connection: ProtocolConnection, reason: str) -> None:
-        """Publish that a proxy's stream has ended; count a connection that never registered."""
+        """Publish the closing of a proxy's stream; count connections that closed without registering."""
         proxy = self.proxies.pop(connection, None)
         if proxy is not None:
             self.log.info("proxy disconnected", proxy=proxy, reason=reason)
@@ -116,19 +116,20 @@
         elif kind == names.COLLECTOR_REGISTRATION:
             self._register_collector(connection, validation.parse_zone(message, self.deployment))
         else:
-            raise InvalidMessageError("it began without registering")
+            raise InvalidMessageError("message received before registration")
         connection.codec.is_registered = True
 
     def _register_collector(self, connection: ProtocolConnection, zone: str) -> None:
-        others = [other for other, its_zone in self.collectors.items() if its_zone == zone]
+        others = [other for other, other_zone in self.collectors.items() if other_zone == zone]
         if len(others) >= MAX_COLLECTORS_PER_ZONE:
-            # Not the oldest: it may be the one that works, while the others only claim to be collectors.
-            min(others, key=lambda other: other.last_received_ms).close("its zone has newer collectors")
+            # Close the one that has been idle for longest rather than the oldest, which may be the only working
+            # collector while the others registered but send nothing.
+            min(others, key=lambda other: other.last_received_ms).close("replaced by a newer collector of the zone")
         self.collectors[connection] = zone
 
     def _handle_report(self, connection: ProtocolConnection, kind: str, message: Message) -> None:
         if kind not in REPORT_HANDLERS:
-            raise InvalidMessageError("its kind is none that a controller is sent here")
+            raise InvalidMessageError("unexpected message kind")
         REPORT_HANDLERS[kind](self, connection, message)
 
     def _handle_upstream_stats(self, connection: ProtocolConnection, message: Message) -> None:
@@ -138,13 +139,13 @@
     def _handle_downstream_stats(self, connection: ProtocolConnection, message: Message) -> None:
         stats = validation.parse_downstream_stats(message, self.deployment)
         if self.proxies.get(connection, stats.proxy) != stats.proxy:
-            raise InvalidMessageError("it is of another proxy")
+            raise InvalidMessageError("proxy not registered on this connection")
         self.publish(stats, (stats.class_index, stats.proxy), merge_downstream_stats)
 
     def _handle_ack(self, connection: ProtocolConnection, message: Message) -> None:
         proxy, serial = validation.parse_ack(message, self.deployment)
         if self.proxies.get(connection) != proxy:
-            raise InvalidMessageError("it is of another proxy")
+            raise InvalidMessageError("proxy not registered on this connection")
         self.publish(AckReceived(connection, proxy, serial))
 
     def _drop(self, reason: str) -> None:
--- a/quillstep/platform/protocol/events.py
+++ b/quillstep/platform/protocol/events.py
@@ -1,6 +1,6 @@
-"""What the connections of the protocol report to the deciding thread, by type.
+"""Events that connections publish to the deciding thread.
 
-Statistics are reported as the planner takes them: `UpstreamStats` and `DownstreamStats`.
+Statistics are published as the planner's own types, `UpstreamStats` and `DownstreamStats`.
 """
 
 from typing import NamedTuple
@@ -13,17 +13,20 @@
 
 
 class ProxyConnected(NamedTuple):
-    """A proxy has registered on a connection, which is its stream from now on."""
+    """A proxy has registered on a connection, which is its stream from now on.
+
+    `expected_requests_per_s` is the request rate that the proxy states in its registration.
+    """
 
     connection: ProtocolConnection
     proxy: int
     zone: str
     expected_requests_per_s: float
-    is_fresh: bool  # it holds nothing from earlier updates
+    is_fresh: bool  # whether the proxy has no state from earlier updates
 
 
 class ProxyDisconnected(NamedTuple):
-    """A proxy's stream has ended."""
+    """A proxy's stream has closed."""
 
     connection: ProtocolConnection
     proxy: int
--- a/quillstep/platform/protocol/names.py
+++ b/quillstep/platform/protocol/names.py
@@ -1,9 +1,9 @@
-"""The names of the protocol's messages and fields, as they stand on the wire (PROTOCOL.md of the platform)."""
+"""Names of messages and fields on the wire, as defined by the platform's PROTOCOL.md."""
 
-# The field that gives a message's kind, and the kinds.
+# The field that holds a message's kind, and its values.
 KIND = "t"
 HEARTBEAT = "hb"
-HEARTBEAT_ANSWER = "hb_ok"
+HEARTBEAT_REPLY = "hb_ok"
 PROXY_REGISTRATION = "attach"
 COLLECTOR_REGISTRATION = "telemetry"
 UPSTREAM_STATS = "upstream_stats"
@@ -11,7 +11,7 @@
 ACK = "done"
 UPDATE = "assign"
 
-# Fields of messages that are received.
+# Fields of received messages.
 PROXY = "id"
 ZONE = "site"
 REQUESTS_PER_S = "rps"
@@ -20,8 +20,8 @@
 APPLY_DURATION = "ms"
 ENDPOINT = "target"
 CLASS = "lane"
-COUNT = "count"  # of attempts in upstream stats, of requests in downstream stats
-FAILURES = "fail"  # in downstream stats: requests that were not answered
+COUNT = "count"  # attempts in upstream stats, requests in downstream stats
+FAILURES = "fail"  # failed attempts in upstream stats, unanswered requests in downstream stats
 MEAN_SUCCESS_MS = "mean"
 WINDOW_MS = "over"
 LOAD_REPORT = "util"
--- a/quillstep/platform/protocol/stats_merging.py
+++ b/quillstep/platform/protocol/stats_merging.py
@@ -1,10 +1,13 @@
-"""Merges statistics that arrive faster than the deciding thread takes them; see `EventQueue.put_nowait`."""
+"""Merges statistics that arrive faster than the deciding thread handles them; see `EventQueue.put_nowait`."""
 
 from quillstep.planner.messages import DownstreamStats, UpstreamStats
 
 
 def merge_upstream_stats(older: UpstreamStats, newer: UpstreamStats) -> UpstreamStats:
-    """Add up two reports of one zone on one endpoint; metrics of the newer load report stand."""
+    """Merge two reports of the same zone and endpoint.
+
+    Counts and windows are added up.  Metrics of the newer load report replace those of the older one.
+    """
     older_successes, newer_successes = older.attempts - older.failures, newer.attempts - newer.failures
     successes = older_successes + newer_successes
     total_ms = older.mean_success_ms * older_successes + newer.mean_success_ms * newer_successes
@@ -19,7 +22,7 @@
 
 
 def merge_downstream_stats(older: DownstreamStats, newer: DownstreamStats) -> DownstreamStats:
-    """Add up two reports of one proxy on one class."""
+    """Merge two reports of the same proxy and class; counts and windows are added up."""
     return DownstreamStats(
         older.class_index,
         older.proxy,
--- a/quillstep/platform/protocol/update_messages.py
+++ b/quillstep/platform/protocol/update_messages.py
@@ -1,7 +1,7 @@
-"""Encodes one interval's changes as updates.  Without I/O.
+"""Encodes the changes of a control interval as updates.  Performs no I/O.
 
-An update is one message in up to `MAX_PARTS` parts.  Proxies that the same changes concern get the same bytes, which
-are encoded once.
+An update is one message in up to `MAX_PARTS` parts.  Proxies with the same changes are sent the same bytes, which are
+encoded once.
 """
 
 from collections.abc import Iterator
@@ -10,30 +10,30 @@
 from quillstep.platform.protocol import names
 from quillstep.platform.protocol.codec import Message, encode_message
 
-ALL_TABLES = 65535  # the table whose admission holds for all connected proxies
+ALL_TABLES = 65535  # ID of the table whose admission applies to all connected proxies
 MAX_PARTS = 64
 
-TableAssignments = tuple[tuple[int, tuple[int, ...]], ...]  # tables, and the classes that each is used for
+TableAssignments = tuple[tuple[int, tuple[int, ...]], ...]  # pairs of a table and its classes
 
 
 class Admission(NamedTuple):
-    """What the proxies of a table admit of a class."""
+    """Admission limit and retry policy of a class at the proxies that use a table."""
 
     limit: float
     retry_policy: int
 
 
 class ProxyChanges(NamedTuple):
-    """What an interval changes for one proxy, beside weights and admission of its tables."""
+    """Changes of an interval for one proxy, other than weights and admission of its tables."""
 
     assignments: TableAssignments
-    newly_assigned: frozenset[int]  # classes
+    newly_assigned: frozenset[int]  # classes that were assigned a table in this interval
     ejected: frozenset[str]
     restored: frozenset[str]
 
 
 class UpdateEncoder:
-    """Encodes the updates of one interval."""
+    """Encodes the updates of one control interval."""
 
     def __init__(
         self,
@@ -44,15 +44,15 @@
         changed_admission: dict[int, set[int]],
         ack_serial: int | None,
     ) -> None:
-        """Take the state at the end of the interval.
+        """Create an encoder for the state at the end of the interval.
 
         Args:
-            class_names: All classes by index.
+            class_names: Names of all classes by class index.
             tables: Weights by table and endpoint.
-            admission: By table and class.
-            changed_weights: Those of this interval, by table and endpoint.
-            changed_admission: Classes whose admission was set in this interval, by table.
-            ack_serial: What the updates are to be acknowledged by, if at all.
+            admission: Admission by table and class index.
+            changed_weights: Weights set in this interval, by table and endpoint.
+            changed_admission: Class indexes whose admission was set in this interval, by table.
+            ack_serial: Serial of the ack that the updates request; None to request no ack.
         """
         self.class_names, self.tables, self.admission = class_names, tables, admission
         self.changed_weights, self.changed_admission = changed_weights, changed_admission
@@ -60,7 +60,7 @@
         self.encoded: dict[ProxyChanges, bytes] = {}
 
     def encode(self, changes: ProxyChanges) -> bytes:
-        """Return a proxy's update; empty where the interval changes nothing for it."""
+        """Return a proxy's encoded update; empty if the interval changes nothing for it."""
         update = self.encoded.get(changes)
         if update is None:
             update = self.encoded[changes] = self._encode(changes)
@@ -80,7 +80,7 @@
         if self.ack_serial is not None:
             parts[-1][names.REQUESTED_ACK] = self.ack_serial
         for number, part in enumerate(parts[:-1], 1):
-            if number % MAX_PARTS:  # with very many classes the rest is a message of its own
+            if number % MAX_PARTS:  # after MAX_PARTS parts, the next part begins another message
                 part[names.IS_CONTINUED] = True
         return b"".join(encode_message({names.KIND: names.UPDATE, **part}) for part in parts)
 
@@ -117,9 +117,9 @@
         return {names.CLASSES: [self.class_names[class_index] for class_index in classes]}
 
     def _admission_of(self, table: int, class_index: int) -> Admission | None:
-        """Return the lower limit of the table's own and that of all tables, with the table's own retry policy."""
-        own = self.admission.get(table, {}).get(class_index)
-        general = self.admission.get(ALL_TABLES, {}).get(class_index)
-        if own and general:
-            return Admission(min(own.limit, general.limit), own.retry_policy)
-        return own or general
+        """Return the lower of the limits of this table and of `ALL_TABLES`, with this table's retry policy."""
+        table_admission = self.admission.get(table, {}).get(class_index)
+        shared_admission = self.admission.get(ALL_TABLES, {}).get(class_index)
+        if table_admission and shared_admission:
+            return Admission(min(table_admission.limit, shared_admission.limit), table_admission.retry_policy)
+        return table_admission or shared_admission
--- a/quillstep/platform/protocol/updates.py
+++ b/quillstep/platform/protocol/updates.py
@@ -1,4 +1,4 @@
-"""The planner's output as updates of the protocol, one for each proxy that an interval concerns.  Without I/O."""
+"""Converts the planner's output to updates, one for each proxy that a control interval affects.  Performs no I/O."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,7 +11,7 @@
 
 
 class ProxyStream:
-    """What a proxy has been sent on its stream."""
+    """State that a proxy has been sent on its stream."""
 
     __slots__ = ("assignments", "ejected", "requested_acks")
 
@@ -22,9 +22,10 @@
 
 
 class ProtocolOutput:
-    """The planner's `PlannerOutput`: keeps tables, assignments, admission and ejections as they were written.
+    """Implements `PlannerOutput`: stores the current tables, assignments, admission and ejections.
 
-    `flush` ends an interval and returns its updates.  Health checks, timers and notes go to the given callables.
+    `flush` ends a control interval and returns its updates.  Health checks, timers and notes are passed on to the given
+    callables.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
     ) -> None:
         self.class_names = class_names
         self.request_health_check, self.set_timer, self.log_note = request_health_check, set_timer, log_note
-        self.tables: dict[int, dict[str, float]] = {}  # weights by endpoint
+        self.tables: dict[int, dict[str, float]] = {}  # weights by table and endpoint
         self.admission: dict[int, dict[int, Admission]] = {}  # by table and class
         self.ejected: set[str] = set()
         self.proxies: dict[int, ProxyStream] = {}
@@ -48,21 +49,21 @@
         self.newly_assigned: dict[int, set[int]] = {}  # classes by proxy
         self.changed_ejections: dict[str, bool] = {}
         self.ack_serial: int | None = None
-        # Endpoints of the assigned tables at the end of this interval.
+        # Cache: endpoints of the assigned tables at the end of this interval.
         self.assigned_endpoints: dict[TableAssignments, frozenset[str]] = {}
 
     # Streams
 
     def add_proxy(self, proxy: int) -> None:
-        """Begin a proxy's stream, on which nothing has been sent."""
+        """Add a proxy whose stream has opened; nothing has been sent on it."""
         self.proxies[proxy] = ProxyStream()
 
     def remove_proxy(self, proxy: int) -> None:
-        """End a proxy's stream."""
+        """Remove a proxy whose stream has closed."""
         self.proxies.pop(proxy, None)
 
     def accept_ack(self, proxy: int, serial: int) -> bool:
-        """Note an acknowledgement; return False where it was not requested from this proxy."""
+        """Record an ack; return False if it was not requested from this proxy or was already received."""
         stream = self.proxies.get(proxy)
         if stream is None or serial not in stream.requested_acks:
             return False
@@ -89,36 +90,39 @@
         self.changed_ejections[endpoint] = ejected
 
     def assign_table(self, proxy: int, table: int, classes: Iterable[int]) -> None:
-        """Assign a table to a proxy for these classes, for all where none is given."""
+        """Assign a table to a proxy for the given classes, or for all classes if none are given.
+
+        No effect if the proxy is not connected.
+        """
         if proxy not in self.proxies:
             return
         assigned = set(classes) or set(range(len(self.class_names)))
         stream = self.proxies[proxy]
-        classes_by_table = {other: set(its) - assigned for other, its in stream.assignments}
+        classes_by_table = {other: set(indexes) - assigned for other, indexes in stream.assignments}
         classes_by_table.setdefault(table, set()).update(assigned)
         stream.assignments = tuple(
-            (other, tuple(sorted(its))) for other, its in sorted(classes_by_table.items()) if its
+            (other, tuple(sorted(indexes))) for other, indexes in sorted(classes_by_table.items()) if indexes
         )
         self.newly_assigned.setdefault(proxy, set()).update(assigned)
         self.tables.setdefault(table, {})
 
     def set_admission(self, table: int, classes: Iterable[int], limit: float, retry_policy: int) -> None:
-        """Set admission limit and retry policy of these classes, of all where none is given."""
+        """Set admission limit and retry policy of the given classes, or of all classes if none are given."""
         for class_index in set(classes) or range(len(self.class_names)):
             self.admission.setdefault(table, {})[class_index] = Admission(limit, retry_policy)
             self.changed_admission.setdefault(table, set()).add(class_index)
 
     def request_ack(self, serial: int) -> None:
-        """Have each proxy that this interval concerns acknowledge by this serial."""
+        """Request an ack with this serial from each proxy that this interval updates."""
         self.ack_serial = serial
 
     def watch_endpoints(self) -> None:
-        """Do nothing: the discovery watch reconnects by itself and brings what was missed."""
+        """Do nothing: the discovery watch reconnects by itself and resumes from its last revision."""
 
     # Updates
 
     def flush(self) -> list[tuple[int, bytes]]:
-        """End the interval; return its encoded updates, each with its proxy."""
+        """End the control interval; return its encoded updates as pairs of proxy and update."""
         encoder = UpdateEncoder(
             self.class_names,
             self.tables,
@@ -129,7 +133,7 @@
         )
         updates = []
         for proxy, stream in self.proxies.items():
-            update = encoder.encode(self._changes(proxy, stream))
+            update = encoder.encode(self._proxy_changes(proxy, stream))
             if update:
                 updates.append((proxy, update))
                 if self.ack_serial is not None:
@@ -137,24 +141,25 @@
         self._begin_interval()
         return updates
 
-    def _changes(self, proxy: int, stream: ProxyStream) -> ProxyChanges:
+    def _proxy_changes(self, proxy: int, stream: ProxyStream) -> ProxyChanges:
         newly_assigned = frozenset(self.newly_assigned.get(proxy, ()))
-        ejected, already_sent = self._ejected_for(stream, bool(newly_assigned))
+        ejected, already_sent = self._ejected_endpoints(stream, bool(newly_assigned))
         changes = ProxyChanges(stream.assignments, newly_assigned, ejected - already_sent, stream.ejected - ejected)
         stream.ejected = ejected
         return changes
 
-    def _ejected_for(self, stream: ProxyStream, is_reassigned: bool) -> tuple[frozenset[str], frozenset[str]]:
-        """Return what a proxy is to keep out after this interval, and which of it need not be sent.
+    def _ejected_endpoints(self, stream: ProxyStream, is_reassigned: bool) -> tuple[frozenset[str], frozenset[str]]:
+        """Return the endpoints ejected at a proxy after this interval, and those whose ejection is not sent again.
 
-        These are the ejected endpoints of its tables; where a class has no table yet, all that are ejected while it is
-        connected.  An assignment sends the endpoints of its tables again: from then on the proxy follows only what
-        this controller has sent, and may have dropped the rest.
+        A proxy is sent the ejected endpoints of its tables; while any of its classes has no table, also every endpoint
+        ejected since the proxy connected.  After an assignment the ejected endpoints of its tables are sent again: from
+        then on the proxy applies only the state that this controller has sent, and may have discarded earlier
+        ejections.
         """
         if not (is_reassigned or self.changed_ejections or self.changed_weights):
             return stream.ejected, stream.ejected
         assigned = self._endpoints_of(stream.assignments)
-        ejected = (stream.ejected | assigned) & self.ejected  # one that was sent stands until it is restored
+        ejected = (stream.ejected | assigned) & self.ejected  # a sent ejection stays in effect until it is restored
         if sum(len(classes) for _, classes in stream.assignments) < len(self.class_names):
             ejected |= {endpoint for endpoint, is_ejected in self.changed_ejections.items() if is_ejected}
         return frozenset(ejected), stream.ejected - assigned if is_reassigned else stream.ejected
--- a/quillstep/platform/protocol/validation.py
+++ b/quillstep/platform/protocol/validation.py
@@ -1,7 +1,7 @@
-"""Checks messages that were received, and returns them as typed values.  Without I/O.
+"""Validates received messages and converts them to typed values.  Performs no I/O.
 
-A message that does not hold what it should raises `InvalidMessageError`, whose text is the reason that it is counted
-under.
+An invalid message raises `InvalidMessageError`.  Its text is the reason under which the dropped message is counted, so
+it must not contain values from the message.
 """
 
 import math
@@ -13,149 +13,153 @@
 from quillstep.platform.protocol import names
 from quillstep.platform.protocol.codec import Message
 
-MAX_FIGURE = 10**9
-MAX_UTILIZATION = 2.0  # a share of the processor, which may be measured with noise
+MAX_VALUE = 10**9  # limit of all numbers in messages
+MAX_UTILIZATION = 2.0  # share of the processor; above 1 to allow for measurement noise
 MAX_WINDOW_MS = 3.6e6
-MAX_MEAN_DEADLINES = 4.0  # deadlines that the mean latency of successful attempts can't reach
-ACK_SERIALS = 65536
+# A mean latency of successful attempts above this multiple of the longest class deadline is impossible.
+MAX_MEAN_LATENCY_FACTOR = 4.0
+ACK_SERIAL_LIMIT = 65536  # serials are below this
 
 
 class InvalidMessageError(QuillstepError):
-    """A message to be dropped."""
+    """A message is invalid and is to be dropped; the message text is the reason."""
 
 
 class Deployment(NamedTuple):
-    """What exists, by the settings; a message may name nothing else."""
+    """Proxies, zones and classes according to the settings; messages that refer to others are invalid."""
 
-    proxies: int
+    proxies: int  # number of proxies; proxy IDs are below it
     zones: frozenset[str]
-    class_indexes: dict[str, int]  # by the class's name
-    max_deadline_ms: float  # of all classes
+    class_indexes: dict[str, int]  # by class name
+    max_deadline_ms: float  # longest deadline of all classes
 
 
 class ProxyRegistration(NamedTuple):
-    """The first message of a proxy."""
+    """A proxy's registration, the first message on its stream."""
 
     proxy: int
     zone: str
     expected_requests_per_s: float
-    is_fresh: bool  # it holds nothing from earlier updates
+    is_fresh: bool  # whether the proxy has no state from earlier updates
 
 
 def message_kind(message: Message) -> str:
-    """Return the kind that a message gives; empty where it is no text."""
+    """Return the kind of a message; empty if it is missing or not a string."""
     kind = message.get(names.KIND)
     return kind if type(kind) is str else ""
 
 
 def parse_proxy_registration(message: Message, deployment: Deployment) -> ProxyRegistration:
-    """Return a proxy's registration.
+    """Parse the registration of a proxy.
 
     Raises:
         InvalidMessageError: A field is missing or invalid.
     """
-    requests_per_s = _field(message, names.REQUESTS_PER_S, _is_figure)
-    is_fresh = _field(message, names.IS_FRESH, _is_boolean)
+    requests_per_s = _required_field(message, names.REQUESTS_PER_S, _is_number)
+    is_fresh = _required_field(message, names.IS_FRESH, _is_boolean)
     proxy, zone = _parse_proxy(message, deployment), parse_zone(message, deployment)
     return ProxyRegistration(proxy, zone, float(requests_per_s), is_fresh)
 
 
 def parse_zone(message: Message, deployment: Deployment) -> str:
-    """Return the zone of a message, all that a collector's registration holds.
+    """Parse the zone of a message; it is the only field of a collector's registration.
 
     Raises:
-        InvalidMessageError: The field is missing, or there is no such zone.
+        InvalidMessageError: The field is missing or invalid, or the zone is unknown.
     """
-    zone: str = _field(message, names.ZONE, _is_text)
+    zone: str = _required_field(message, names.ZONE, _is_nonempty_string)
     if zone not in deployment.zones:
-        raise InvalidMessageError("no such zone")
+        raise InvalidMessageError("unknown zone")
     return zone
 
 
 def parse_ack(message: Message, deployment: Deployment) -> tuple[int, int]:
-    """Return a proxy, and the serial of the update that it acknowledges.
+    """Parse an ack; return the proxy and the serial that it acknowledges.
 
     Raises:
         InvalidMessageError: A field is missing or invalid.
     """
-    _field(message, names.APPLY_DURATION, _is_figure)
-    return _parse_proxy(message, deployment), _field(message, names.ACK_SERIAL, _is_ack_serial)
+    _required_field(message, names.APPLY_DURATION, _is_number)
+    return _parse_proxy(message, deployment), _required_field(message, names.ACK_SERIAL, _is_ack_serial)
 
 
 def parse_upstream_stats(message: Message, deployment: Deployment) -> tuple[str, UpstreamStats]:
-    """Return a zone, and what its proxies met at an endpoint.
+    """Parse a collector's report; return the zone and the stats of its proxies' attempts at one endpoint.
 
     Raises:
         InvalidMessageError: A field is missing or invalid.
     """
-    attempts: int = _field(message, names.COUNT, _is_count)
-    failures = _field(message, names.FAILURES, lambda value: _is_count(value) and value <= attempts)
+    attempts: int = _required_field(message, names.COUNT, _is_count)
+    failures = _required_field(message, names.FAILURES, lambda value: _is_count(value) and value <= attempts)
     mean_ms = 0.0
     if names.MEAN_SUCCESS_MS in message or attempts > failures:
-        max_ms = MAX_MEAN_DEADLINES * deployment.max_deadline_ms
-        mean_ms = _field(message, names.MEAN_SUCCESS_MS, lambda value: _is_figure(value) and value <= max_ms)
-    window_ms = _field(message, names.WINDOW_MS, _is_window)
-    endpoint = _field(message, names.ENDPOINT, _is_text)
+        max_ms = MAX_MEAN_LATENCY_FACTOR * deployment.max_deadline_ms
+        mean_ms = _required_field(message, names.MEAN_SUCCESS_MS, lambda value: _is_number(value) and value <= max_ms)
+    window_ms = _required_field(message, names.WINDOW_MS, _is_window)
+    endpoint = _required_field(message, names.ENDPOINT, _is_nonempty_string)
     load = _parse_load_report(message.get(names.LOAD_REPORT))
     stats = UpstreamStats(endpoint, attempts, failures, float(mean_ms), float(window_ms), load)
     return parse_zone(message, deployment), stats
 
 
 def parse_downstream_stats(message: Message, deployment: Deployment) -> DownstreamStats:
-    """Return what reached one proxy of one class.
+    """Parse a report on the requests of one class at one proxy.
 
     Raises:
         InvalidMessageError: A field is missing or invalid.
     """
-    class_name = _field(message, names.CLASS, _is_text)
+    class_name = _required_field(message, names.CLASS, _is_nonempty_string)
     if class_name not in deployment.class_indexes:
-        raise InvalidMessageError("no such class")
-    # Requests may have arrived in an earlier window: more of them may be unanswered than arrived in this one.
-    requests, unanswered = _field(message, names.COUNT, _is_count), _field(message, names.FAILURES, _is_count)
+        raise InvalidMessageError("unknown class")
+    # Unanswered requests may have arrived in an earlier window, so they can exceed the requests of this one.
+    requests, unanswered = (
+        _required_field(message, names.COUNT, _is_count),
+        _required_field(message, names.FAILURES, _is_count),
+    )
     proxy = _parse_proxy(message, deployment)
-    window_ms = _field(message, names.WINDOW_MS, _is_window)
+    window_ms = _required_field(message, names.WINDOW_MS, _is_window)
     return DownstreamStats(deployment.class_indexes[class_name], proxy, requests, unanswered, float(window_ms))
 
 
-def _field(message: Message, name: str, is_valid: Callable[[Any], bool]) -> Any:
+def _required_field(message: Message, name: str, is_valid: Callable[[Any], bool]) -> Any:
     if name not in message:
-        raise InvalidMessageError(f"{name} is missing")
+        raise InvalidMessageError(f"missing field {name}")
     value = message[name]
     if not is_valid(value):
-        raise InvalidMessageError(f"{name} is of another type or out of range")
+        raise InvalidMessageError(f"invalid field {name}: wrong type or out of range")
     return value
 
 
 def _parse_proxy(message: Message, deployment: Deployment) -> int:
-    proxy: int = _field(message, names.PROXY, _is_count)
+    proxy: int = _required_field(message, names.PROXY, _is_count)
     if proxy >= deployment.proxies:
-        raise InvalidMessageError("no such proxy")
+        raise InvalidMessageError("unknown proxy")
     return proxy
 
 
 def _parse_load_report(report: Any) -> dict[str, float]:
     if report is None:
         return {}
-    is_valid = isinstance(report, dict) and all(_is_figure(value) for value in report.values())
+    is_valid = isinstance(report, dict) and all(_is_number(value) for value in report.values())
     if not is_valid or report.get(names.UTILIZATION, 0.0) > MAX_UTILIZATION:
-        raise InvalidMessageError("the load report is of another type or out of range")
-    found: dict[str, float] = report
-    return found
+        raise InvalidMessageError("invalid load report: wrong type or out of range")
+    load: dict[str, float] = report
+    return load
 
 
 def _is_count(value: Any) -> bool:
-    return type(value) is int and 0 <= value <= MAX_FIGURE
+    return type(value) is int and 0 <= value <= MAX_VALUE
 
 
-def _is_figure(value: Any) -> bool:
-    return type(value) in (int, float) and 0.0 <= value <= MAX_FIGURE and math.isfinite(value)
+def _is_number(value: Any) -> bool:
+    return type(value) in (int, float) and 0.0 <= value <= MAX_VALUE and math.isfinite(value)
 
 
 def _is_window(value: Any) -> bool:
-    return _is_figure(value) and 0.0 < value <= MAX_WINDOW_MS
+    return _is_number(value) and 0.0 < value <= MAX_WINDOW_MS
 
 
-def _is_text(value: Any) -> bool:
+def _is_nonempty_string(value: Any) -> bool:
     return type(value) is str and bool(value)
 
 
@@ -164,4 +168,4 @@
 
 
 def _is_ack_serial(value: Any) -> bool:
-    return _is_count(value) and value < ACK_SERIALS
+    return _is_count(value) and value < ACK_SERIAL_LIMIT
--- a/tests/platform/test_codec.py
+++ b/tests/platform/test_codec.py
@@ -1,4 +1,4 @@
-"""The protocol's framing: messages from bytes in any pieces, and what breaks a stream."""
+"""Framing of the platform's protocol: segmented input, and malformed input that breaks a stream."""
 
 import pytest
 from platform_peers import frame
@@ -7,10 +7,10 @@
 
 
 @pytest.mark.parametrize("size", [1, 3, 7, 1000])
-def test_messages_are_read_however_their_bytes_are_split(size):
+def test_messages_are_decoded_from_any_segmentation(size):
     codec = MessageCodec(4096)
     data = b"".join(frame({"t": "hb", "n": number, "text": "ü" * number}) for number in range(20))
-    messages = [event for at in range(0, len(data), size) for event in codec.receive(data[at : at + size])]
+    messages = [event for start in range(0, len(data), size) for event in codec.receive(data[start : start + size])]
     assert [message["n"] for message in messages] == list(range(20)) and not codec.buffer
 
 
@@ -23,7 +23,7 @@
         (frame(b"\xff\xfe"), True),
     ],
 )  # fmt: skip
-def test_unreadable_bytes_break_the_stream_after_the_messages_before_them(data, is_registered):
+def test_malformed_bytes_break_the_stream_after_preceding_messages(data, is_registered):
     codec = MessageCodec(4096)
     codec.is_registered = is_registered
     events = codec.receive(frame({"t": "hb"}) + data) if is_registered else codec.receive(data)
@@ -31,7 +31,7 @@
     assert codec.receive(frame({"t": "hb"})) == []
 
 
-def test_a_length_is_checked_before_its_body_is_buffered():
+def test_a_message_is_rejected_by_its_first_byte_before_its_body_is_buffered():
     codec = MessageCodec(4096)
     codec.is_registered = True
     codec.receive((2**20).to_bytes(4, "big"))
--- a/tests/platform/test_connections.py
+++ b/tests/platform/test_connections.py
@@ -1,4 +1,4 @@
-"""Who may register on a connection, and what is dropped or closed."""
+"""Registration of connections, dropped messages, and connections closed by the controller."""
 
 import pytest
 from platform_peers import Client, Process, frame, settings, upstream_stats, wait_until, write_configuration
@@ -14,8 +14,8 @@
     stepped.close()
 
 
-def test_a_registration_in_pieces_is_not_closed_while_descriptors_are_free(tmp_path):
-    """As many proxies as descriptors, all connecting at once after a kill; each pauses within its registration."""
+def test_segmented_registrations_are_accepted_while_descriptors_are_free(tmp_path):
+    """Guards against closing slow registrations when all proxies reconnect at once after a controller restart."""
     path = write_configuration(tmp_path, "127.0.0.1:1", [], settings=settings(proxies=300))
     controller = Process(path)
     try:
@@ -33,18 +33,18 @@
 
 
 @pytest.mark.parametrize("kind", [["attach"], {"t": "done"}, 7, None, True])
-def test_a_kind_that_is_no_text_is_dropped_when_registered_and_closes_an_unregistered_connection(steps, kind):
+def test_an_invalid_kind_is_dropped_if_registered_and_closes_an_unregistered_connection(steps, kind):
     registered, unregistered = steps.connect(frame(attach(1)) + frame({"t": kind})), steps.connect(frame({"t": kind}))
     steps.poller.accept()
     connections = {connection.sock.getpeername(): connection for connection in steps.poller.connections.values()}
     mine, other = connections[registered.getsockname()], connections[unregistered.getsockname()]
-    wait_until(lambda: {mine.sock.fileno(), other.sock.fileno()} <= steps.readable(), "their bytes")
+    wait_until(lambda: {mine.sock.fileno(), other.sock.fileno()} <= steps.readable(), "data on both connections")
     steps.serve_ready()
     steps.poller.update_scheduled()
     assert not mine.is_closed and other.is_closed and sum(steps.manager.dropped.values()) == 1
 
 
-def test_connections_that_only_claim_to_be_collectors_close_none_that_works(steps):
+def test_idle_collector_connections_do_not_displace_a_working_one(steps):
     registration = frame({"t": "telemetry", "site": "a"})
     working = steps.connect(registration)
     steps.poller.accept()
--- a/tests/platform/test_stats_merging.py
+++ b/tests/platform/test_stats_merging.py
@@ -1,4 +1,4 @@
-"""Statistics that arrive while the deciding thread is late."""
+"""Merging of statistics that arrive faster than the deciding thread handles them."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from quillstep.platform.protocol.stats_merging import merge_downstream_stats, merge_upstream_stats
 
 
-def test_stats_are_merged_while_the_queue_is_full_and_connections_are_kept():
+def test_a_full_queue_merges_stats_and_keeps_connection_events():
     event_queue = EventQueue(2, 1)
     reports = [
         UpstreamStats("s", 4, 1, 10.0, 1000.0, {"util": 0.2}), UpstreamStats("s", 6, 6, 0.0, 1000.0, {}),
--- a/tests/platform/test_updates.py
+++ b/tests/platform/test_updates.py
@@ -1,4 +1,4 @@
-"""The planner's output as updates: which proxies get one, what is in it, and how many lines it has."""
+"""Conversion of the planner's output to updates: recipients, contents and line counts."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 class ExpectedUpdates:
-    """What the simulator's page says of the same output: lines of each proxy's update, and the final tables."""
+    """A model of the simulator's rules for the same output: lines of each proxy's update, and final tables."""
 
     def __init__(self, classes):
         self.classes, self.tables, self.admission, self.ejected = classes, {}, {}, set()
@@ -22,7 +22,7 @@
         assigned = {proxy for kind, proxy, *_ in calls if kind == "assign_table"}
         for kind, *what in calls:
             getattr(self, kind)(cost, assigned, *what)
-        return {proxy: lines + 1 for proxy, lines in cost.items() if lines}  # and the requested ack
+        return {proxy: lines + 1 for proxy, lines in cost.items() if lines}  # plus one for the requested ack
 
     def proxies_of(self, table):
         return [proxy for proxy, classes in self.assignments.items() if table in classes.values()]
@@ -43,11 +43,11 @@
     def set_ejected(self, cost, assigned, endpoint, ejected):
         (self.ejected.add if ejected else self.ejected.discard)(endpoint)
         for proxy, classes in self.assignments.items():
-            # A proxy that is assigned a table is sent its ejections with it.  What was ejected before an assignment is
-            # restored by name: whether a proxy still keeps it out need not be known.
+            # A proxy that is assigned a table is sent the table's ejections with it.  Endpoints ejected before an
+            # assignment are restored explicitly, whether or not the proxy still has them ejected.
             sent = self.sent_ejections.setdefault(proxy, set())
-            named = not classes or any(endpoint in self.tables[table] for table in classes.values())
-            if (named and ejected and proxy not in assigned) or (not ejected and endpoint in sent):
+            is_affected = not classes or any(endpoint in self.tables[table] for table in classes.values())
+            if (is_affected and ejected and proxy not in assigned) or (not ejected and endpoint in sent):
                 cost[proxy] += 1
                 (sent.add if ejected else sent.discard)(endpoint)
 
@@ -59,9 +59,9 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_updates_come_to_the_lines_and_tables_that_the_simulator_counts(seed):
+def test_updates_match_the_lines_and_tables_of_the_simulators_rules(seed):
     draw = random.Random(seed)
-    names, classes = [f"s{at}" for at in range(8)], range(2)
+    names, classes = [f"s{index}" for index in range(8)], range(2)
     output, expected, proxies = ProtocolOutput(["lookup", "issue"], None, None, None), ExpectedUpdates(classes), {}
     for proxy in range(5):
         output.add_proxy(proxy)
@@ -88,13 +88,13 @@
             getattr(output, kind)(*what)
         if calls:
             output.request_ack(serial)
-        found = {}
+        sent_lines = {}
         for proxy, message in output.flush():
-            before = proxies[proxy].lines
+            lines_before = proxies[proxy].lines
             for part in MessageCodec(2**20).receive(message):
                 proxies[proxy].apply(part)
-            found[proxy] = proxies[proxy].lines - before
-        assert found == expected_lines, calls
+            sent_lines[proxy] = proxies[proxy].lines - lines_before
+        assert sent_lines == expected_lines, calls
     assigned = [proxy for proxy, classes in expected.assignments.items() if classes]
     assert assigned
     for proxy in assigned:
@@ -104,7 +104,7 @@
             assert proxies[proxy].admission.get(name) == expected.admission.get(0, {}).get(class_index)
 
 
-def test_a_proxy_that_nothing_concerns_gets_no_update_and_its_acks_are_its_own():
+def test_unaffected_proxies_get_no_update_and_acks_count_for_their_proxy_only():
     output = ProtocolOutput(["lookup", "issue"], None, None, None)
     for proxy in (0, 1):
         output.add_proxy(proxy)
@@ -120,8 +120,8 @@
 
 
 @pytest.mark.parametrize("classes", [63, 64, 130])
-def test_more_classes_than_a_message_has_parts_go_in_messages_of_their_own(classes):
-    names = [f"c{at}" for at in range(classes)]
+def test_an_update_with_more_than_the_maximum_of_parts_is_split_into_messages(classes):
+    names = [f"c{index}" for index in range(classes)]
     output = ProtocolOutput(names, None, None, None)
     output.add_proxy(0)
     output.set_weight(0, "s", 10)
--- a/tests/platform/test_validation.py
+++ b/tests/platform/test_validation.py
@@ -1,4 +1,4 @@
-"""Which messages are taken, and which are dropped as invalid."""
+"""Validation of received messages."""
 
 import pytest
 
@@ -28,10 +28,10 @@
 
 
 @pytest.mark.parametrize("kind", sorted(VALID_MESSAGES))
-def test_a_valid_message_is_parsed_and_one_without_a_field_is_not(kind):
+def test_valid_messages_are_parsed_and_missing_fields_are_rejected(kind):
     PARSERS[kind](VALID_MESSAGES[kind], DEPLOYMENT)
     for name in VALID_MESSAGES[kind].keys() - {"util"}:
-        with pytest.raises(validation.InvalidMessageError, match=name):
+        with pytest.raises(validation.InvalidMessageError, match=f"^missing field {name}$"):
             PARSERS[kind]({key: value for key, value in VALID_MESSAGES[kind].items() if key != name}, DEPLOYMENT)
 
 
@@ -49,12 +49,12 @@
         ("client_stats", "count", 10**12), ("client_stats", "id", 4),
     ],
 )  # fmt: skip
-def test_a_field_out_of_range_or_of_another_type_makes_its_message_invalid(kind, name, value):
+def test_fields_of_the_wrong_type_or_out_of_range_are_rejected(kind, name, value):
     with pytest.raises(validation.InvalidMessageError):
         PARSERS[kind]({**VALID_MESSAGES[kind], name: value}, DEPLOYMENT)
 
 
-def test_attempts_that_all_failed_need_no_mean_and_more_requests_may_be_unanswered_than_arrived():
+def test_failed_attempts_need_no_mean_and_unanswered_requests_may_exceed_requests():
     message = {**VALID_MESSAGES["upstream_stats"], "fail": 9}
     del message["mean"]
     assert validation.parse_upstream_stats(message, DEPLOYMENT)[1] == UpstreamStats(
--- a/tests/platform_stepping.py
+++ b/tests/platform_stepping.py
@@ -1,4 +1,4 @@
-"""Connections whose poller is stepped by the test's own thread, and builders of what discovery and proxies send."""
+"""Connections whose poller runs step by step in the test's thread, and builders of peers' messages."""
 
 import json
 import socket
@@ -28,7 +28,7 @@
 
 
 class SteppedConnections:
-    """A `ConnectionManager` whose poller runs in the test's thread, a step at a time; `events` is what it published."""
+    """A `ConnectionManager` whose poller runs step by step in the test's thread; `events` has what it published."""
 
     def __init__(self, limits=LIMITS):
         self.events = []
@@ -50,14 +50,14 @@
         return {descriptor for descriptor, _ in self.poller.poll.poll(0)}
 
     def serve_ready(self):
-        """One pass over what is ready, in the order of descriptors."""
+        """Handle each ready connection once, in the order of descriptors."""
         for descriptor, events in sorted(self.poller.poll.poll(1000 if self.poller.connections else 0)):
             if descriptor in self.poller.connections:
                 self.poller.handle_ready(self.poller.connections[descriptor], events)
 
     def close(self):
         for connection in list(self.poller.connections.values()):
-            self.poller.close_now(connection, "the test ends")
+            self.poller.close_now(connection, "end of test")
         for sock in self.sockets:
             sock.close()
         self.poller.listener.close()
