--- a/quillstep/platform/endpoint_list.py
+++ b/quillstep/platform/endpoint_list.py
@@ -1,7 +1,7 @@
-"""Discovery's endpoint lists, checked entry by entry.  Without I/O.
+"""Parses and validates discovery's endpoint lists.  Performs no I/O.
 
-Discovery's names (`members`, `host_port`, `phase` and the rest) are mapped here to the planner's, and known nowhere
-else but in the configuration's first list.
+Discovery's field names (`members`, `host_port`, `phase` and others) are mapped to the planner's here.  Elsewhere they
+occur only in the initial list of the configuration.
 """
 
 import re
@@ -11,8 +11,9 @@
 from quillstep.errors import QuillstepError
 from quillstep.planner.messages import EndpointEntry
 
-ENDPOINT_STATES = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}  # by discovery's phase
-MAX_FIGURE = 10**15  # of a size, a time or a revision: sums beyond it could overflow
+# The planner's endpoint state by discovery's phase.
+ENDPOINT_STATES = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
+MAX_VALUE = 10**15  # limit of sizes, times and revisions; sums of larger values could overflow
 MAX_PORT = 65535
 NUMERIC_ADDRESS = re.compile(r"([0-9.]+|\[[0-9A-Fa-f:.]+\]):([0-9]{1,5})")
 
@@ -20,40 +21,42 @@
 
 
 class MalformedListError(QuillstepError):
-    """What discovery sent is no endpoint list."""
+    """A response of discovery is not a valid endpoint list."""
 
 
 class DiscoveryUpdate(NamedTuple):
-    """An endpoint list, or changes of it.
+    """A complete endpoint list, or changes to it.
 
-    `kind` is what the planner is given: `complete`, `partial`, or `persisted` for the configuration's list.  A list
-    with rejected entries is `partial`, since what it lacks may still exist; `is_complete` says what discovery sent.
+    `kind` is passed to the planner: `complete`, `partial`, or `persisted` for the configuration's list.  A list with
+    rejected entries is `partial`, since the rejected endpoints may still exist.  `is_complete` is discovery's own flag.
     """
 
     kind: str
     entries: list[EndpointEntry]
-    addresses: dict[str, Address]  # by endpoint
+    addresses: dict[str, Address]  # by endpoint name
     revision: int
-    rejected: list[str]  # why entries were left out
+    rejected: list[str]  # reasons for the entries that were left out
     is_complete: bool
 
 
 def parse_endpoint_list(document: Any, clock_offset_ms: float, kind: str = "") -> DiscoveryUpdate:
-    """Return a decoded endpoint list as the planner takes it.
+    """Convert a decoded endpoint list to the planner's types.
+
+    Invalid entries are left out and reported in `DiscoveryUpdate.rejected`.
 
     Args:
-        document: The JSON document.
-        clock_offset_ms: What to add to Unix time to get this process's monotonic clock.
-        kind: The update's kind, where it is not to follow from the document.
+        document: The decoded JSON document.
+        clock_offset_ms: Offset from Unix time to this process's monotonic clock, in milliseconds.
+        kind: The update's kind; derived from the document if empty.
 
     Raises:
-        MalformedListError: The document is no endpoint list.  An invalid entry alone is left out.
+        MalformedListError: The revision, the members or the flag `complete` is missing or invalid.
     """
     revision = document.get("revision") if isinstance(document, dict) else None
-    if type(revision) is not int or not 0 <= revision <= MAX_FIGURE:
-        raise MalformedListError("a list without a revision")
+    if type(revision) is not int or not 0 <= revision <= MAX_VALUE:
+        raise MalformedListError("endpoint list: missing or invalid `revision`")
     if not isinstance(document.get("members"), list) or type(document.get("complete")) is not bool:
-        raise MalformedListError("a list without its members, or that does not say whether it is complete")
+        raise MalformedListError("endpoint list: missing or invalid `members` or `complete`")
     entries: list[EndpointEntry] = []
     addresses: dict[str, Address] = {}
     rejected: list[str] = []
@@ -70,12 +73,12 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return a numeric host and a port.
+    """Parse a numeric host and a port; IPv6 addresses are in brackets.
 
-    The platform has no DNS: looking up a name would keep a thread beyond any deadline.
+    Host names are rejected: the platform has no DNS, and a lookup would block a thread beyond any deadline.
 
     Raises:
-        ValueError: The text is no such address.
+        ValueError: The text is not a numeric address with a port.
     """
     match = NUMERIC_ADDRESS.fullmatch(text)
     if not match or int(match[2]) > MAX_PORT:
@@ -89,7 +92,7 @@
 
 
 def parse_entry(member: Any, clock_offset_ms: float) -> tuple[EndpointEntry, Address]:
-    """Return an entry of a list, its start on this process's clock, and its address.
+    """Parse one entry of an endpoint list; its start time is converted to this process's monotonic clock.
 
     Raises:
         ValueError: A field is missing or invalid.
@@ -98,7 +101,7 @@
         raise ValueError("a member that is no object")
     for name in ("id", "locality", "phase", "host_port"):
         if type(member.get(name)) is not str or not member[name]:
-            raise ValueError(f"{name} is missing or no text")
+            raise ValueError(f"{name}: expected a non-empty string")
     try:
         address = parse_address(member["host_port"])
     except ValueError as error:
@@ -107,8 +110,8 @@
         raise ValueError("phase is none that is known")
     size, started_unix_ms = member.get("size", 1.0), member.get("up_since_ms", 0)
     for name, value in (("size", size), ("up_since_ms", started_unix_ms)):
-        if type(value) not in (int, float) or not 0 <= value <= MAX_FIGURE:
+        if type(value) not in (int, float) or not 0 <= value <= MAX_VALUE:
             raise ValueError(f"{name} is no number that it can be")
-    started_ms = started_unix_ms + clock_offset_ms if started_unix_ms else 0.0  # 0: long ago
+    started_ms = started_unix_ms + clock_offset_ms if started_unix_ms else 0.0  # 0: started long ago
     entry = EndpointEntry(member["id"], member["locality"], ENDPOINT_STATES[member["phase"]], float(size), started_ms)
     return entry, address
--- a/quillstep/platform/endpoint_registry.py
+++ b/quillstep/platform/endpoint_registry.py
@@ -1,26 +1,26 @@
-"""Which endpoints exist, by discovery, and where."""
+"""Addresses of the endpoints that discovery lists."""
 
 from quillstep.platform.endpoint_list import Address, DiscoveryUpdate
 
 
 class EndpointRegistry:
-    """Addresses of the listed endpoints; belongs to the deciding thread.
+    """Addresses of the listed endpoints; used by the deciding thread only.
 
-    Endpoints that are no longer listed are remembered for a while: reports on them are still under way.
+    Removed endpoints stay known for `retention_ms`, since reports on them may still be in flight.
     """
 
     def __init__(self, retention_ms: float) -> None:
-        """`retention_ms` is how long an endpoint that is no longer listed is remembered."""
+        """Create an empty registry; `retention_ms` is how long a removed endpoint stays known."""
         self.retention_ms = retention_ms
         self.addresses: dict[str, Address] = {}
-        self.removed_ms: dict[str, float] = {}  # endpoints that are no longer listed, and since when
+        self.removed_ms: dict[str, float] = {}  # removal times of endpoints that are no longer listed
 
-    def knows(self, endpoint: str) -> bool:
-        """Return whether reports on an endpoint are to be taken."""
+    def is_known(self, endpoint: str) -> bool:
+        """Return whether an endpoint is listed or was removed recently, so that reports on it are accepted."""
         return endpoint in self.addresses or endpoint in self.removed_ms
 
     def apply(self, update: DiscoveryUpdate, now_ms: float) -> None:
-        """Take a list, or changes of it."""
+        """Apply a complete list or changes to it; `now_ms` is the current time on the monotonic clock."""
         current = {entry.endpoint for entry in update.entries if entry.state != "terminated"}
         removed = {entry.endpoint for entry in update.entries} - current
         if update.kind == "complete":
--- a/tests/platform/test_endpoint_list.py
+++ b/tests/platform/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's lists: what is taken of them, and which entries are rejected."""
+"""Parsing of discovery's endpoint lists, and rejection of invalid lists and entries."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     return {**entry, **other}
 
 
-def test_a_list_is_parsed_as_the_planner_takes_it():
+def test_a_list_is_converted_to_planner_entries():
     document = {"revision": 4, "complete": True, "members": [member(), member("t", phase="draining", up_since_ms=5000)]}
     update = parse_endpoint_list(document, -1000.0)
     assert update.kind == "complete" and update.addresses["s"] == ("10.1.0.18", 3000)
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize(
     "other", [{"id": 5}, {"host_port": "x"}, {"phase": "odd"}, {"size": "1"}, {"up_since_ms": -1}, {"locality": None}]
 )
-def test_an_invalid_entry_is_rejected_and_its_endpoint_is_not_taken_as_removed(other):
+def test_an_invalid_entry_is_rejected_without_removing_its_endpoint(other):
     update = parse_endpoint_list({"revision": 4, "complete": True, "members": [member(), member("t", **other)]}, 0.0)
     assert update.kind == "partial" and [entry[0] for entry in update.entries] == ["s"] and len(update.rejected) == 1
 
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize(
     "document", [[], {"revision": "4", "complete": True, "members": []}, {"revision": 1, "complete": True}]
 )
-def test_a_document_that_is_no_list_is_rejected(document):
+def test_a_malformed_list_is_rejected(document):
     with pytest.raises(MalformedListError):
         parse_endpoint_list(document, 0.0)
 
@@ -49,13 +49,13 @@
     ],
     ids=range(10),
 )  # fmt: skip
-def test_an_entry_whose_address_or_figures_could_not_be_used_is_rejected(other):
+def test_an_entry_with_an_unusable_address_or_number_is_rejected(other):
     document = {"revision": 1, "complete": True, "members": [member("s"), member("t", **other)]}
     update = parse_endpoint_list(document, 0.0)
     assert list(update.addresses) == ["s"] and len(update.rejected) == 1
 
 
 @pytest.mark.parametrize("revision", [10**5000, -1, True, 1.0], ids=["huge", "below 0", "bool", "float"])
-def test_a_list_with_an_unusable_revision_is_rejected(revision):
+def test_a_list_with_an_invalid_revision_is_rejected(revision):
     with pytest.raises(Exception, match="revision"):
         parse_endpoint_list({"revision": revision, "complete": True, "members": []}, 0.0)
