--- a/quillstep/platform/__init__.py
+++ b/quillstep/platform/__init__.py
@@ -1,1 +1,1 @@
-"""One controller in service on the platform: start, configuration, discovery, signals, and the deciding thread."""
+"""The controller process on the platform: configuration, discovery, signals and the deciding thread."""
--- a/quillstep/platform/configuration.py
+++ b/quillstep/platform/configuration.py
@@ -1,6 +1,6 @@
-"""The configuration file that the platform gives a controller: read, checked, and turned into what each part needs.
+"""Reads and validates the controller's configuration file, and derives the configuration of each component.
 
-A `ConfigurationError` is one sentence that names the file, the path in it, what was found and what was expected.
+The message of a `ConfigurationError` is a single line with the file, the JSON path, and the expected and found values.
 """
 
 import json
@@ -18,29 +18,29 @@
 from quillstep.platform.protocol.validation import Deployment
 from quillstep.platform.settings_flattening import flatten_settings
 
-NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
+NonEmptyString = Annotated[str, msgspec.Meta(min_length=1)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
-# Environment variables: the file, and fields that may stand there in place of the file.
+# Environment variables: the path of the configuration file, and fallbacks for fields that the file does not set.
 CONFIG_VARIABLE = "BALANCER_CONFIG"
 FIELD_VARIABLES = {"name": "BALANCER_NAME", "listen": "BALANCER_LISTEN", "discovery": "BALANCER_DISCOVERY"}
 
-# Names within `settings`, whose classes are called lanes.
+# Field names within `settings`.  The platform calls traffic classes lanes.
 ZONES, CLASSES, CLASS_NAME, CLASS_DEADLINE = "zones", "lanes", "name", "giveUp"
 PROXIES, CONNECT_TIMEOUT, CONTROL_INTERVAL = "specifics.dataPlaneSize", "allowed.dialTimeout", "tick"
 
-HEALTH_CHECK_CONNECT_TIMEOUTS = 1.6  # the proxies' connect timeouts that a whole health check may take
-DEFAULT_HEALTH_CHECK_TIMEOUT_MS = 500.0  # where the settings do not give the proxies' connect timeout
+HEALTH_CHECK_TIMEOUT_FACTOR = 1.6  # timeout of a complete health check, as a multiple of the proxies' connect timeout
+DEFAULT_HEALTH_CHECK_TIMEOUT_MS = 500.0  # used if the settings have no connect timeout
 HEALTH_PATH, LOAD_PATH = "/health", "/status/load"
-MAX_SHOWN_CHARACTERS = 60  # of a value in an error
+MAX_ERROR_VALUE_CHARACTERS = 60  # longer values are truncated in error messages
 
 
 class ConfigurationError(QuillstepError):
-    """What is wrong with the configuration, in one sentence."""
+    """The configuration is missing, unreadable or invalid; the message is a single line."""
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What the machine gives the controller."""
+    """Resources of the machine that the controller may use."""
 
     cores: Annotated[float, msgspec.Meta(gt=0)] = 1.0
     memory_mb: Annotated[float, msgspec.Meta(gt=0)] = 2048.0
@@ -48,9 +48,9 @@
 
 
 class InitialEndpointList(msgspec.Struct, frozen=True):
-    """What was known of the endpoints when the file was written, as discovery sends it.
+    """The endpoint list at the time the file was written, in discovery's format.
 
-    Its entries are checked one by one, in `endpoint_list.py`.
+    Entries are validated one by one by `endpoint_list.parse_endpoint_list`.
     """
 
     members: list[Any]
@@ -59,19 +59,19 @@
 
 
 class PlatformConfiguration(msgspec.Struct, frozen=True):
-    """The file, by its own names; fields that are not named here are ignored."""
+    """The contents of the configuration file; unknown fields are ignored."""
 
-    name: NonEmptyText
-    listen: NonEmptyText
-    discovery: NonEmptyText
+    name: NonEmptyString
+    listen: NonEmptyString
+    discovery: NonEmptyString
     settings: dict[str, Any]
-    seed: NonEmptyText
+    seed: NonEmptyString
     limits: MachineLimits = MachineLimits()
     initial_list: InitialEndpointList = msgspec.field(name="known", default=InitialEndpointList([], 0))
 
 
 class ControllerConfig(msgspec.Struct, frozen=True):
-    """What the parts of a controller are configured by."""
+    """Configuration of the controller's components, derived from `PlatformConfiguration`."""
 
     planner: PlannerConfig
     class_names: list[str]
@@ -82,14 +82,18 @@
 
 
 def read_configuration(environment: Mapping[str, str] = os.environ) -> PlatformConfiguration:
-    """Return the configuration that the environment names.
+    """Read the configuration file whose path is in `BALANCER_CONFIG`.
+
+    Fields that are missing in the file are taken from the environment variables in `FIELD_VARIABLES`.
 
     Raises:
-        ConfigurationError: The file can't be read, or a field is missing or invalid.
+        ConfigurationError: The file cannot be read, or a field is missing or invalid.
     """
     path = environment.get(CONFIG_VARIABLE, "")
     if not path:
-        raise ConfigurationError(f"{CONFIG_VARIABLE} names no configuration file: its path was expected there")
+        raise ConfigurationError(
+            f"{CONFIG_VARIABLE}: expected the path of the configuration file, got an unset or empty variable"
+        )
     document = _read_document(path)
     if isinstance(document, dict):
         for field, variable in FIELD_VARIABLES.items():
@@ -98,13 +102,13 @@
     try:
         configuration = msgspec.convert(document, PlatformConfiguration)
     except msgspec.ValidationError as error:
-        raise ConfigurationError(f"{path}: {error}{_found_at(document, str(error))}") from error
+        raise ConfigurationError(f"{path}: {error}{_found_suffix(document, str(error))}") from error
     for field in ("listen", "discovery"):
         try:
             parse_address(getattr(configuration, field))
         except ValueError as error:
             expected = f"Expected an address in figures with its port - at `$.{field}`"
-            raise ConfigurationError(f"{path}: {expected}{_found_at(document, expected)}") from error
+            raise ConfigurationError(f"{path}: {expected}{_found_suffix(document, expected)}") from error
     return configuration
 
 
@@ -112,36 +116,40 @@
     try:
         data = Path(path).read_bytes()
     except OSError as error:
-        raise ConfigurationError(f"{path}: it can't be read: {error.strerror or error}") from error
+        raise ConfigurationError(f"{path}: cannot be read: {error.strerror or error}") from error
     try:
         return msgspec.json.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
         raise ConfigurationError(f"{path}: JSON was expected, found what can't be read: {error}") from error
 
 
-def _found_at(document: Any, message: str) -> str:
-    """Return what stands at the path that an error names, shortened; nothing where nothing stands there."""
+def _found_suffix(document: Any, message: str) -> str:
+    """Return `, found VALUE` for the JSON path in an error message, truncated; empty if the path does not exist."""
     _, separator, path = message.partition(" - at `$.")
     for name in path.rstrip("`").split(".") if separator else []:
         if not isinstance(document, dict) or name not in document:
             return ""
         document = document[name]
-    return f", found {json.dumps(document)[:MAX_SHOWN_CHARACTERS]}"
+    return f", found {json.dumps(document)[:MAX_ERROR_VALUE_CHARACTERS]}"
 
 
 def controller_config(configuration: PlatformConfiguration, path: str) -> ControllerConfig:
-    """Return what the settings of a configuration come to; `path` is named in errors.
+    """Derive the configuration of the controller's components from the settings.
+
+    Args:
+        configuration: The contents of the configuration file.
+        path: Path of the file, for error messages.
 
     Raises:
         ConfigurationError: A setting is missing or invalid.
     """
     settings = configuration.settings
     zones = _unique_names(settings.get(ZONES), "names of zones", f"$.settings.{ZONES}", path)
-    class_names = _unique_names(_names_of_classes(settings), "a list of classes", f"$.settings.{CLASSES}", path)
+    class_names = _unique_names(_class_names(settings), "a list of classes", f"$.settings.{CLASSES}", path)
     try:
         flat = flatten_settings(settings)
         planner, _ = planner_config_from_start(flat)
-        planner.zones = zones  # not as the flat form has them: a zone's name may hold a comma
+        planner.zones = zones  # the flat form joins zones by commas, which may also occur in a zone's name
         max_deadline_ms = max(
             read_milliseconds(flat, f"{CLASSES}.{index}.{CLASS_DEADLINE}") for index in range(len(class_names))
         )
@@ -154,7 +162,7 @@
         raise ConfigurationError(f"{path}: Expected a number, found {error} - at `$.settings`") from error
     except RecursionError as error:
         raise ConfigurationError(
-            f"{path}: Expected settings, found what is nested beyond sense - at `$.settings`"
+            f"{path}: Expected settings, found objects nested too deeply - at `$.settings`"
         ) from error
     if proxies <= 0:
         found = f"found {proxies or 'nothing'} - at `$.settings.{PROXIES}`"
@@ -165,28 +173,28 @@
         class_names,
         Deployment(proxies, frozenset(zones), class_indexes, max_deadline_ms or float("inf")),
         batch_window_ms,
-        HEALTH_CHECK_CONNECT_TIMEOUTS * connect_timeout_ms or DEFAULT_HEALTH_CHECK_TIMEOUT_MS,
+        HEALTH_CHECK_TIMEOUT_FACTOR * connect_timeout_ms or DEFAULT_HEALTH_CHECK_TIMEOUT_MS,
         LOAD_PATH if planner.load_from_health_checks else HEALTH_PATH,
     )
 
 
-def _names_of_classes(settings: dict[str, Any]) -> list[Any]:
+def _class_names(settings: dict[str, Any]) -> list[Any]:
     classes = settings.get(CLASSES)
     if not isinstance(classes, list):
         return []
     return [each.get(CLASS_NAME) if isinstance(each, dict) else None for each in classes]
 
 
-def _unique_names(value: Any, expected: str, at: str, path: str) -> list[str]:
+def _unique_names(value: Any, expected: str, location: str, path: str) -> list[str]:
     if not isinstance(value, list) or not value:
-        raise ConfigurationError(f"{path}: Expected {expected}, found nothing - at `{at}`")
+        raise ConfigurationError(f"{path}: Expected {expected}, found nothing - at `{location}`")
     if not all(type(name) is str and name for name in value) or len(set(value)) < len(value):
-        raise ConfigurationError(f"{path}: Expected {expected}, each a text and there once - at `{at}`")
+        raise ConfigurationError(f"{path}: Expected {expected}, each a text and there once - at `{location}`")
     return value
 
 
 def parse_seed(text: str) -> int:
-    """Return a seed that is written in hexadecimal; of any other text, its bytes as a number."""
+    """Return the number written in hexadecimal, or else the UTF-8 bytes of the text as a big-endian number."""
     try:
         return int(text, 16)
     except ValueError:
--- a/quillstep/platform/event_handler.py
+++ b/quillstep/platform/event_handler.py
@@ -1,4 +1,4 @@
-"""Applies each event to what the deciding thread holds: streams, endpoints, and the planner's next observations."""
+"""Applies events to the state of the deciding thread: streams, endpoints and the planner's next observations."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class EventHandler:
-    """The deciding thread's state of streams and endpoints; `handle` dispatches by the event's type."""
+    """Holds the deciding thread's state of streams and endpoints; `handle` dispatches events by their type."""
 
     def __init__(
         self,
@@ -40,9 +40,9 @@
         clock_ms: Callable[[], float],
     ) -> None:
         self.intervals, self.output, self.endpoints, self.clock_ms = intervals, output, endpoints, clock_ms
-        self.streams: dict[int, ProtocolConnection] = {}  # of each connected proxy
-        self.dropped: Counter[str] = Counter()  # reports of no use, by reason
-        self.reported: Counter[str] = Counter()  # attempts and requests that the planner was given
+        self.streams: dict[int, ProtocolConnection] = {}  # by connected proxy
+        self.dropped: Counter[str] = Counter()  # discarded reports by reason
+        self.report_totals: Counter[str] = Counter()  # attempts and requests passed to the planner
         self.log = structlog.get_logger("controller")
 
     def handle(self, event: ControllerEvent) -> None:
@@ -51,12 +51,12 @@
 
     def _handle_connected(self, event: ProxyConnected) -> None:
         connection, proxy = event.connection, event.proxy
-        if previous := self.streams.get(proxy):  # it has reconnected before the end of its old stream was seen
-            if previous.accept_number > connection.accept_number:  # both waited to be read, the newer was read first
-                connection.close("its proxy has reconnected")
+        if previous := self.streams.get(proxy):  # reconnected before its old stream was seen to close
+            if previous.accept_number > connection.accept_number:  # the newer of two unread connections was read first
+                connection.close("proxy reconnected on a newer connection")
                 return
-            self._end_stream(previous, proxy)
-            previous.close("its proxy has reconnected")
+            self._remove_stream(previous, proxy)
+            previous.close("proxy reconnected on a newer connection")
         self.streams[proxy] = connection
         self.output.add_proxy(proxy)
         self.intervals.pending.proxy_streams.append(
@@ -65,11 +65,11 @@
         self.log.info("proxy connected", proxy=proxy, zone=event.zone, is_fresh=event.is_fresh)
 
     def _handle_disconnected(self, event: ProxyDisconnected) -> None:
-        self._end_stream(event.connection, event.proxy)
+        self._remove_stream(event.connection, event.proxy)
 
-    def _end_stream(self, connection: ProtocolConnection, proxy: int) -> None:
+    def _remove_stream(self, connection: ProtocolConnection, proxy: int) -> None:
         if self.streams.get(proxy) is not connection:
-            return  # the end of an older stream
+            return  # an older stream, already replaced
         del self.streams[proxy]
         self.output.remove_proxy(proxy)
         self.intervals.pending.proxy_streams.append(ProxyStreamEvent(proxy, False))
@@ -79,18 +79,18 @@
         if is_current and self.output.accept_ack(event.proxy, event.serial):
             self.intervals.pending.acks.append(event.serial)
         else:
-            self.dropped["an ack that was not requested"] += 1
+            self.dropped["ack not requested"] += 1
 
     def _handle_upstream_stats(self, stats: UpstreamStats) -> None:
-        if self.endpoints.knows(stats.endpoint):
+        if self.endpoints.is_known(stats.endpoint):
             self.intervals.pending.upstream_stats.append(stats)
-            self.reported.update(attempts=int(stats.attempts), failures=int(stats.failures))
+            self.report_totals.update(attempts=int(stats.attempts), failures=int(stats.failures))
         else:
-            self.dropped["stats of an endpoint that is not listed"] += 1
+            self.dropped["stats of an unlisted endpoint"] += 1
 
     def _handle_downstream_stats(self, stats: DownstreamStats) -> None:
         self.intervals.pending.downstream_stats.append(stats)
-        self.reported.update(requests=int(stats.requests), unanswered=int(stats.unanswered))
+        self.report_totals.update(requests=int(stats.requests), unanswered=int(stats.unanswered))
 
     def _handle_health_check(self, result: HealthCheckResult) -> None:
         self.intervals.pending.health_checks.append(result)
--- a/quillstep/platform/service.py
+++ b/quillstep/platform/service.py
@@ -1,14 +1,15 @@
-"""One controller: its planner, connected by the platform's protocol to proxies, collectors, discovery and endpoints.
+"""The controller: runs the planner and connects it to proxies, collectors, discovery and endpoints.
 
-Threads, all started here but the one that calls `PlatformController.run`:
+Threads:
 
-- the deciding thread, which called `run`, owns the planner, `EventHandler` and `ProtocolOutput`;
+- the deciding thread, which calls `PlatformController.run`, owns the planner, `EventHandler` and `ProtocolOutput`;
 - `connections` polls the sockets and owns `ConnectionManager`;
-- `discovery-watch` follows the endpoint list;
-- `health-check-N` check endpoints.
+- `discovery-watch` watches the endpoint list;
+- `health-check-N` run health checks of endpoints.
 
-The last three pass events to the first by one `EventQueue`, and never wait for it.  Updates leave as the planner
-wrote them: the channel that its update budget counts for is the platform's own (docs/node.md).
+The other threads pass events to the deciding thread through one `EventQueue` and never block on it.  Updates are sent
+as the planner writes them and are not paced here: the update channel that the planner's budget models is the
+platform's own (docs/node.md).
 """
 
 import threading
@@ -36,48 +37,49 @@
 from quillstep.platform.event_handler import ControllerEvent, EventHandler
 from quillstep.platform.protocol.connections import ConnectionLimits, ConnectionManager
 from quillstep.platform.protocol.updates import ProtocolOutput
-from quillstep.platform.status import IntervalFigures, status_fields
+from quillstep.platform.status import IntervalMetrics, status_fields
 
 THREAD_STACK_BYTES = 256 * 1024
 MAX_EVENTS_PER_PASS = 1024
-MAX_QUEUED_EVENTS = 4096  # from here on statistics are merged
-MAX_QUEUED_STATS = 1  # all events of this controller are queued as such
-MAX_WAIT_S = 0.1  # also the longest that a signal waits
+MAX_QUEUED_EVENTS = 4096  # above this queue length statistics are merged
+MAX_QUEUED_STATS = 1  # unused: this controller queues all its input as events
+MAX_WAIT_S = 0.1  # also bounds the delay until a signal is handled
 STATUS_INTERVAL_MS = 5000.0
 HEALTH_CHECK_WORKERS = 12
-RESERVED_DESCRIPTORS = 24  # the log, the watch, the listener, and what the interpreter opens
-REMOVED_ENDPOINT_REPORT_INTERVALS = 30.0  # for which reports on a removed endpoint are taken
-FIXED_FIELDS = ("name", "listen", "settings")  # of the configuration: they change by a restart only
+RESERVED_DESCRIPTORS = 24  # for the log, the watch, the listener and the interpreter
+REMOVED_ENDPOINT_RETENTION_INTERVALS = 30.0  # report intervals in which a removed endpoint's reports are accepted
+RESTART_ONLY_FIELDS = ("name", "listen", "settings")  # configuration fields that need a restart
 
 
 def connection_limits(configuration: PlatformConfiguration) -> ConnectionLimits:
-    """Return limits by which unregistered connections may use all free descriptors, and are evicted for new ones.
+    """Return limits that let unregistered connections use all free descriptors; new ones evict the oldest of them.
 
-    Guards against closing a proxy whose registration arrives in pieces while descriptors are free, when all proxies
-    reconnect at once.
+    A lower limit on unregistered connections would close proxies whose registration arrives in several segments when
+    all proxies reconnect at once, although descriptors are free.
     """
     free = configuration.limits.sockets - RESERVED_DESCRIPTORS - HEALTH_CHECK_WORKERS
     return ConnectionLimits(max_connections=free, max_unregistered=free)
 
 
 def parse_initial_list(configuration: PlatformConfiguration, clock_offset_ms: float) -> DiscoveryUpdate:
-    """Return the configuration's endpoint list; see `parse_endpoint_list`."""
+    """Parse the configuration's endpoint list; see `parse_endpoint_list`."""
     initial = configuration.initial_list
     document = {"revision": initial.revision, "complete": True, "members": initial.members}
     return parse_endpoint_list(document, clock_offset_ms, "persisted")
 
 
 class PlatformController:
-    """One controller; `run` is the deciding thread.
+    """One controller; `run` is called in the deciding thread.
 
-    Signal handlers set `reload_requested` and `stop_requested`, each apart so that none undoes the other.
+    Signal handlers set `reload_requested` and `stop_requested`: two separate flags, so that neither signal cancels the
+    other.
     """
 
     def __init__(self, configuration: PlatformConfiguration, config: ControllerConfig) -> None:
-        """Bind the socket and start the health check workers; all else starts with `run`.
+        """Bind the listening socket and start the health check workers; `run` starts everything else.
 
         Raises:
-            OSError: The address can't be bound.
+            OSError: The address cannot be bound.
         """
         threading.stack_size(THREAD_STACK_BYTES)
         self.configuration, self.config = configuration, config
@@ -89,9 +91,9 @@
         self.output = ProtocolOutput(
             config.class_names, self._request_health_check, self.intervals.set_timer, self._log_note
         )
-        self.endpoints = EndpointRegistry(REMOVED_ENDPOINT_REPORT_INTERVALS * config.planner.report_interval_ms)
+        self.endpoints = EndpointRegistry(REMOVED_ENDPOINT_RETENTION_INTERVALS * config.planner.report_interval_ms)
         self.handler = EventHandler(self.intervals, self.output, self.endpoints, now_ms)
-        self.figures = IntervalFigures()
+        self.interval_metrics = IntervalMetrics()
         self.last_status_ms = now_ms()
         self.connections = ConnectionManager(
             configuration.listen, connection_limits(configuration), config.deployment, self.publish
@@ -112,15 +114,19 @@
     def publish(
         self, event: ControllerEvent, key: Hashable = None, merge: Callable[[Any, Any], Any] | None = None
     ) -> None:
-        """Pass an event to the deciding thread, from any thread; see `EventQueue.put_nowait`."""
+        """Queue an event for the deciding thread; may be called from any thread.  See `EventQueue.put_nowait`."""
         self.event_queue.put_nowait(now_ms(), event, key, merge)
 
     # The deciding thread
 
     def run(self, read_configuration: Callable[[], PlatformConfiguration]) -> None:
-        """Decide until `stop_requested`.
+        """Handle events and run control intervals until `stop_requested` is set.
 
-        The threads that this starts are daemons and not joined: each may wait for a peer, and a stop must not.
+        The threads started here are daemons and are not joined: each may be blocked on a peer, which must not delay
+        the process's exit.
+
+        Args:
+            read_configuration: Called on each reload; raises `ConfigurationError` if the file is invalid.
         """
         self.handler.handle(self.initial_update)
         self.intervals.record_arrival(now_ms() - self.config.batch_window_ms)
@@ -142,7 +148,7 @@
         self.connections.poller.stop()
 
     def run_pass(self) -> None:
-        """Wait for an event or for what is due next, handle what has arrived, and decide where an interval is due."""
+        """Wait for an event or the next deadline, handle queued events, and run a control interval if one is due."""
         wait_s = (self.intervals.due_ms() - now_ms()) / 1000.0
         if wait_s > 0:
             self.event_queue.wait(min(MAX_WAIT_S, wait_s))
@@ -152,21 +158,23 @@
         now = now_ms()
         due_ms = self.intervals.due_ms()
         if due_ms <= now:
-            self.figures.max_late_ms = max(self.figures.max_late_ms, now - due_ms)
+            self.interval_metrics.max_late_ms = max(self.interval_metrics.max_late_ms, now - due_ms)
             self.run_interval(now)
         if now - self.last_status_ms > STATUS_INTERVAL_MS:
             self.log_status()
 
     def run_interval(self, now: float) -> None:
-        """Run the planner once, and send its updates."""
-        begun_s = time.thread_time()
+        """Run the planner once and send its updates; `now` is the monotonic time in milliseconds."""
+        started_s = time.thread_time()
         observations = self.intervals.start(now)
         self.intervals.run(observations, self.output)
         for proxy, update in self.output.flush():
             self.handler.streams[proxy].send(0, update)
-            self.figures.updates_sent += 1
-            self.figures.update_bytes_sent += len(update)
-        self.figures.max_cpu_ms = max(self.figures.max_cpu_ms, 1000.0 * (time.thread_time() - begun_s))
+            self.interval_metrics.updates_sent += 1
+            self.interval_metrics.update_bytes_sent += len(update)
+        self.interval_metrics.max_cpu_ms = max(
+            self.interval_metrics.max_cpu_ms, 1000.0 * (time.thread_time() - started_s)
+        )
 
     def _request_health_check(self, endpoint: str) -> None:
         if endpoint in self.endpoints.addresses:
@@ -176,24 +184,31 @@
         self.log.info("planner note", note=text)
 
     def reload(self, read_configuration: Callable[[], PlatformConfiguration]) -> None:
-        """Apply what may change in service; a file that can't be used leaves the old configuration in force."""
+        """Reload the configuration; an invalid file is logged and the current configuration stays in effect.
+
+        Only discovery's address changes at run time; changes to `RESTART_ONLY_FIELDS` are logged.
+        """
         try:
             configuration = read_configuration()
             controller_config(configuration, "the new configuration")
         except ConfigurationError as error:
             self.log.error("configuration rejected", reason=str(error))
             return
-        except Exception as error:  # an internal error over the file must not end a controller that serves
+        except Exception as error:  # an internal error in a reload must not stop the controller
             self.log.exception("configuration rejected", reason=f"{type(error).__name__}: {error}")
             return
-        fixed = [field for field in FIXED_FIELDS if getattr(configuration, field) != getattr(self.configuration, field)]
+        needs_restart = [
+            field
+            for field in RESTART_ONLY_FIELDS
+            if getattr(configuration, field) != getattr(self.configuration, field)
+        ]
         self.watch.set_address(configuration.discovery)
         self.configuration = configuration
-        self.log.info("configuration reloaded", discovery=configuration.discovery, needs_restart=fixed)
+        self.log.info("configuration reloaded", discovery=configuration.discovery, needs_restart=needs_restart)
 
     def log_status(self) -> None:
-        """Write the status line, and begin its next period."""
+        """Log the status line and reset the maxima of its period."""
         self.last_status_ms = now_ms()
-        fields = status_fields(self.handler, self.connections, self.watch, self.intervals, self.figures)
+        fields = status_fields(self.handler, self.connections, self.watch, self.intervals, self.interval_metrics)
         self.log.info("status", **fields)
-        self.figures.reset_maxima()
+        self.interval_metrics.reset_maxima()
--- a/quillstep/platform/settings_flattening.py
+++ b/quillstep/platform/settings_flattening.py
@@ -1,10 +1,14 @@
-"""Nested JSON settings in the flat form of the simulator's `start`, which the planner's configuration is read from."""
+"""Flattens nested JSON settings to the simulator's `start` fields, from which the planner's configuration is read."""
 
 from typing import Any
 
 
 def flatten_settings(value: Any, path: str = "") -> dict[str, str]:
-    """Return settings by dotted path: lists joined by commas, lists of objects by index with their count."""
+    """Return the settings as strings by dotted path.
+
+    A list of scalars becomes one value joined by commas.  A list of objects becomes a field `PATH.count` and one path
+    per index.
+    """
     if isinstance(value, dict):
         return _flatten_fields({f"{path}.{name}" if path else name: inner for name, inner in value.items()})
     if isinstance(value, list) and any(isinstance(each, dict) for each in value):
--- a/quillstep/platform/status.py
+++ b/quillstep/platform/status.py
@@ -1,4 +1,4 @@
-"""The status line of the log: what the controller has done, what it holds, and what its planner assumes."""
+"""Fields of the periodic status log line: counters, current state, and the planner's estimates."""
 
 import os
 import time
@@ -12,16 +12,16 @@
 from quillstep.platform.protocol.connections import ConnectionManager
 
 
-class IntervalFigures:
-    """What control intervals took and sent; the maxima are since the last status line."""
+class IntervalMetrics:
+    """Durations and output of control intervals; maxima since the last status line, counters since the start."""
 
     def __init__(self) -> None:
-        self.max_late_ms = 0.0  # behind the time that an interval was due
+        self.max_late_ms = 0.0  # delay of a control interval after it was due
         self.max_cpu_ms = 0.0
         self.updates_sent = self.update_bytes_sent = 0
 
     def reset_maxima(self) -> None:
-        """Begin the next period."""
+        """Reset the maxima for the next status line."""
         self.max_late_ms = self.max_cpu_ms = 0.0
 
 
@@ -30,23 +30,23 @@
     connections: ConnectionManager,
     watch: DiscoveryWatch,
     intervals: ControlIntervals[Planner],
-    figures: IntervalFigures,
+    interval_metrics: IntervalMetrics,
 ) -> dict[str, Any]:
     """Return the fields of the status line."""
     return {
         "proxies": len(handler.streams),
         "connections": len(connections.poller.connections),
         "control_intervals": intervals.completed,
-        "max_late_ms": round(figures.max_late_ms, 1),
-        "max_interval_cpu_ms": round(figures.max_cpu_ms, 1),
+        "max_late_ms": round(interval_metrics.max_late_ms, 1),
+        "max_interval_cpu_ms": round(interval_metrics.max_cpu_ms, 1),
         "cpu_s": round(time.process_time(), 2),
-        "updates": figures.updates_sent,
-        "update_bytes": figures.update_bytes_sent,
+        "updates": interval_metrics.updates_sent,
+        "update_bytes": interval_metrics.update_bytes_sent,
         "endpoints": len(handler.endpoints.addresses),
         "dropped": dict(connections.dropped + handler.dropped),
         "closed_unregistered": dict(connections.closed_unregistered),
         **_discovery_fields(watch),
-        "assumed": {**_planner_fields(intervals.planner), **handler.reported},
+        "assumed": {**_planner_fields(intervals.planner), **handler.report_totals},
         **_process_fields(),
     }
 
@@ -64,7 +64,7 @@
 
 
 def _planner_fields(planner: Planner) -> dict[str, Any]:
-    """What the planner goes by, to be compared with what the endpoints measure."""
+    """Return the planner's estimates, for comparison with measurements at the endpoints."""
     return {
         "utilization": round(planner.capacity.mean_utilization, 2),
         "admitted_fraction": round(planner.admission.admitted_fraction, 2),
@@ -74,7 +74,7 @@
 
 
 def _process_fields() -> dict[str, float]:
-    """Resident memory and descriptors of this process, where the system tells them."""
+    """Return the resident memory and open descriptors of this process; empty if `/proc` is not available."""
     try:
         resident_pages = int(Path("/proc/self/statm").read_text(encoding="ascii").split()[1])
         return {
--- a/tests/platform/test_main.py
+++ b/tests/platform/test_main.py
@@ -1,4 +1,4 @@
-"""Signals and ends of the process."""
+"""Signal handling and exit of the controller process."""
 
 import os
 import signal
@@ -11,13 +11,13 @@
     WAIT_S,
     Client,
     Proxy,
-    dies_with_parent,
+    kill_when_parent_exits,
     running_controller,
     wait_until,
     write_configuration,
 )
 
-from quillstep.platform.__main__ import Signals
+from quillstep.platform.__main__ import SignalForwarder
 
 
 @pytest.fixture
@@ -26,25 +26,25 @@
         yield controller
 
 
-def test_no_signal_is_lost_at_any_point_of_the_start():
+def test_no_signal_is_lost_during_startup():
     class Controller:
         stop_requested = reload_requested = False
 
-    for number, wanted in ((signal.SIGTERM, "stop_requested"), (signal.SIGHUP, "reload_requested")):
+    for signal_number, flag in ((signal.SIGTERM, "stop_requested"), (signal.SIGHUP, "reload_requested")):
         for is_forwarding in (False, True):
-            signals, controller = Signals(), Controller()
+            signals, controller = SignalForwarder(), Controller()
             if is_forwarding:
                 signals.forward_to(controller)
-            signals.handle(number, None)
+            signals.handle(signal_number, None)
             if not is_forwarding:
                 signals.forward_to(controller)
-            assert getattr(controller, wanted)
+            assert getattr(controller, flag)
     signals.handle(signal.SIGTERM, None)
-    assert controller.stop_requested and controller.reload_requested  # neither undoes the other
+    assert controller.stop_requested and controller.reload_requested  # neither cancels the other
 
 
-def test_sighup_during_the_imports_does_not_end_the_process(tmp_path):
-    """The first import after the handlers waits for this test to send the signal."""
+def test_sighup_during_imports_does_not_end_the_process(tmp_path):
+    """The first import after the handlers are installed blocks until the test has sent the signal."""
     path = write_configuration(tmp_path, "127.0.0.1:1", [])
     gate = tmp_path / "gate"
     os.mkfifo(gate)
@@ -60,12 +60,12 @@
     environment = {**os.environ, "BALANCER_CONFIG": str(path), "PYTHONPATH": f"{tmp_path}{os.pathsep}{os.getcwd()}"}
     process = subprocess.Popen(
         [sys.executable, "-m", "quillstep.platform"], stderr=subprocess.PIPE, text=True, env=environment,
-        preexec_fn=dies_with_parent,
+        preexec_fn=kill_when_parent_exits,
     )  # fmt: skip
     try:
-        with open(gate, "w"):  # it waits at its first import
+        with open(gate, "w"):  # opens once the process blocks in the import
             process.send_signal(signal.SIGHUP)
-            wait_until(lambda: pending_is_delivered(process.pid), "the signal's delivery")
+            wait_until(lambda: has_no_pending_signal(process.pid), "the signal's delivery")
         assert any("controller ready" in line for line in process.stderr)
         process.send_signal(signal.SIGTERM)
         assert process.wait(WAIT_S) == 0
@@ -75,39 +75,44 @@
         process.stderr.close()
 
 
-def pending_is_delivered(pid):
+def has_no_pending_signal(pid):
     with open(f"/proc/{pid}/status", encoding="ascii") as status:
         return all(int(line.split()[1], 16) == 0 for line in status if line.startswith(("SigPnd", "ShdPnd")))
 
 
 @pytest.mark.parametrize("thread", ["poller", "watch", "deciding"])
-def test_a_thread_that_fails_ends_the_process_with_its_traceback(tmp_path, thread):
-    """Each fault is raised outside of any connection's handling: without the thread the process would serve nobody."""
+def test_a_failed_thread_ends_the_process_with_a_traceback(tmp_path, thread):
+    """Guards against a process that keeps running without one of its threads and serves no proxy.
+
+    Each fault is raised outside of the handling of a connection.
+    """
     path = write_configuration(tmp_path, "127.0.0.1:1", [])
     faults = {
-        "poller": "import quillstep.net.poller as at; at.Poller.run_maintenance = lambda self: 1 / 0",
+        "poller": "import quillstep.net.poller as module; module.Poller.run_maintenance = lambda self: 1 / 0",
         "watch": (
-            "import quillstep.platform.discovery_watch as at; at.MIN_RECONNECT_INTERVAL_MS = None; "
-            "at.DiscoveryWatch.watch_once = lambda *_: None"
+            "import quillstep.platform.discovery_watch as module; module.MIN_RECONNECT_INTERVAL_MS = None; "
+            "module.DiscoveryWatch.watch_once = lambda *_: None"
+        ),
+        "deciding": (
+            "import quillstep.platform.service as module; module.PlatformController.run_pass = lambda self: 1 / 0"
         ),
-        "deciding": "import quillstep.platform.service as at; at.PlatformController.run_pass = lambda self: 1 / 0",
     }
     code = f"{faults[thread]}; import sys; from quillstep.platform.__main__ import main; sys.exit(main())"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=WAIT_S,
         env={**os.environ, "BALANCER_CONFIG": str(path)},
     )  # fmt: skip
-    assert done.returncode == 70 and "Traceback" in done.stderr and "internal error" in done.stderr
+    assert completed.returncode == 70 and "Traceback" in completed.stderr and "internal error" in completed.stderr
 
 
-def test_a_connection_between_sigterm_and_the_end_is_closed_at_once(running):
+def test_connections_accepted_after_sigterm_are_closed_at_once(running):
     proxy = Proxy(running.address, 0)
     wait_until(lambda: len(proxy.usable_endpoints()) == 3, "the table")
     running.process.send_signal(signal.SIGTERM)
-    begun, is_refused = time.monotonic(), False
+    started_s, is_refused = time.monotonic(), False
     while not is_refused:
         try:
             assert Client(running.address).is_closed_within()
         except OSError:
             is_refused = True
-    assert running.process.wait(WAIT_S) == 0 and proxy.is_closed_within() and time.monotonic() - begun < WAIT_S / 4
+    assert running.process.wait(WAIT_S) == 0 and proxy.is_closed_within() and time.monotonic() - started_s < WAIT_S / 4
--- a/tests/platform/test_service.py
+++ b/tests/platform/test_service.py
@@ -1,4 +1,4 @@
-"""One controller as the platform starts it, among stand-ins: tables, drains, reloads, and connections of any kind."""
+"""A controller process with stand-in peers: tables, drains, reloads, and valid and invalid connections."""
 
 import signal
 import threading
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    """Six endpoints, discovery, and a controller as the platform starts it."""
+    """A running controller process with discovery and six endpoints."""
     with running_controller(tmp_path, 6) as controller:
         yield controller
 
@@ -40,7 +40,7 @@
     return proxies
 
 
-def test_proxies_get_the_table_and_drains_and_a_new_stream_takes_over(deployment):
+def test_proxies_receive_tables_and_drains_and_a_new_stream_replaces_the_old_one(deployment):
     proxies = connect_proxies(deployment)
     drained = deployment.endpoints["s1"].entry("draining")
     deployment.discovery.publish(drained)
@@ -51,72 +51,72 @@
     wait_until(lambda: len(reconnected.usable_endpoints("issue")) == 5, "the table on the new stream")
     proxies[0].close()
     deployment.discovery.publish(deployment.endpoints["s2"].entry("draining"))
-    wait_until(lambda: "s2" not in reconnected.usable_endpoints("issue"), "updates after the old stream's end")
+    wait_until(lambda: "s2" not in reconnected.usable_endpoints("issue"), "updates after the old stream closed")
 
 
 UNREGISTERED_CONNECTIONS = {
     "HTTP": b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
-    "a length that can't be": b"\xff\xff\xff\xff{",
-    "an update": frame({"t": "assign", "eject": ["s0"]}),
-    "a report before a registration": frame(upstream_stats("a", "s0", 5, 0)),
-    "a proxy that doesn't exist": frame({"t": "attach", "id": 4, "site": "a", "rps": 1.0, "new": True}),
-    "a zone that doesn't exist": frame({"t": "telemetry", "site": "c"}),
-    "no JSON": frame(b"{nonsense"),
-    "half a message": frame({"t": "telemetry", "site": "a"})[:9],
-    "silence": b"",
-    "a heartbeat and no more": frame({"t": "hb"}),
+    "invalid length": b"\xff\xff\xff\xff{",
+    "update": frame({"t": "assign", "eject": ["s0"]}),
+    "report before registration": frame(upstream_stats("a", "s0", 5, 0)),
+    "unknown proxy": frame({"t": "attach", "id": 4, "site": "a", "rps": 1.0, "new": True}),
+    "unknown zone": frame({"t": "telemetry", "site": "c"}),
+    "malformed JSON": frame(b"{nonsense"),
+    "incomplete message": frame({"t": "telemetry", "site": "a"})[:9],
+    "no data": b"",
+    "heartbeat only": frame({"t": "hb"}),
 }
 
 
 @pytest.mark.parametrize("what", sorted(UNREGISTERED_CONNECTIONS))
-def test_unregistered_connections_are_closed_and_harm_no_proxy(deployment, what):
+def test_unregistered_connections_are_closed_without_affecting_proxies(deployment, what):
     (proxy,) = connect_proxies(deployment, [1])
     unregistered = Client(deployment.address)
     unregistered.sock.sendall(UNREGISTERED_CONNECTIONS[what])
     assert unregistered.is_closed_within(WAIT_S)
     deployment.discovery.publish(deployment.endpoints["s0"].entry("draining"))
-    wait_until(lambda: "s0" not in proxy.usable_endpoints(), "the drain all the same")
+    wait_until(lambda: "s0" not in proxy.usable_endpoints(), "the drain despite the unregistered connection")
     assert deployment.process.poll() is None
 
 
-def test_hundreds_of_silent_connections_leave_room_for_proxies(deployment):
+def test_proxies_can_register_while_hundreds_of_connections_are_idle(deployment):
     unregistered = [Client(deployment.address) for _ in range(300)]
     proxies = connect_proxies(deployment)
-    probe = Client(deployment.address)
-    probe.send({"t": "hb"})
-    assert probe.received.get(timeout=WAIT_S) == {"t": "hb_ok"}
+    client = Client(deployment.address)
+    client.send({"t": "hb"})
+    assert client.received.get(timeout=WAIT_S) == {"t": "hb_ok"}
     assert all(client.is_closed_within() for client in unregistered)
     status = deployment.wait_for_log("status")
     assert status["descriptors"] <= 256 and status["proxies"] == len(proxies)
 
 
-def test_invalid_messages_are_dropped_and_an_unreadable_stream_is_closed(deployment):
+def test_invalid_messages_are_dropped_and_a_malformed_stream_is_closed(deployment):
     collector = Client(deployment.address)
     collector.send({"t": "telemetry", "site": "a"})
     (proxy,) = connect_proxies(deployment, [0])
-    good = upstream_stats("a", "s0", 5, 0)
-    for malformed in ({**good, "fail": 9}, {**good, "target": 5}, {"t": "assign"}, {"t": None}, {"count": 3}):
+    valid = upstream_stats("a", "s0", 5, 0)
+    for malformed in ({**valid, "fail": 9}, {**valid, "target": 5}, {"t": "assign"}, {"t": None}, {"count": 3}):
         collector.send(malformed)
     proxy.send({"t": "done", "id": 0, "seq": "x"}, {"t": "done", "id": 0, "seq": 60000, "ms": 1.0}, {"t": "attach"})
     proxy.send({"t": "client_stats", "id": 1, "lane": "lookup", "count": 1, "fail": 0, "over": 1000.0})
     deployment.discovery.publish(deployment.endpoints["s0"].entry("draining"))
     wait_until(lambda: "s0" not in proxy.usable_endpoints(), "updates after malformed messages")
-    collector.send(good)
+    collector.send(valid)
     status = deployment.wait_for_log("status")
     assert sum(status["dropped"].values()) == 9 and status["proxies"] == 1 and status["connections"] == 2
-    proxy.sock.sendall(frame(b"no JSON at all"))
+    proxy.sock.sendall(frame(b"malformed JSON"))
     assert proxy.is_closed_within() and deployment.wait_for_log("proxy disconnected")["proxy"] == 0
     collector.send({"t": "hb"})
     assert collector.received.get(timeout=WAIT_S) == {"t": "hb_ok"}
 
 
-def test_a_reload_changes_the_watch_and_an_invalid_file_leaves_the_old_in_force(deployment):
+def test_a_reload_changes_the_watch_and_an_invalid_file_keeps_the_configuration(deployment):
     (proxy,) = connect_proxies(deployment, [0])
     deployment.path.write_text("{malformed")
     deployment.process.send_signal(signal.SIGHUP)
     assert "JSON was expected" in deployment.wait_for_log("configuration rejected")["reason"]
     deployment.discovery.publish(deployment.endpoints["s0"].entry("draining"))
-    wait_until(lambda: "s0" not in proxy.usable_endpoints(), "the old watch goes on")
+    wait_until(lambda: "s0" not in proxy.usable_endpoints(), "the drain over the current watch")
     others = [Discovery(deployment.discovery.members) for _ in range(2)]
     try:
         for other in others:
@@ -126,35 +126,37 @@
             assert other.watch_requests[0].endswith("since=2")
         others[1].revision = 2
         others[1].publish(deployment.endpoints["s3"].entry("draining"))
-        wait_until(lambda: "s3" not in proxy.usable_endpoints(), "an update of the new address")
+        wait_until(lambda: "s3" not in proxy.usable_endpoints(), "an update from the new address")
         deployment.process.send_signal(signal.SIGHUP)
         deployment.process.send_signal(signal.SIGTERM)
-        begun = time.monotonic()
+        started_s = time.monotonic()
         assert (
-            deployment.process.wait(WAIT_S) == 0 and proxy.is_closed_within() and time.monotonic() - begun < WAIT_S / 4
+            deployment.process.wait(WAIT_S) == 0
+            and proxy.is_closed_within()
+            and time.monotonic() - started_s < WAIT_S / 4
         )
     finally:
         for other in others:
             other.close()
 
 
-def test_the_planner_is_given_the_attempts_load_and_health_that_the_endpoints_counted(tmp_path):
-    """Endpoints count attempts for themselves; one fails; reports and health checks go over sockets."""
-    endpoints = {f"s{at}": Endpoint(f"s{at}", "ab"[at % 2], util=0.2 + 0.1 * at) for at in range(6)}
+def test_the_planner_observes_the_attempts_load_and_health_of_the_endpoints(tmp_path):
+    """Compares the planner's observations with the endpoints' own counts while one endpoint fails."""
+    endpoints = {f"s{index}": Endpoint(f"s{index}", "ab"[index % 2], util=0.2 + 0.1 * index) for index in range(6)}
     members = [endpoint.entry() for endpoint in endpoints.values()]
     discovery = Discovery(members)
     path = write_configuration(tmp_path, discovery.address, members)
     configuration = read_configuration({"BALANCER_CONFIG": str(path)})
     controller = PlatformController(configuration, controller_config(configuration, str(path)))
     planner, reported = controller.intervals.planner, {}
-    real = planner.run_interval
+    original_run_interval = planner.run_interval
 
     def run_interval(observations, output):
         for stats in observations.upstream_stats:
             counts = reported.setdefault(stats.endpoint, [0, 0])
             counts[0] += stats.attempts
             counts[1] += stats.failures
-        real(observations, output)
+        original_run_interval(observations, output)
 
     planner.run_interval = run_interval
     thread = threading.Thread(target=controller.run, args=(None,), daemon=True)
@@ -180,13 +182,13 @@
             lambda: all("s2" not in proxy.usable_endpoints() for proxy in proxies), "the ejection at every proxy"
         )
         counted = {name: [each.attempts, each.failures] for name, each in endpoints.items()}
-        wait_until(lambda: reported == counted, "every attempt in a report")
+        wait_until(lambda: reported == counted, "all attempts to be reported")
         assert not any(planner.fleet.endpoints[name].is_outlier for name in endpoints.keys() - {"s2"})
         for name in endpoints.keys() - {"s2"}:
             util = endpoints[name].util
             wait_until(
                 lambda name=name, util=util: abs(planner.fleet.endpoints[name].utilization - util) < 0.05,
-                f"{name}'s load",
+                f"the utilization of {name}",
             )
     finally:
         controller.stop_requested = True
@@ -196,7 +198,7 @@
             endpoint.close()
 
 
-def test_a_proxy_of_a_zone_whose_name_holds_a_comma_is_served(tmp_path):
+def test_a_zone_name_may_contain_a_comma(tmp_path):
     endpoint = Endpoint("s0", "port, north")
     discovery = Discovery([endpoint.entry()])
     other_zones = {**settings(), "zones": ["port, north", "b"]}
@@ -216,8 +218,8 @@
         yield controller
 
 
-@pytest.mark.parametrize("what", ["a port that can't be", "nesting beyond sense", "two classes of one name"])
-def test_a_reload_of_an_invalid_file_leaves_the_old_configuration_in_force(running, what):
+@pytest.mark.parametrize("what", ["port out of range", "excessive nesting", "duplicate class name"])
+def test_a_reload_of_an_invalid_file_keeps_the_current_configuration(running, what):
     proxy = Proxy(running.address, 0)
     wait_until(lambda: len(proxy.usable_endpoints()) == 3, "the table")
     write_configuration(running.path.parent, **{
@@ -226,14 +228,14 @@
     running.process.send_signal(signal.SIGHUP)
     assert INVALID_CONFIGURATIONS[what][1] in running.wait_for_log("configuration rejected")["reason"]
     running.discovery.publish(running.endpoints["s0"].entry("draining"))
-    wait_until(lambda: "s0" not in proxy.usable_endpoints(), "the drain over the old watch")
+    wait_until(lambda: "s0" not in proxy.usable_endpoints(), "the drain over the unchanged watch")
 
 
-def test_a_drain_at_the_new_address_before_its_first_complete_list_reaches_the_proxies(running):
+def test_a_drain_sent_by_a_new_discovery_address_as_a_change_reaches_the_proxies(running):
     proxy = Proxy(running.address, 0)
     wait_until(lambda: len(proxy.usable_endpoints()) == 3, "the table")
     other = Discovery(running.discovery.members)
-    other.publish(running.endpoints["s1"].entry("draining"))  # it sends only the change after the known list
+    other.publish(running.endpoints["s1"].entry("draining"))  # the watch receives only this change, no complete list
     try:
         write_configuration(running.path.parent, other.address, running.discovery.members)
         running.process.send_signal(signal.SIGHUP)
--- a/tests/platform_peers.py
+++ b/tests/platform_peers.py
@@ -1,6 +1,6 @@
-"""Stand-ins for what a controller meets on the platform: discovery, endpoints, proxies, collectors.
+"""Stand-ins for a controller's peers on the platform: discovery, endpoints, proxies and collectors.
 
-Written from the protocol's page, without the program's codecs.  Endpoints and proxies count for themselves.
+They implement the protocol's specification without quillstep's codecs.  Endpoints and proxies keep counts of their own.
 """
 
 import contextlib
@@ -52,30 +52,30 @@
     return {"settings": {**settings(), "lanes": lanes}}
 
 
-INVALID_CONFIGURATIONS = {  # changes to a valid file, and the path that the error names
-    "a port that can't be": ({"discovery": "127.0.0.1:99999"}, "$.discovery"),
-    "a host that is no address": ({"discovery": "a..b:80"}, "$.discovery"),
-    "a name where there is no DNS": ({"discovery": "discovery:80"}, "$.discovery"),
-    "an address and a line's end": ({"listen": "127.0.0.1:80\n"}, "$.listen"),
-    "classes by number": (with_lanes({"count": 10**9}), "$.settings.lanes"),
-    "a class without a name": (with_lanes([{**CLASSES[0], "name": None}]), "$.settings.lanes"),
-    "two classes of one name": (with_lanes([CLASSES[0], CLASSES[0]]), "$.settings.lanes"),
-    "a class that is no object": (with_lanes([5]), "$.settings.lanes"),
-    "zones of another type": ({"settings": {**settings(), "zones": [1]}}, "$.settings.zones"),
-    "fewer than no proxies": ({"settings": settings(proxies=-4)}, "dataPlaneSize"),
-    "nesting beyond sense": ({"settings": {**settings(), "x": nested(800)}}, "$.settings"),
+INVALID_CONFIGURATIONS = {  # changes to a valid file, and the JSON path expected in the error
+    "port out of range": ({"discovery": "127.0.0.1:99999"}, "$.discovery"),
+    "malformed host": ({"discovery": "a..b:80"}, "$.discovery"),
+    "host name": ({"discovery": "discovery:80"}, "$.discovery"),
+    "address with a trailing newline": ({"listen": "127.0.0.1:80\n"}, "$.listen"),
+    "classes as an object": (with_lanes({"count": 10**9}), "$.settings.lanes"),
+    "class without a name": (with_lanes([{**CLASSES[0], "name": None}]), "$.settings.lanes"),
+    "duplicate class name": (with_lanes([CLASSES[0], CLASSES[0]]), "$.settings.lanes"),
+    "class that is not an object": (with_lanes([5]), "$.settings.lanes"),
+    "zone that is not a string": ({"settings": {**settings(), "zones": [1]}}, "$.settings.zones"),
+    "negative number of proxies": ({"settings": settings(proxies=-4)}, "dataPlaneSize"),
+    "excessive nesting": ({"settings": {**settings(), "x": nested(800)}}, "$.settings"),
 }
 
 
 def wait_until(condition, what, seconds=WAIT_S):
-    until = time.monotonic() + seconds
+    deadline_s = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < until, f"not within {seconds} s: {what}"
+        assert time.monotonic() < deadline_s, f"timed out after {seconds} s: {what}"
         time.sleep(0.01)
 
 
 class LoopbackServer:
-    """A listener on loopback with a thread for each connection."""
+    """A server on loopback with one thread per connection."""
 
     def __init__(self):
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -110,7 +110,7 @@
 
 
 class Endpoint(LoopbackServer):
-    """Answers health checks with its load report; counts the attempts that proxies made."""
+    """Answers health checks with a load report, and counts health checks and attempts."""
 
     def __init__(self, name, zone, util=0.4):
         self.name, self.zone, self.util, self.is_up = name, zone, util, True
@@ -136,13 +136,13 @@
 
 
 class Discovery(LoopbackServer):
-    """Answers watches with what changed after the revision that they name, and refreshes with the complete list.
+    """Answers watches with the changes since the requested revision, and refreshes with the complete list.
 
-    While `is_silent` stands watches are sent nothing more; while `holds_updates` stands they are sent empty lines only.
+    While `is_silent` is set, watches are sent nothing; while `holds_updates` is set, only keep-alives (empty lines).
     """
 
     def __init__(self, members=()):
-        self.sent_lines = []  # each with its revision
+        self.sent_lines = []  # pairs of revision and line
         self.members, self.revision = list(members), 1
         self.is_silent = self.holds_updates = False
         self.watch_requests, self.refreshes = [], 0
@@ -154,8 +154,8 @@
 
     def publish(self, *members, complete=False):
         changed = {entry["id"] for entry in members}
-        kept = [] if complete else [entry for entry in self.members if entry["id"] not in changed]
-        self.members = kept + [entry for entry in members if entry["phase"] != "gone"]
+        unchanged = [] if complete else [entry for entry in self.members if entry["id"] not in changed]
+        self.members = unchanged + [entry for entry in members if entry["phase"] != "gone"]
         self.revision += 1
         line = {"revision": self.revision, "complete": complete, "members": list(members)}
         self.send_line(json.dumps(line).encode())
@@ -171,9 +171,9 @@
             body = json.dumps(self.list()).encode()
             sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
             return
-        at = int(path.partition("since=")[2])
-        was_silent, sent = self.is_silent, len([each for each in self.sent_lines if each[0] <= at])
-        self.watch_requests.append(path)  # from here on a test that waits for the request may publish
+        since_revision = int(path.partition("since=")[2])
+        was_silent, sent = self.is_silent, len([each for each in self.sent_lines if each[0] <= since_revision])
+        self.watch_requests.append(path)  # a test that waits for the request may publish from here on
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
         while True:
             with self.changed:
@@ -195,7 +195,7 @@
 
 
 class Client:
-    """A connection to a controller; each message is put into `received`, and None at the end."""
+    """A connection to a controller; received messages are put into `received`, and None once it is closed."""
 
     def __init__(self, address):
         host, _, port = address.rpartition(":")
@@ -207,25 +207,25 @@
         self.sock.sendall(b"".join(frame(message) for message in messages))
 
     def read(self):
-        rest = b""
+        buffer = b""
         with contextlib.suppress(OSError):
             while data := self.sock.recv(65536):
-                rest += data
-                while len(rest) >= 4 and len(rest) >= 4 + int.from_bytes(rest[:4], "big"):
-                    size = 4 + int.from_bytes(rest[:4], "big")
-                    self.handle(json.loads(rest[4:size]))
-                    rest = rest[size:]
+                buffer += data
+                while len(buffer) >= 4 and len(buffer) >= 4 + int.from_bytes(buffer[:4], "big"):
+                    size = 4 + int.from_bytes(buffer[:4], "big")
+                    self.handle(json.loads(buffer[4:size]))
+                    buffer = buffer[size:]
         self.received.put(None)
 
     def handle(self, message):
         self.received.put(message)
 
     def is_closed_within(self, seconds=WAIT_S):
-        """Whether the controller closes it in time."""
-        until = time.monotonic() + seconds
-        while (left := until - time.monotonic()) > 0:
+        """Return whether the controller closes the connection within this time."""
+        deadline_s = time.monotonic() + seconds
+        while (remaining_s := deadline_s - time.monotonic()) > 0:
             with contextlib.suppress(queue.Empty):
-                if self.received.get(timeout=left) is None:
+                if self.received.get(timeout=remaining_s) is None:
                     return True
         return False
 
@@ -236,7 +236,7 @@
 
 
 class Proxy(Client):
-    """Holds tables, ejections and admission as updated, and acknowledges; counts lines as the channel does."""
+    """Applies and acknowledges updates; counts the lines of each update as the update channel does."""
 
     def __init__(self, address, number, zone="a", is_fresh=True, ejected=()):
         self.number, self.zone = number, zone
@@ -274,14 +274,14 @@
 
     def attempt_all(self, endpoints, attempts):
         """Spread attempts evenly over the usable endpoints; return attempts and failures by endpoint."""
-        outcome = {}
+        counts_by_endpoint = {}
         usable = sorted(self.usable_endpoints())
         for number in range(attempts if usable else 0):
             endpoint = endpoints[usable[number % len(usable)]]
-            counts = outcome.setdefault(endpoint.name, [0, 0])
+            counts = counts_by_endpoint.setdefault(endpoint.name, [0, 0])
             counts[0] += 1
             counts[1] += not endpoint.attempt()
-        return outcome
+        return counts_by_endpoint
 
     def report(self, requests):
         stats = {"t": "client_stats", "id": self.number, "lane": "lookup"}
@@ -304,17 +304,17 @@
     return path
 
 
-def dies_with_parent():
+def kill_when_parent_exits():
     ctypes.CDLL(None).prctl(1, signal.SIGKILL)
 
 
 class Process:
-    """`python -m quillstep.platform` as the platform starts it; `address` once it is ready."""
+    """A controller process, started by `python -m quillstep.platform` as on the platform."""
 
     def __init__(self, path):
         self.process = subprocess.Popen(
             [sys.executable, "-m", "quillstep.platform"], stderr=subprocess.PIPE, text=True,
-            env={**os.environ, "BALANCER_CONFIG": str(path)}, preexec_fn=dies_with_parent,
+            env={**os.environ, "BALANCER_CONFIG": str(path)}, preexec_fn=kill_when_parent_exits,
         )  # fmt: skip
         self.lines = queue.Queue()
         threading.Thread(target=self.read, daemon=True).start()
@@ -324,12 +324,12 @@
             self.lines.put(json.loads(line) if line.startswith("{") else {"event": line})
 
     def wait_for_log(self, event):
-        """The next line of the log with this event."""
-        until = time.monotonic() + WAIT_S
+        """Return the next log line with this event; raises `queue.Empty` after `WAIT_S`."""
+        deadline_s = time.monotonic() + WAIT_S
         while True:
-            found = self.lines.get(timeout=max(0.001, until - time.monotonic()))
-            if found["event"] == event:
-                return found
+            line = self.lines.get(timeout=max(0.001, deadline_s - time.monotonic()))
+            if line["event"] == event:
+                return line
 
     def stop(self):
         if self.process.poll() is None:
@@ -338,9 +338,9 @@
 
 
 @contextlib.contextmanager
-def running_controller(folder, number):
-    """So many endpoints in two zones, discovery, and a controller as the platform starts it; it knows them."""
-    endpoints = {f"s{at}": Endpoint(f"s{at}", "ab"[at % 2]) for at in range(number)}
+def running_controller(folder, endpoint_count):
+    """Run a controller process with discovery and this many endpoints, alternating between two zones."""
+    endpoints = {f"s{index}": Endpoint(f"s{index}", "ab"[index % 2]) for index in range(endpoint_count)}
     discovery = Discovery([endpoint.entry() for endpoint in endpoints.values()])
     controller = Process(write_configuration(folder, discovery.address, discovery.members))
     try:
