--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -194,7 +194,7 @@
             self._stop_requested = True
             return
         if isinstance(event, ReportsSummarized):
-            self.status.reader_cpu_s[f"reader {event.reader}"] = event.summary.take_cpu_s()
+            self.status.reader_cpu_s[f"reader {event.reader}"] = event.summary.pop_cpu_s()
         now = now_ms()
         if self.recording:
             self.recording.put(self.encoder.encode(event, arrived_ms, now))
--- a/quillstep/load_reports/__init__.py
+++ b/quillstep/load_reports/__init__.py
@@ -1,1 +1,4 @@
-"""Load reports of many proxies: read within a budget, counted once, aged, sampled, bounded.  See docs/reports.md."""
+"""Ingestion of proxies' load reports: rate-limited, deduplicated, weighted by age, sampled and bounded per proxy.
+
+See docs/reports.md.
+"""
--- a/quillstep/load_reports/aggregator.py
+++ b/quillstep/load_reports/aggregator.py
@@ -1,7 +1,8 @@
-"""What one reader of load reports decides: which to read, which count, what a window comes to.  Without I/O and clocks.
+"""The logic of one load report reader: which reports to read, which to count, and the summary of each window.
 
-The same aggregator runs in a thread of the controller, in a process of its own, and on the virtual time of a replay.
-Cost is counted in rows: a message costs as much as so many rows of it, so that the figure is the same on any machine.
+Performs no I/O and reads no clock: the same aggregator runs in a thread of the controller, in a reader process, and on
+the virtual time of a replay.  Cost is measured in rows, with a fixed overhead for each message, so that a budget means
+the same on any machine.
 """
 
 from typing import NamedTuple
@@ -14,38 +15,48 @@
 from quillstep.load_reports.upstream_stats import CountedReport, EndpointMemory, ReportWindow, summarize
 from quillstep.load_reports.validation import LoadReport, Rejected, ReportAccount, count_report, validate
 
-MESSAGE_COST = 40.0  # of reading one message, in rows; measured, see docs/reports.md
-MIN_ROW_BYTES = 60.0  # about the least that a row takes
-WARNING_INTERVAL_MS = 10000.0  # between two warnings of a kind about a proxy
-MAX_WARNINGS = 64  # in one window
-MAX_WARNING_TIMES = 4096  # kinds of warnings whose time is remembered
-MAX_LEFT_PROXIES = 4096  # proxies that left and are remembered
-NEWEST_PER_ENDPOINT = 64  # zones whose latest times are remembered for each endpoint, before old ones are dropped
-NEWEST_KEPT_PERIODS = 60 * MAX_HALVINGS
-SPARE_COST = 1e-6
+MESSAGE_COST = 40.0  # fixed cost of reading one message, in rows; see docs/reports.md
+MIN_ROW_BYTES = 60.0  # approximate smallest encoded size of a row; bounds the rows in a message before it is decoded
+WARNING_INTERVAL_MS = 10000.0  # minimum interval between warnings of the same kind about the same proxy
+MAX_WARNINGS = 64  # maximum warnings per window
+MAX_WARNING_KINDS = 4096  # maximum (proxy, kind) pairs whose last warning time is stored
+MAX_LEFT_PROXIES = 4096  # maximum accounts retained for proxies that have left
+NEWEST_PER_ENDPOINT = 64  # latest window ends stored per endpoint (one per zone) before old ones are evicted
+NEWEST_RETENTION_PERIODS = 60 * MAX_HALVINGS  # report periods after which an unreported endpoint may be evicted
+COST_TOLERANCE = 1e-6  # rows; absorbs floating-point rounding in the budget
 
 
 def message_cost(size_bytes: int) -> float:
-    """What a message may cost at most, in rows, before it is read."""
+    """Returns the upper bound, in rows, of the cost of reading a message, from its size alone."""
     return MESSAGE_COST + size_bytes / MIN_ROW_BYTES
 
 
 class ReportWarning(NamedTuple):
-    """What was wrong with a proxy's reports."""
+    """A problem with one proxy's reports, to be logged."""
 
     proxy: str
     reason: str
 
 
 class ReportAggregator:
-    """Accounts of all joined proxies by name, the window that is being filled, and its budget."""
+    """The accounts of all joined proxies, the current window, and the reading budget.
+
+    Attributes:
+        usual_ms: The fleet's report interval.
+        deadline_ms: The longest deadline of any request class.
+        class_indexes: Request class indexes by name.
+        accounts: Accounts of joined proxies by name.
+        left_accounts: Accounts of proxies that have left, by name, oldest first.
+        names: Names of joined proxies by proxy number.
+        window_budget: Rows that may be read per window.
+    """
 
     def __init__(self, settings: LoadReportSettings, fleet: FleetSettings) -> None:
         self.settings = settings
         self.usual_ms = fleet.proxies.report_interval_ms
         self.deadline_ms = max(row.deadline_ms for row in fleet.classes)
         self.class_indexes = {row.name: index for index, row in enumerate(fleet.classes)}
-        self.endpoints: dict[tuple[str, int], int] = {}  # by address
+        self.endpoints: dict[tuple[str, int], int] = {}  # endpoint numbers by host and port
         self.accounts: dict[str, ReportAccount] = {}
         self.left_accounts: dict[str, ReportAccount] = {}
         self.names: dict[int, str] = {}
@@ -53,29 +64,29 @@
         self.window = ReportWindow()
         self.window_began_ms: float | None = None
         self.window_budget = settings.rows_per_s * settings.window_ms / 1000.0
-        self.budget = self.window_budget  # what may be spent now
+        self.budget = self.window_budget  # rows that may be read now
         self.budget_at_ms: float | None = None
-        self.spent = 0.0  # since the last drain
-        self.rejected: dict[str, int] = {}  # reports by reason, since the last drain
+        self.spent = 0.0  # rows read since the last drain
+        self.rejected: dict[str, int] = {}  # rejected reports since the last drain, by reason
         self.warnings: list[ReportWarning] = []
-        self.warned_ms: dict[tuple[str, str], float] = {}
+        self.last_warning_ms: dict[tuple[str, str], float] = {}  # time of the last warning, by proxy and kind
 
-    # membership
+    # Membership
 
     def add_endpoints(self, addresses: dict[tuple[str, int], int]) -> None:
-        """Endpoints, by address, whose rows count from now on."""
+        """Adds endpoints, by host and port, whose rows are counted from now on."""
         self.endpoints.update(addresses)
 
     def add_proxy(self, account: ReportAccount, name: str) -> None:
-        """A proxy's reports count here from now on; an earlier account of the same incarnation is restored."""
-        before = self.left_accounts.pop(name, None)
-        if before is not None and before.incarnation == account.incarnation:
-            account.restore(before)
+        """Counts a proxy's reports from now on; restores the retained account if the incarnation is the same."""
+        previous = self.left_accounts.pop(name, None)
+        if previous is not None and previous.incarnation == account.incarnation:
+            account.restore(previous)
         self.accounts[name] = account
         self.names[account.number] = name
 
     def remove_proxy(self, name: str) -> None:
-        """A proxy's reports are rejected until it joins again."""
+        """Rejects a proxy's reports until it joins again; its account is retained."""
         account = self.accounts.pop(name, None)
         if account is None:
             return
@@ -85,12 +96,12 @@
             del self.left_accounts[next(iter(self.left_accounts))]
 
     def release(self, name: str) -> ReportAccount | None:
-        """Forgets a proxy; its account goes to whoever reads its reports next."""
+        """Removes a proxy and returns its account, if there is one, for the reader that takes over its reports."""
         self.remove_proxy(name)
         return self.left_accounts.pop(name, None)
 
     def set_request(self, request: ReportRequest) -> str | None:
-        """Notes how a proxy is to report; returns its name where it must be notified."""
+        """Stores how a proxy is to report; returns its name if its period or detail changed and it must be notified."""
         name = self.names.get(request.proxy)
         if name is None:
             return None
@@ -101,13 +112,13 @@
         account.counts_from_ms, account.counts_to_ms = request.counts_from_ms, request.counts_to_ms
         return name if is_changed else None
 
-    # reading
+    # Reading
 
     def wait_until_ms(self, name: str, size_bytes: int, now_ms: float) -> float:
-        """0 where a message of this size may be read now, else when to ask again.
+        """Returns 0 if a message of this size may be read now, else the time in milliseconds at which to ask again.
 
-        It costs nothing until it is charged.  A message larger than a whole window's budget waits until a window is
-        whole, and then uses it up.
+        Nothing is charged until `charge` is called.  A message that costs more than a full window's budget waits until
+        the budget is full and then uses all of it.
         """
         account = self.accounts.get(name)
         if account is not None and (until_ms := account.wait_until_ms(now_ms)):
@@ -115,12 +126,12 @@
             return until_ms
         cost = min(message_cost(size_bytes), self.window_budget)
         self._refill(now_ms)
-        if self.budget + SPARE_COST < cost:
+        if self.budget + COST_TOLERANCE < cost:
             return now_ms + (cost - self.budget) * 1000.0 / self.settings.rows_per_s
         return 0.0
 
     def _refill(self, now_ms: float) -> None:
-        """Brings the budget up to date; a window's worth at most accumulates."""
+        """Refills the budget for the time elapsed, up to one window's budget."""
         if self.budget_at_ms is None:
             self.budget_at_ms = now_ms
         self.budget = min(
@@ -130,7 +141,11 @@
         self.budget_at_ms = now_ms
 
     def charge(self, size_bytes: int) -> float:
-        """Charges for a message that is about to be read; returns what it costs."""
+        """Charges the budget for a message that is about to be read.
+
+        Returns:
+            The full cost in rows, also where the charge is limited to one window's budget.
+        """
         cost = min(message_cost(size_bytes), self.window_budget)
         self.budget -= cost
         self.spent += cost
@@ -139,7 +154,7 @@
     def add_report(
         self, name: str, report: LoadReport, arrived_ms: float, now_ms: float, cost: float = MESSAGE_COST
     ) -> None:
-        """Checks and counts one report, which cost so much to read."""
+        """Validates one report and counts it; `cost` is what reading it cost, in rows."""
         account = self.accounts.get(name)
         if account is None:
             self._count_rejected("proxy has not joined")
@@ -147,9 +162,9 @@
         account.readable_reports -= 1.0
         rejection, dropped_rows = validate(report, account, self.deadline_ms, self.settings.max_rows)
         if dropped_rows:
-            self.warn(name, f"{dropped_rows} rows with impossible figures, or too many rows", now_ms)
+            self.warn(name, f"{dropped_rows} rows dropped: values out of range or too many rows", now_ms)
         if report.unlisted_rows:
-            self.warn(name, f"{report.unlisted_rows} rows of endpoints that are not listed", now_ms)
+            self.warn(name, f"{report.unlisted_rows} rows for unlisted endpoints", now_ms)
         if rejection:
             self.warn(name, rejection, now_ms)
             self._count_rejected(rejection)
@@ -175,40 +190,40 @@
         self.rejected[reason] = self.rejected.get(reason, 0) + 1
 
     def warn(self, name: str, reason: str, now_ms: float) -> None:
-        """Notes what is wrong with a proxy's reports, not too often."""
+        """Records a warning about a proxy, rate-limited by proxy and kind: the reason without its leading number."""
         kind = (name, reason.lstrip("0123456789 "))
-        is_due = now_ms - self.warned_ms.get(kind, float("-inf")) >= WARNING_INTERVAL_MS
+        is_due = now_ms - self.last_warning_ms.get(kind, float("-inf")) >= WARNING_INTERVAL_MS
         if is_due and len(self.warnings) < MAX_WARNINGS:
-            if len(self.warned_ms) > MAX_WARNING_TIMES:
-                self.warned_ms.clear()
-            self.warned_ms[kind] = now_ms
+            if len(self.last_warning_ms) > MAX_WARNING_KINDS:
+                self.last_warning_ms.clear()
+            self.last_warning_ms[kind] = now_ms
             self.warnings.append(ReportWarning(name, reason))
 
     def drain_warnings(self) -> list[ReportWarning]:
-        """The warnings since the last call."""
+        """Returns the warnings since the last call."""
         warnings, self.warnings = self.warnings, []
         return warnings
 
-    # summaries
+    # Summaries
 
     def due_ms(self) -> float:
-        """When the window is to be drained; never while it is empty."""
+        """Returns when the window must be drained, in milliseconds; infinity while it is empty."""
         if self.window_began_ms is None:
             return float("inf")
         return self.window_began_ms + self.settings.window_ms
 
     def drain(self, now_ms: float) -> ReportSummary:
-        """The summary of the window; a new one begins."""
+        """Returns the summary of the current window and starts a new one."""
         slack_ms = self.usual_ms if self.settings.ageing else float("inf")
         summary = summarize(self.window, lambda report: self._weight(report, now_ms), self.memory, slack_ms)
         summary.rejected, summary.cost = self.rejected, round(self.spent, 1)
         self.window, self.window_began_ms, self.spent, self.rejected = ReportWindow(), None, 0.0, {}
         if len(self.memory.newest_ms) > NEWEST_PER_ENDPOINT * (len(self.endpoints) + 1):
-            self.memory.forget_older(now_ms, NEWEST_KEPT_PERIODS * self.usual_ms)
+            self.memory.evict_older(now_ms, NEWEST_RETENTION_PERIODS * self.usual_ms)
         return summary
 
     def _weight(self, report: CountedReport, now_ms: float) -> float:
-        """A report's weight by its age; the time that it may spend in the window is no age."""
+        """Returns a report's weight by age; time spent waiting in the window does not count as age."""
         if not self.settings.ageing:
             return 1.0
         return age_weight(
--- a/quillstep/load_reports/collector.py
+++ b/quillstep/load_reports/collector.py
@@ -1,7 +1,7 @@
-"""Merges the summaries of all readers into the planner's statistics, and decides what proxies have to report.
+"""Merges the summaries of all readers into statistics for the planner, and plans how proxies are to report.
 
-Without I/O and clocks.  The figures of several readers add up, whatever the order in which they come.  What was not
-reported is left out: no figure is not a figure of zero.
+Performs no I/O and reads no clock.  Summaries of several readers are additive and may arrive in any order.  Endpoints
+and classes that were not reported are omitted, not reported as zero.
 """
 
 import math
@@ -18,23 +18,30 @@
 from quillstep.load_reports.upstream_stats import MAX_PROXY_SHARE, MIN_BOUNDED_PROXIES, EndpointKey
 from quillstep.planner.messages import DownstreamStats, UpstreamStats
 
-DRAIN_INTERVAL_PERIODS = 0.5  # of the report period, between two drains for the planner
-LATENCY_DIGITS = 2
-MAX_LATENCY_DEADLINES = 10.0  # of the longest deadline; longer latencies count as this
-BUSY_SHARE = 0.9  # of a window's budget, from which on a reader has none to spare
-RATE_DECAY = 0.7  # of what is known of a proxy's arrivals, a report later
-SHOWN_PERCENTILES = (50.0, 99.0)
+DRAIN_INTERVAL_PERIODS = 0.5  # interval between drains for the planner, in report periods
+LATENCY_DIGITS = 2  # significant digits of the latency histograms
+MAX_LATENCY_DEADLINES = 10.0  # histogram range, in longest deadlines; longer latencies are clamped to it
+BUSY_SHARE = 0.9  # share of a window's budget above which a reader has no budget to spare
+RATE_DECAY = 0.7  # weight that the estimate of a proxy's arrival rate retains at each report
+LOGGED_PERCENTILES = (50.0, 99.0)
 
 
 class ProxyClass(NamedTuple):
-    """One class at one proxy."""
+    """One request class at one proxy."""
 
     class_index: int
     proxy: int
 
 
 class ReportCollector:
-    """Between the readers and the planner: `add_summary` for each window of a reader, `drain` once an interval."""
+    """Collects the readers' summaries with `add_summary` and returns merged statistics from `drain`, once an interval.
+
+    Attributes:
+        usual_ms: The fleet's report interval.
+        window_budget: Rows that one reader may read per window.
+        totals: Counters for the log, by field name.
+        rejected: Reports and rows that did not count, by reason.
+    """
 
     def __init__(self, settings: ControllerSettings) -> None:
         fleet, reports = settings.fleet, settings.reports
@@ -43,31 +50,33 @@
         self.ageing = reports.ageing
         self.class_count = len(fleet.classes)
         self.drained_ms = float("-inf")
-        self.first_ms = 0.0  # when the first came of what waits for the next drain
+        self.pending_since_ms = 0.0  # arrival of the first summary since the last drain
         self.upstream: dict[EndpointKey, list[UpstreamRow]] = {}
         self.downstream: dict[ProxyClass, list[DownstreamRow]] = {}
         self.newest_ms: dict[EndpointKey, float] = {}
-        self.arrivals_end_ms: dict[ProxyClass, float] = {}  # when the latest window of arrivals ended
-        self.carried: dict[EndpointKey, float] = {}  # attempts that wait for fresh figures of their endpoint
-        self.arrival_rates: dict[int, float] = {}  # requests a second by proxy
+        self.arrivals_end_ms: dict[ProxyClass, float] = {}  # end of the latest window of arrivals
+        self.carried: dict[
+            EndpointKey, float
+        ] = {}  # attempts of superseded rows, added to the next fresh rows of their endpoint
+        self.arrival_rates: dict[int, float] = {}  # requests per second, by proxy
         budget_per_s = reports.rows_per_s * max(1, len(reports.listen))
         self.sampler = Sampler(budget_per_s, self.usual_ms, settings.seed) if reports.sampling else None
         self.window_budget = reports.rows_per_s * reports.window_ms / 1000.0
         self.max_latency_ms = max(row.deadline_ms for row in fleet.classes) * MAX_LATENCY_DEADLINES
-        self.latency: dict[tuple[str, int], HdrHistogram] = {}  # by zone and class
+        self.latency: dict[tuple[str, int], HdrHistogram] = {}  # histograms by zone and class index
         self.totals: defaultdict[str, float] = defaultdict(float)
         self.rejected: Counter[str] = Counter()
-        self.bounded: set[int] = set()  # proxies whose arrivals were scaled down
+        self.bounded: set[int] = set()  # proxies whose arrivals were scaled down to the limit
 
-    # membership
+    # Membership
 
     def add_proxy(self, proxy: int, now_ms: float) -> None:
-        """A proxy has joined."""
+        """Handles a proxy that has joined."""
         if self.sampler:
             self.sampler.add_proxy(proxy, now_ms)
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left."""
+        """Handles a proxy that has left; drops its state."""
         if self.sampler:
             self.sampler.remove_proxy(proxy)
         self.arrival_rates.pop(proxy, None)
@@ -75,12 +84,12 @@
         for class_index in range(self.class_count):
             self.arrivals_end_ms.pop(ProxyClass(class_index, proxy), None)
 
-    # from the readers
+    # Summaries from the readers
 
     def add_summary(self, summary: ReportSummary, now_ms: float) -> None:
-        """Takes in one window of one reader."""
+        """Adds the summary of one window of one reader."""
         if not (self.upstream or self.downstream):
-            self.first_ms = now_ms
+            self.pending_since_ms = now_ms
         for upstream in summary.upstream:
             self._add_upstream(upstream)
         for downstream in summary.downstream:
@@ -101,7 +110,7 @@
         key = (row.zone, row.endpoint)
         newest_ms = self.newest_ms.get(key, float("-inf"))
         if self.ageing and row.end_ms < newest_ms - self.usual_ms - self.interval_ms:
-            # Another reader had fresher figures of this endpoint; the attempts were made all the same.
+            # Another reader had fresher rows of this endpoint; the attempts are carried over, as they were still made.
             self.rejected["superseded endpoint sums"] += 1
             self.carried[key] = self.carried.get(key, 0.0) + row.succeeded + row.failed
             return
@@ -138,16 +147,16 @@
     def _new_histogram(self) -> HdrHistogram:
         return HdrHistogram(1, max(2, round(self.max_latency_ms)), LATENCY_DIGITS)
 
-    # to the planner
+    # Statistics for the planner
 
     def due_ms(self) -> float:
-        """When `drain` is due; never while nothing waits for it."""
+        """Returns when `drain` is due, in milliseconds; infinity while there is nothing to drain."""
         if not (self.upstream or self.downstream):
             return float("inf")
-        return max(self.first_ms, self.drained_ms + self.interval_ms)
+        return max(self.pending_since_ms, self.drained_ms + self.interval_ms)
 
     def drain(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]]:
-        """The statistics since the last call, for the planner."""
+        """Returns the upstream and downstream statistics since the last call, sorted by key."""
         upstream_stats = [
             _merge_rows(endpoint, rows, self.carried.pop((zone, endpoint), 0.0))
             for (zone, endpoint), rows in sorted(self.upstream.items())
@@ -171,25 +180,29 @@
         return upstream_stats, downstream_stats
 
     def _max_arrival_rate(self) -> float:
-        """The most requests a second that count of one proxy: a bounded share of what all report."""
+        """Returns the arrival rate, in requests per second, above which a proxy's arrivals are scaled down.
+
+        The limit is a bounded share of all arrivals, so that one faulty proxy can't dominate the demand; there is none
+        while few proxies report.
+        """
         if len(self.arrival_rates) < MIN_BOUNDED_PROXIES:
             return float("inf")
         ordered = sorted(self.arrival_rates.values(), reverse=True)
         rest = math.fsum(ordered[1:])
         return max(MAX_PROXY_SHARE / (1.0 - MAX_PROXY_SHARE) * rest, ordered[1])
 
-    # to the proxies
+    # Requests to the proxies
 
     def plan_requests(self, now_ms: float) -> list[ReportRequest]:
-        """What has changed of what proxies have to report."""
+        """Returns the report requests that have changed since the last call."""
         return self.sampler.plan(now_ms) if self.sampler and now_ms >= self.sampler.due_ms else []
 
     def plan_due_ms(self) -> float:
-        """When `plan_requests` has something to do."""
+        """Returns when `plan_requests` is due, in milliseconds; infinity without sampling."""
         return self.sampler.due_ms if self.sampler else float("inf")
 
     def statistics(self, class_names: Iterable[str]) -> dict[str, Any]:
-        """Figures on all reports so far, as fields of a log event."""
+        """Returns totals of all reports so far, as fields of a log event."""
         fields: dict[str, Any] = {name: round(total) for name, total in self.totals.items()}
         fields["void"] = self.rejected
         if self.sampler:
@@ -200,12 +213,12 @@
                 total = self._new_histogram()
                 for each in histograms:
                     total.add(each)
-                fields[name] = [total.get_value_at_percentile(percentile) for percentile in SHOWN_PERCENTILES]
+                fields[name] = [total.get_value_at_percentile(percentile) for percentile in LOGGED_PERCENTILES]
         return fields
 
 
 def _merge_rows(endpoint: int, rows: list[UpstreamRow], carried: float) -> UpstreamStats:
-    """The rows of one endpoint and zone as the planner gets them, with the attempts of superseded rows."""
+    """Merges the rows of one endpoint and zone, scaled up to include the `carried` attempts of superseded rows."""
     succeeded = math.fsum(row.succeeded for row in rows)
     failed = math.fsum(row.failed for row in rows)
     succeeded_ms = math.fsum(row.succeeded_ms for row in rows)
--- a/quillstep/load_reports/events.py
+++ b/quillstep/load_reports/events.py
@@ -1,4 +1,4 @@
-"""The event that report readers hand to the deciding thread."""
+"""The event that load report readers put into the decision thread's queue."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class ReportsSummarized(NamedTuple):
-    """What the load reports of one reader's window come to."""
+    """A reader has summarized one window of load reports."""
 
     reader: int
     summary: ReportSummary
--- a/quillstep/load_reports/messages.py
+++ b/quillstep/load_reports/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the controller and its report readers.
+"""Messages between the controller and its load report readers.
 
-To and from reader processes they travel as MessagePack: the tags are those of that format, and structs with
-`array_like` are arrays there.
+Messages to and from reader processes are encoded as MessagePack: `tag` is the tag on the wire, and `array_like` structs
+are encoded as arrays.
 """
 
 from typing import Any
@@ -13,31 +13,40 @@
 
 
 class ReportRequest(msgspec.Struct, array_like=True):
-    """What one proxy has to report from now on, and which of its endpoint rows count."""
+    """How one proxy is to report from now on, and which of its endpoint rows count.
+
+    Attributes:
+        proxy: The proxy's number.
+        period_ms: Interval between reports.
+        is_full: Whether reports contain a row for each endpoint.
+        sampling_factor: Number of proxies that the rows represent.
+        counts_from_ms: Start of the interval in which the rows count.
+        counts_to_ms: End of the interval in which the rows count.
+    """
 
     proxy: int
     period_ms: float
-    is_full: bool  # with a row for each endpoint
-    sampling_factor: float  # proxies that its rows stand for
+    is_full: bool
+    sampling_factor: float
     counts_from_ms: float
     counts_to_ms: float
 
 
-# Changes that the controller passes on to its readers.
+# Membership changes that the controller sends to its readers.
 
 
 class AddEndpoints(msgspec.Struct, array_like=True, tag="listed"):
-    """Endpoints are in the list from now on."""
+    """Endpoints were added to the endpoint list."""
 
     rows: list[tuple[str, int, int]]  # host, port, endpoint
 
     def by_address(self) -> dict[tuple[str, int], int]:
-        """The endpoints' numbers by host and port."""
+        """Returns the endpoints' numbers by host and port."""
         return {(host, port): endpoint for host, port, endpoint in self.rows}
 
 
 class ProxyJoined(msgspec.Struct):
-    """A proxy's reports count from now on."""
+    """A proxy has joined; its reports count from now on."""
 
     name: str
     proxy: int
@@ -46,7 +55,7 @@
 
 
 class ProxyLeft(msgspec.Struct):
-    """A proxy's reports are rejected until it joins again."""
+    """A proxy has left; its reports are rejected until it joins again."""
 
     name: str
 
@@ -58,7 +67,7 @@
 
 
 class Configuration(msgspec.Struct, array_like=True):
-    """The first message: where to listen, and settings as plain values."""
+    """The first message to a reader process: the address to listen on, and settings as plain values."""
 
     listen: str
     reports: dict[str, Any]
@@ -67,7 +76,7 @@
 
 
 class AddProxy(msgspec.Struct, array_like=True, tag="joined"):
-    """A proxy's reports count here from now on, with the account that another reader kept."""
+    """Count a proxy's reports from now on, continuing the account of the previous reader if there is one."""
 
     name: str
     proxy: int
@@ -77,13 +86,13 @@
 
 
 class ReleaseProxy(msgspec.Struct, array_like=True, tag="release"):
-    """A proxy's reports no longer count here; its account is to be sent back."""
+    """Stop counting a proxy's reports and send its account back."""
 
     name: str
 
 
 class RequestReports(msgspec.Struct, array_like=True, tag="ask"):
-    """What a proxy has to report."""
+    """Change how a proxy is to report."""
 
     request: ReportRequest
 
@@ -95,20 +104,20 @@
 
 
 class ReaderReady(msgspec.Struct, array_like=True, tag="ready"):
-    """The process listens."""
+    """The process accepts connections at this address."""
 
     address: str
 
 
 class ReportStreamOpened(msgspec.Struct, array_like=True, tag="hello"):
-    """A proxy has opened a stream here."""
+    """A proxy has opened a report stream at this reader."""
 
     name: str
     incarnation: str
 
 
 class ProxyReleased(msgspec.Struct, array_like=True, tag="released"):
-    """A proxy's reports no longer count here; its account, if there was one."""
+    """The reader no longer counts a proxy's reports; `account` is the proxy's account, if there was one."""
 
     name: str
     account: ReportAccount | None
--- a/quillstep/load_reports/readers/__init__.py
+++ b/quillstep/load_reports/readers/__init__.py
@@ -1,1 +1,1 @@
-"""Readers of load reports: a thread of the controller, or processes of their own; sockets and pipes."""
+"""Load report readers, in a thread of the controller or in separate processes, with their sockets and pipes."""
--- a/quillstep/load_reports/readers/connections.py
+++ b/quillstep/load_reports/readers/connections.py
@@ -1,4 +1,4 @@
-"""What readers in a thread and in a process share: streams on connections, and what is done on them."""
+"""Operations on streams and connections that reader threads and reader processes share."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class StreamKey(NamedTuple):
-    """One stream of one connection."""
+    """The key of a stream: its connection and its number there."""
 
     connection: GrpcPeer
     stream: int
@@ -29,6 +29,6 @@
 
 
 def log_warnings(log: structlog.stdlib.BoundLogger, warnings: list[ReportWarning]) -> None:
-    """Logs what is wrong with whose reports."""
+    """Logs warnings about proxies' reports."""
     for warning in warnings:
         log.warning("invalid load report", proxy=warning.proxy, reason=warning.reason)
--- a/quillstep/load_reports/readers/framing.py
+++ b/quillstep/load_reports/readers/framing.py
@@ -1,4 +1,4 @@
-"""Messages between a controller and its reader processes: a length, then a MessagePack array.  Without I/O."""
+"""Framing of messages between a controller and its reader processes: a length prefix and MessagePack.  No I/O."""
 
 from typing import Any
 
@@ -17,30 +17,30 @@
 
 
 class FrameTooLargeError(QuillstepError):
-    """A frame's length is over the limit."""
+    """A frame exceeds the size limit."""
 
 
 def encode_frame(message: Any) -> bytes:
-    """A message, which may be anything that MessagePack can hold, behind its length."""
+    """Encodes a message as MessagePack with a length prefix; it may be any type that msgspec can encode."""
     return framing.add_length(_encode(message))
 
 
 def _check_size(size: int, first: bytes) -> None:
     if size > MAX_FRAME_BYTES:
-        raise FrameTooLargeError(f"a message of {size} bytes, over the limit of {MAX_FRAME_BYTES}")
+        raise FrameTooLargeError(f"frame of {size} bytes exceeds size limit of {MAX_FRAME_BYTES} bytes")
 
 
 class FrameBuffer:
-    """Cuts a byte stream into the encoded messages of its frames."""
+    """Splits a byte stream into the encoded messages of its frames."""
 
     def __init__(self) -> None:
         self.buffered = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The encoded messages that are complete now.
+        """Adds received bytes and returns the encoded messages that are now complete.
 
         Raises:
-            FrameTooLargeError: A frame's length is over the limit.
+            FrameTooLargeError: A frame exceeds `MAX_FRAME_BYTES`.
         """
         self.buffered += data
         return list(framing.remove_bodies(self.buffered, _check_size))
--- a/quillstep/load_reports/readers/ownership.py
+++ b/quillstep/load_reports/readers/ownership.py
@@ -1,7 +1,7 @@
-"""Which of several readers counts a proxy's reports, so that they count once wherever its streams go.  Without I/O.
+"""Assignment of proxies to readers, so that reports count once whichever reader a proxy connects to.  No I/O.
 
-A reader says whose stream opened there; the controller says who has joined.  A reader that counted a proxy before
-gives up its account first, and only then the next one counts.
+Readers report which proxies opened streams; the controller reports which proxies have joined.  When a proxy moves to
+another reader, the previous one releases the proxy's account before the next one starts to count.
 """
 
 from dataclasses import dataclass
@@ -18,11 +18,11 @@
 )
 from quillstep.load_reports.validation import ReportAccount
 
-MAX_KEPT_ACCOUNTS = 4096  # of proxies that no reader counts now
+MAX_UNASSIGNED_ACCOUNTS = 4096  # maximum accounts retained for proxies that no reader counts
 
 
 class ReaderCommand(NamedTuple):
-    """A message, and which reader it is for."""
+    """A message for one reader."""
 
     reader: int
     message: MessageToReader
@@ -38,66 +38,75 @@
 
 
 class ReportOwnership:
-    """Who has joined, which reader counts whose reports, and the accounts that no reader has now.
-
-    Each method takes one event and returns the commands that follow from it.
+    """The joined proxies, the reader that counts each of them, and the accounts held by no reader.
+
+    Each method handles one event and returns the resulting commands.
+
+    Attributes:
+        proxies: Joined proxies by name.
+        owners: The reader that holds each proxy's account.
+        streams: The reader at which each proxy's newest stream is open.
+        requests: The latest report request, by proxy number.
+        accounts: Accounts held by no reader, oldest first.
+        releasing: Proxies whose account a reader was asked to release.
+        endpoints: All listed endpoints, as host, port and number.
     """
 
     def __init__(self) -> None:
         self.proxies: dict[str, JoinedProxy] = {}
-        self.owners: dict[str, int] = {}  # the reader that has the account
-        self.streams: dict[str, int] = {}  # the reader where the newest stream is
-        self.requests: dict[int, ReportRequest] = {}  # the latest of each proxy
+        self.owners: dict[str, int] = {}
+        self.streams: dict[str, int] = {}
+        self.requests: dict[int, ReportRequest] = {}
         self.accounts: dict[str, ReportAccount] = {}
-        self.releasing: set[str] = set()  # whose account is on its way back
+        self.releasing: set[str] = set()
         self.endpoints: list[tuple[str, int, int]] = []
 
     def add_endpoints(self, added: AddEndpoints, readers: int) -> list[ReaderCommand]:
-        """Endpoints are in the list from now on."""
+        """Handles endpoints added to the endpoint list; all readers are notified."""
         self.endpoints += added.rows
         return [ReaderCommand(reader, added) for reader in range(readers)]
 
     def add_proxy(self, joined: ProxyJoined) -> list[ReaderCommand]:
-        """A proxy has joined."""
+        """Handles a proxy that has joined."""
         self.proxies[joined.name] = JoinedProxy(joined.proxy, joined.zone, joined.incarnation)
-        return self._settle(joined.name)
+        return self._reconcile(joined.name)
 
     def remove_proxy(self, name: str) -> list[ReaderCommand]:
-        """A proxy has left."""
+        """Handles a proxy that has left."""
         proxy = self.proxies.pop(name, None)
         if proxy is not None:
             self.requests.pop(proxy.number, None)
-        return self._settle(name)
+        return self._reconcile(name)
 
     def stream_opened(self, reader: int, name: str) -> list[ReaderCommand]:
-        """A proxy's stream has opened at a reader."""
+        """Handles a stream that a proxy opened at a reader."""
         self.streams[name] = reader
-        return self._settle(name)
+        return self._reconcile(name)
 
     def proxy_released(self, reader: int, name: str, account: ReportAccount | None) -> list[ReaderCommand]:
-        """A reader has given up a proxy and sent back its account."""
+        """Handles a reader's release of a proxy, with its account if there was one."""
         self.releasing.discard(name)
         if self.owners.get(name) == reader:
             del self.owners[name]
         if account is not None:
             self.accounts[name] = account
-            if len(self.accounts) > MAX_KEPT_ACCOUNTS:
+            if len(self.accounts) > MAX_UNASSIGNED_ACCOUNTS:
                 del self.accounts[next(iter(self.accounts))]
-        return self._settle(name)
+        return self._reconcile(name)
 
     def request_reports(self, name: str, request: ReportRequest) -> list[ReaderCommand]:
-        """A proxy is to report in another way."""
+        """Handles a change of how a proxy is to report."""
         self.requests[request.proxy] = request
         return [ReaderCommand(self.owners[name], RequestReports(request))] if name in self.owners else []
 
     def reader_ended(self, reader: int) -> None:
-        """A reader has ended, and its accounts with it; streams will open elsewhere or there again."""
+        """Handles the exit of a reader process: its accounts are lost, and its proxies will open new streams."""
         self.owners = {name: owner for name, owner in self.owners.items() if owner != reader}
         self.streams = {name: at for name, at in self.streams.items() if at != reader}
         self.releasing &= set(self.owners)
 
-    def _settle(self, name: str) -> list[ReaderCommand]:
-        """The next step towards one account at the reader that has the stream."""
+    def _reconcile(self, name: str) -> list[ReaderCommand]:
+        """Returns the next commands that move a proxy's account to the reader that has its stream."""
         proxy, stream, owner = self.proxies.get(name), self.streams.get(name), self.owners.get(name)
         if name in self.releasing:
             return []
@@ -105,7 +114,7 @@
             self.releasing.add(name)
             return [ReaderCommand(owner, ReleaseProxy(name))]
         if proxy is None or stream is None:
-            return []  # whoever joins in another incarnation, or with another number, was released before
+            return []  # a proxy that rejoins with another incarnation or number has been released before
         self.owners[name] = stream
         account = self.accounts.pop(name, None)
         added = AddProxy(name, proxy.number, proxy.zone, proxy.incarnation, account)
--- a/quillstep/load_reports/readers/pool.py
+++ b/quillstep/load_reports/readers/pool.py
@@ -1,6 +1,6 @@
-"""The controller's side of its reader processes: starts them, sends them what they need, receives their summaries.
+"""The pool of reader processes of a controller: starts them, sends them messages and receives their summaries.
 
-A process that ends is started again at its address; what it had read and not sent is lost, and so is not counted.
+A process that exits is restarted at the same address; reports whose summary it had not sent are lost and do not count.
 """
 
 import contextlib
@@ -32,22 +32,22 @@
 from quillstep.load_reports.readers.framing import FrameBuffer, decode_from_reader, encode_frame
 from quillstep.load_reports.readers.ownership import ReaderCommand, ReportOwnership
 
-READ_BYTES = 256 * 1024  # of one read
+READ_BYTES = 256 * 1024  # largest single read of a process's output
 START_TIMEOUT_S = 30.0
 RESTART_DELAY_S = 0.2
 
-WriteQueue = queue.SimpleQueue[bytes | None]  # None: nothing more will come
+WriteQueue = queue.SimpleQueue[bytes | None]  # None closes the process's input
 
 
 class ReaderStartError(QuillstepError):
-    """A reader process did not start."""
+    """A reader process did not start in time."""
 
 
 class ReaderPool:
     """All reader processes of one controller.
 
-    Each has a thread that starts it and reads its output, and one that writes its input.  `lock` guards `ownership` and
-    `write_queues`.  `put` gets each summary as an event and may block.
+    Each process has one thread that starts it and reads its output, and one that writes its input.  `lock` guards
+    `ownership` and `write_queues`.  `put` is called with each summary as an event and may block.
     """
 
     def __init__(self, settings: ControllerSettings, put: Callable[[ReportsSummarized], None]) -> None:
@@ -60,20 +60,20 @@
         self.log = structlog.get_logger("reports")
 
     def start(self) -> None:
-        """Returns once all processes listen.
+        """Starts all processes and waits until they accept connections.
 
         Raises:
-            ReaderStartError: One of them does not.
+            ReaderStartError: A process is not ready within `START_TIMEOUT_S`.
         """
         ready = [threading.Event() for _ in self.addresses]
         for reader, event in enumerate(ready):
             name = f"report-reader-{reader}"
             threading.Thread(target=self._supervise, name=name, args=(reader, event), daemon=True).start()
         if not all(event.wait(START_TIMEOUT_S) for event in ready):
-            raise ReaderStartError("a process that reads load reports did not start")
+            raise ReaderStartError("load report reader process did not start in time")
 
     def notify(self, changes: list[MembershipChange], requests: list[ReportRequest], names: dict[int, str]) -> None:
-        """Passes on, from the deciding thread, who joined and left, what is listed, and what proxies have to report."""
+        """Forwards membership changes and report requests to the readers; called from the decision thread."""
         with self.lock:
             for change in changes:
                 self._send(self._commands(change))
@@ -82,7 +82,7 @@
                     self._send(self.ownership.request_reports(names[request.proxy], request))
 
     def stop(self) -> None:
-        """Ends the processes, without waiting: a process ends at the end of its input, or with the controller."""
+        """Closes the processes' inputs without waiting; a process exits when its input or the controller ends."""
         self.stopping.set()
         for messages in self.write_queues:
             messages.put(None)
@@ -101,15 +101,15 @@
             self.write_queues[reader].put(encode_frame(message))
 
     def _supervise(self, reader: int, ready: threading.Event) -> None:
-        """Runs one process after another at one address."""
+        """Runs a reader process and restarts it when it exits, until the pool is stopped."""
         while not self.stopping.is_set():
             self._run_process(reader, ready)
             if not self.stopping.is_set():
-                self.log.error("report reader ended", reader=reader, next="it is started again")
+                self.log.error("report reader ended", reader=reader, next="restarting")
                 self.stopping.wait(RESTART_DELAY_S)
 
     def _run_process(self, reader: int, ready: threading.Event) -> None:
-        """Starts a process and reads its output until it ends."""
+        """Starts a process and handles its output until it exits."""
         child = subprocess.Popen(
             [sys.executable, "-m", "quillstep.load_reports.readers.process"],
             stdin=subprocess.PIPE,
@@ -131,7 +131,7 @@
         child.wait()
 
     def _new_write_queue(self, reader: int) -> WriteQueue:
-        """The input of a new process, with what it has to know first."""
+        """Creates the input queue of a new process, starting with its configuration and the listed endpoints."""
         settings = self.settings
         configuration = Configuration(
             self.addresses[reader],
@@ -163,7 +163,7 @@
 
 
 def _write_input(child: "subprocess.Popen[bytes]", messages: WriteQueue) -> None:
-    """Writes a process's input until there is no more, then closes it."""
+    """Writes queued messages to a process's input until the queue is closed, then closes the input."""
     assert child.stdin
     with contextlib.suppress(OSError):
         while (data := messages.get()) is not None:
--- a/quillstep/load_reports/readers/process.py
+++ b/quillstep/load_reports/readers/process.py
@@ -1,8 +1,8 @@
-"""A process that only reads load reports: `python -m quillstep.load_reports.readers.process`.
+"""The load report reader process: `python -m quillstep.load_reports.readers.process`.
 
-One thread polls all its streams, and none is read while its earlier messages wait: that is how back-pressure reaches a
-proxy.  The controller's messages come on standard input, summaries of windows leave on standard output; the process
-ends when its input does.
+One thread polls all connections.  A connection is not read while messages from it are buffered, which applies
+back-pressure to the proxy.  Messages from the controller arrive on standard input, window summaries are written to
+standard output, and the process exits when its input is closed.
 """
 
 import contextlib
@@ -38,13 +38,13 @@
 from quillstep.xds.http2 import Event, GrpcConnection, GrpcPeer, MessageReceived, StreamEnded, StreamOpened
 from quillstep.xds.server import LOAD
 
-INPUT_BYTES = 256 * 1024  # of one read
-MAX_REQUESTED_PERIODS = 8.0  # usual periods between two reports
+INPUT_BYTES = 256 * 1024  # largest single read of standard input
+MAX_REQUESTED_PERIODS = 8.0  # longest report period that is requested, in fleet report intervals
 STDIN, STDOUT = 0, 1
 
 
 class ReaderProcess:
-    """All streams of one reader process."""
+    """A reader process with all its connections and streams."""
 
     def __init__(self, listen: str, settings: LoadReportSettings, fleet: FleetSettings, limits: LimitSettings) -> None:
         self.usual_ms = fleet.proxies.report_interval_ms
@@ -66,7 +66,7 @@
         self.log = structlog.get_logger("reports")
 
     def run(self) -> None:
-        """Until the input ends."""
+        """Notifies the controller that the process is ready, then runs until the input is closed."""
         self.send(ReaderReady(self.poller.address))
         self.poller.run()
 
@@ -77,17 +77,17 @@
         while data:
             data = data[os.write(STDOUT, data) :]
 
-    # from the controller
+    # Messages from the controller
 
     def read_input(self) -> bool:
-        """False where the controller has ended."""
+        """Reads and handles messages from the controller; returns False when the input is closed."""
         data = os.read(STDIN, INPUT_BYTES)
         for encoded in self.input.feed(data):
             self.handle(decode_to_reader(encoded))
         return bool(data)
 
     def handle(self, message: MessageToReader) -> None:
-        """Does what the controller says."""
+        """Handles a message from the controller."""
         match message:
             case AddProxy():
                 self.add_proxy(message)
@@ -99,16 +99,16 @@
                 self.session.request_reports(request)
 
     def add_proxy(self, added: AddProxy) -> None:
-        """A proxy's reports count here from now on."""
+        """Counts a proxy's reports from now on, continuing its account if the controller sent one."""
         if added.account is not None:
             self.aggregator.left_accounts[added.name] = added.account
         account = ReportAccount(added.proxy, added.zone, added.incarnation, self.usual_ms, self.usual_ms)
         self.session.add_proxy(account, added.name)
 
-    # streams
+    # Streams
 
     def handle_event(self, connection: GrpcPeer, event: Event) -> None:
-        """One event of a connection."""
+        """Handles one event of a connection."""
         streams = self.streams.setdefault(connection, set())
         key = StreamKey(connection, event.stream)
         match event:
@@ -120,12 +120,12 @@
             case StreamEnded() if event.stream in streams:
                 if event.status:
                     name = self.session.streams[key].name
-                    self.log.warning("stream ended", reason=event.reason, code=event.status, proxy=name)
+                    self.log.warning("stream closed", reason=event.reason, code=event.status, proxy=name)
                 streams.discard(event.stream)
                 self.session.end_stream(key)
 
     def handle_opened(self, key: StreamKey, method: str) -> None:
-        """Accepts a stream of load reports, and rejects any other."""
+        """Accepts a load report stream; rejects a stream of any other method."""
         connection, stream = key
         if method != LOAD:
             text = f"no method {method} here: load reports alone"
@@ -136,28 +136,28 @@
         self.session.open_stream(key)
 
     def handle_closed(self, connection: GrpcPeer, reason: str) -> None:
-        """A connection has ended."""
+        """Handles a closed connection; it is logged if no report stream was open on it."""
         streams = self.streams.pop(connection, set())
         if not streams:
-            self.log.warning("connection ended", reason=reason)
+            self.log.warning("connection closed", reason=reason)
         for stream in streams:
             self.session.end_stream(StreamKey(connection, stream))
 
-    # reading
+    # Reading
 
     def read_messages(self) -> float:
-        """Reads as far as the budget allows; returns when to do it again."""
-        begun_s = time.thread_time()
+        """Reads buffered messages as far as the budget allows; returns when to call it again, in milliseconds."""
+        started_s = time.thread_time()
         due_ms = self.session.read_messages(now_ms())
-        self.act(self.session.drain_pending())
+        self.apply_actions(self.session.drain_pending())
         log_warnings(self.log, self.aggregator.drain_warnings())
-        self.cpu_s["parse"] += time.thread_time() - begun_s
+        self.cpu_s["parse"] += time.thread_time() - started_s
         if self.aggregator.due_ms() <= now_ms():
             self.drain_window()
         return due_ms
 
-    def act(self, pending: PendingActions[StreamKey]) -> None:
-        """Does on the connections what follows from the messages that were read."""
+    def apply_actions(self, pending: PendingActions[StreamKey]) -> None:
+        """Applies the session's pending actions to the connections and notifies the controller of opened streams."""
         send_messages(pending.sends)
         for end in pending.ends:
             self.streams.get(end.key.connection, set()).discard(end.key.stream)
@@ -168,16 +168,16 @@
             self.send(ReportStreamOpened(opened.name, opened.incarnation))
 
     def has_buffered(self, connection: GrpcPeer) -> bool:
-        """Whether messages of a connection wait to be read."""
+        """Returns whether messages of a connection are buffered."""
         keys = (StreamKey(connection, stream) for stream in self.streams.get(connection, ()))
         streams = (self.session.streams.get(key) for key in keys)
         return any(stream is not None and stream.buffered for stream in streams)
 
     def drain_window(self) -> None:
-        """Sends the summary of the window."""
-        begun_s = time.thread_time()
+        """Drains the window and sends its summary to the controller."""
+        started_s = time.thread_time()
         summary = self.aggregator.drain(now_ms())
-        self.cpu_s["fold"] += time.thread_time() - begun_s
+        self.cpu_s["fold"] += time.thread_time() - started_s
         cpu_s = {"streams": self.poller.io_cpu_s, **self.cpu_s}
         summary.cpu_s = {name: round(seconds, 4) for name, seconds in cpu_s.items()}
         summary.buffered_bytes = self.session.buffered_bytes
@@ -185,7 +185,7 @@
 
 
 def read_configuration(frames: FrameBuffer) -> tuple[Configuration, list[bytes]] | None:
-    """The first message and what came right behind it; None where the input ends before it."""
+    """Returns the configuration and any messages read along with it; None if the input is closed first."""
     while True:
         data = os.read(STDIN, INPUT_BYTES)
         if not data:
@@ -196,7 +196,7 @@
 
 
 def main() -> None:
-    """Reads load reports until standard input ends."""
+    """Reads load reports until standard input is closed."""
     frames = FrameBuffer()
     first = read_configuration(frames)
     if first is None:
--- a/quillstep/load_reports/readers/session.py
+++ b/quillstep/load_reports/readers/session.py
@@ -1,8 +1,8 @@
-"""Report streams of one reader: what waits on each, read as far as the aggregator's budget allows.  Without I/O.
+"""Report streams of one reader: buffers their messages and reads them as far as the aggregator's budget allows.
 
-Whoever carries the bytes says what opened, arrived and ended, calls `read_messages`, and then does the pending actions:
-messages to send, streams to end, messages that were consumed (only then may the peer send more: that is how
-back-pressure reaches a proxy).
+Performs no I/O.  The transport reports opened streams, received messages and closed streams, calls `read_messages`, and
+then applies the pending actions: messages to send, streams to end, and messages that were consumed.  Only once a
+message is consumed may the peer send more, which applies back-pressure to the proxy.
 """
 
 from collections import deque
@@ -19,14 +19,14 @@
 from quillstep.xds.grpc import INVALID_ARGUMENT, PERMISSION_DENIED, UNAVAILABLE
 from quillstep.xds.load_stats import life_of, load_request, read_report
 
-JOIN_POLL_PERIODS = 0.1  # between two checks whether a proxy has joined whose reports came first
-SILENT_PERIODS = 3.0  # after which a stream without an incarnation may lose its name to another
+JOIN_POLL_PERIODS = 0.1  # interval between checks whether a proxy whose reports arrived first has joined
+IDLE_PERIODS = 3.0  # idle time after which a stream's name may be claimed by a stream without an incarnation
 
-Key = TypeVar("Key", bound=Hashable)  # a stream, as the carrier of the bytes knows it
+Key = TypeVar("Key", bound=Hashable)  # identifies a stream to the transport
 
 
 class BufferedMessage(NamedTuple):
-    """A message that waits to be read."""
+    """A received message that has not been read."""
 
     arrived_ms: float
     data: bytes
@@ -34,13 +34,13 @@
 
 @dataclass(slots=True)
 class ReportStream:
-    """One stream: which proxy it says it is, and what waits on it."""
+    """One report stream: the proxy that it claims to be, and its buffered messages."""
 
     name: str = ""
     incarnation: str = ""
     buffered: deque[BufferedMessage] = field(default_factory=deque)
-    due_ms: float = 0.0  # when its next message may be read
-    read_ms: float = 0.0  # when its last message was read
+    due_ms: float = 0.0  # earliest time to read its next message; 0 for at once
+    read_ms: float = 0.0  # time of its last read; 0 before the first
 
 
 class MessageToSend(NamedTuple, Generic[Key]):
@@ -51,7 +51,7 @@
 
 
 class StreamToEnd(NamedTuple, Generic[Key]):
-    """A stream to be ended with a gRPC status."""
+    """A stream to end with a gRPC status."""
 
     key: Key
     status: int
@@ -59,14 +59,14 @@
 
 
 class ConsumedMessage(NamedTuple, Generic[Key]):
-    """A message that was read."""
+    """A message that was read, for flow control."""
 
     key: Key
     size_bytes: int
 
 
 class NamedStream(NamedTuple):
-    """A proxy that has a stream here now."""
+    """A proxy that has opened a stream at this reader."""
 
     name: str
     incarnation: str
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class PendingActions(Generic[Key]):
-    """What the carrier of the bytes has to do."""
+    """Actions that the transport must apply."""
 
     sends: list[MessageToSend[Key]] = field(default_factory=list)
     ends: list[StreamToEnd[Key]] = field(default_factory=list)
@@ -83,24 +83,31 @@
 
 
 class ReaderSession(Generic[Key]):
-    """Reads the streams of one reader for one aggregator."""
+    """Reads the streams of one reader for one aggregator.
+
+    Attributes:
+        by_name: The accepted stream of each proxy, by name.
+        readable: Streams with buffered messages, in round-robin order.
+        buffered_bytes: Total size of all buffered messages.
+        pending: Actions for the transport since the last `drain_pending`.
+    """
 
     def __init__(self, aggregator: ReportAggregator) -> None:
         self.aggregator = aggregator
         self.streams: dict[Key, ReportStream] = {}
-        self.by_name: dict[str, Key] = {}  # the stream that speaks for each proxy
-        self.readable: deque[Key] = deque()  # streams on which something waits, in turn
+        self.by_name: dict[str, Key] = {}
+        self.readable: deque[Key] = deque()
         self.buffered_bytes = 0
         self.pending: PendingActions[Key] = PendingActions()
 
-    # streams
+    # Streams
 
     def open_stream(self, key: Key) -> None:
-        """A stream has opened."""
+        """Handles an opened stream."""
         self.streams[key] = ReportStream()
 
     def add_message(self, key: Key, data: bytes, now_ms: float) -> None:
-        """A message has arrived."""
+        """Buffers a received message; ignored if the stream is not open."""
         stream = self.streams.get(key)
         if stream is None:
             return
@@ -110,7 +117,7 @@
         self.buffered_bytes += len(data)
 
     def end_stream(self, key: Key) -> None:
-        """A stream is gone, and with it what waits on it."""
+        """Handles a closed stream; its buffered messages are dropped."""
         stream = self.streams.pop(key, None)
         if stream is None:
             return
@@ -119,10 +126,10 @@
         if self.by_name.get(stream.name) == key:
             del self.by_name[stream.name]
 
-    # from the controller
+    # Messages from the controller
 
     def add_proxy(self, account: ReportAccount, name: str) -> None:
-        """A proxy has joined: its stream is told how to report, or ended if it is of another incarnation."""
+        """Handles a joined proxy: sends its stream a report request, or ends a stream of another incarnation."""
         self.aggregator.add_proxy(account, name)
         key = self.by_name.get(name)
         if key is None:
@@ -134,16 +141,16 @@
             self._send_request(key, account.period_ms, account.is_full)
 
     def request_reports(self, request: ReportRequest) -> None:
-        """A proxy is to report in another way."""
+        """Changes how a proxy is to report, and sends it the request if that differs."""
         name = self.aggregator.set_request(request)
         if name in self.by_name:
             account = self.aggregator.accounts[name]
             self._send_request(self.by_name[name], account.period_ms, account.is_full)
 
-    # reading
+    # Reading
 
     def read_messages(self, now_ms: float) -> float:
-        """Reads what may be read; returns when there is something to do without anything new."""
+        """Reads at most one message per stream; returns when to call it again if nothing else happens."""
         due_ms = float("inf")
         for _ in range(len(self.readable)):
             key = self.readable.popleft()
@@ -158,12 +165,12 @@
         return min(due_ms, self.aggregator.due_ms())
 
     def drain_pending(self) -> PendingActions[Key]:
-        """What has to be done since the last call."""
+        """Returns the actions that have accumulated since the last call."""
         pending, self.pending = self.pending, PendingActions()
         return pending
 
     def _read_next(self, key: Key, stream: ReportStream, now_ms: float) -> None:
-        """Reads the next message of a stream, or sets when it may be read."""
+        """Reads the next message of a stream, or sets the time at which it may be read."""
         arrived_ms, data = stream.buffered[0]
         stream.due_ms = self._wait_until_ms(stream, arrived_ms, len(data), now_ms)
         if not stream.due_ms:
@@ -173,11 +180,11 @@
             self._read(key, stream, data, arrived_ms, now_ms)
 
     def _wait_until_ms(self, stream: ReportStream, arrived_ms: float, size_bytes: int, now_ms: float) -> float:
-        """0 where a message may be read now, else when to try again."""
+        """Returns 0 if a message may be read now, else when to try again."""
         usual_ms = self.aggregator.usual_ms
         has_joined = stream.name in self.aggregator.accounts
         if stream.name and not has_joined and now_ms - arrived_ms < usual_ms:
-            return now_ms + JOIN_POLL_PERIODS * usual_ms  # its discovery stream may be about to open
+            return now_ms + JOIN_POLL_PERIODS * usual_ms  # the proxy's discovery stream may open shortly
         return self.aggregator.wait_until_ms(stream.name, size_bytes, now_ms)
 
     def _read(self, key: Key, stream: ReportStream, data: bytes, arrived_ms: float, now_ms: float) -> None:
@@ -198,9 +205,10 @@
             aggregator.add_report(stream.name, report, arrived_ms, now_ms, cost)
 
     def _identify(self, key: Key, stream: ReportStream, request: lrs_pb2.LoadStatsRequest, now_ms: float) -> bool:
-        """Handles a stream's first message, which names its proxy; False where the stream is ended.
+        """Handles a stream's first message, which names its proxy; returns False if the stream is ended.
 
-        A name that has joined in another incarnation, or that another stream speaks for, can't be claimed.
+        A name that has joined with another incarnation can't be claimed; nor, without an incarnation, can a name that
+        has another active stream.
         """
         name, incarnation = request.node.id, life_of(request.node)
         if not name:
@@ -212,13 +220,13 @@
             self._reject_claim(key)
             return False
         period_ms = account.period_ms if account else self.aggregator.usual_ms
-        before = self.by_name.get(name)
-        if before is not None:
-            is_speaking = now_ms - self.streams[before].read_ms < SILENT_PERIODS * period_ms
-            if not incarnation and is_speaking:
+        previous = self.by_name.get(name)
+        if previous is not None:
+            is_active = now_ms - self.streams[previous].read_ms < IDLE_PERIODS * period_ms
+            if not incarnation and is_active:
                 self._reject_claim(key)
                 return False
-            self._end(before, UNAVAILABLE, "the proxy dialled anew")
+            self._end(previous, UNAVAILABLE, "the proxy dialled anew")
         self.by_name[name] = key
         self.pending.opened.append(NamedStream(name, incarnation))
         self._send_request(key, period_ms, account.is_full if account else True)
--- a/quillstep/load_reports/readers/thread.py
+++ b/quillstep/load_reports/readers/thread.py
@@ -1,4 +1,4 @@
-"""Reads load reports in a thread of the controller, from streams that share their connections with all else."""
+"""The load report reader thread of a controller; its streams share connections with other streams."""
 
 import queue
 import threading
@@ -23,26 +23,26 @@
 
 
 class StreamOpened(NamedTuple):
-    """A report stream has opened."""
+    """A report stream was opened."""
 
     key: StreamKey
 
 
 class MessageArrived(NamedTuple):
-    """A message has arrived on a report stream."""
+    """A message was received on a report stream."""
 
     key: StreamKey
     data: bytes
 
 
 class StreamEnded(NamedTuple):
-    """A report stream has ended."""
+    """A report stream was closed."""
 
     key: StreamKey
 
 
 class Stop(NamedTuple):
-    """The thread is to end."""
+    """Requests the thread to exit."""
 
 
 ReaderEvent = StreamOpened | MessageArrived | StreamEnded | MembershipChange | ReportRequest | Stop
@@ -51,9 +51,9 @@
 class ReaderThread:
     """The queue and the thread of one reader.
 
-    `open_stream`, `add_message` and `end_stream` come from the connections' threads and never block; `notify` from the
-    deciding thread.  All go through one queue.  What waits there is bounded by the streams' flow control: a peer may
-    send more as its messages are read.
+    `open_stream`, `add_message` and `end_stream` are called from the connections' threads and never block; `notify` is
+    called from the decision thread.  All of them use one queue, which is bounded by the streams' flow control: a peer
+    may send more only as its messages are read.
     """
 
     def __init__(
@@ -67,19 +67,19 @@
         self.log = structlog.get_logger("reports")
 
     def open_stream(self, connection: GrpcPeer, stream: int) -> None:
-        """A report stream has opened."""
+        """Enqueues an opened report stream."""
         self.events.put(StreamOpened(StreamKey(connection, stream)))
 
     def add_message(self, connection: GrpcPeer, stream: int, data: bytes) -> None:
-        """A message has arrived on a report stream."""
+        """Enqueues a message received on a report stream."""
         self.events.put(MessageArrived(StreamKey(connection, stream), data))
 
     def end_stream(self, connection: GrpcPeer, stream: int) -> None:
-        """A report stream has ended."""
+        """Enqueues a closed report stream."""
         self.events.put(StreamEnded(StreamKey(connection, stream)))
 
     def notify(self, changes: list[MembershipChange], requests: list[ReportRequest]) -> None:
-        """Passes on who joined and left, which endpoints are listed, and what proxies have to report."""
+        """Enqueues membership changes and report requests."""
         for change in changes:
             self.events.put(change)
         for request in requests:
@@ -90,17 +90,17 @@
         threading.Thread(target=self.run, name="report-reader", daemon=True).start()
 
     def stop(self) -> None:
-        """Ends the thread, without waiting: it may be blocked in `put`, which nobody takes from any more."""
+        """Requests the thread to exit, without waiting: it may block in `put`, whose events are no longer read."""
         self.events.put(Stop())
 
     def run(self) -> None:
-        """Until `stop`."""
+        """Runs until `stop` is called."""
         due_ms = float("inf")
         while self._handle_events(min(MAX_WAIT_S, max(0.0, due_ms - now_ms()) / 1000.0)):
             due_ms = self._read_messages()
 
     def _handle_events(self, wait_s: float) -> bool:
-        """Waits for an event, then handles all there are; False where the thread is to end."""
+        """Waits for an event, then handles all queued events; returns False if the thread is to exit."""
         try:
             event = self.events.get(timeout=wait_s) if wait_s else self.events.get_nowait()
             while not isinstance(event, Stop):
@@ -130,11 +130,11 @@
                 session.request_reports(event)
 
     def _read_messages(self) -> float:
-        """Reads what may be read; returns when to do it again."""
+        """Reads messages as far as the budget allows; returns when to call it again, in milliseconds."""
         due_ms = self.session.read_messages(now_ms())
         pending = self.session.drain_pending()
         for (connection, stream), _ in pending.consumed:
-            _allow_more(connection, stream)
+            _acknowledge_message(connection, stream)
         send_messages(pending.sends)
         for end in pending.ends:
             finish_stream(end)
@@ -147,6 +147,6 @@
         return due_ms
 
 
-def _allow_more(connection: GrpcPeer, stream: int) -> None:
-    """Has the stream's flow control let the peer send as much as was read."""
+def _acknowledge_message(connection: GrpcPeer, stream: int) -> None:
+    """Extends the stream's flow-control window by the message that was read."""
     connection.with_codec(lambda codec: codec.acknowledge_message(stream))
--- a/quillstep/load_reports/sampling.py
+++ b/quillstep/load_reports/sampling.py
@@ -1,10 +1,10 @@
-"""Which proxies report in full, and how often, within a budget.  Without I/O and clocks.
+"""Sampling of load reports: which proxies report in full, and how often, within a budget.
 
-Those that carry most traffic and suspected outliers always report in full, at the usual period.  The rest take turns:
-one group of several reports in full at a time, each group once in a cycle, in an order drawn anew from the seed; a full
-report then stands for as many proxies as there are groups: the inverse of its probability, so that the expected sum is
-the true one (Horvitz and Thompson, "A generalization of sampling without replacement", 1952).  Where even that costs
-too much, the rest report less often.
+Performs no I/O and reads no clock.  Proxies with the most traffic and suspected outliers always report in full, at the
+fleet's report interval.  The others are divided into groups that report in full in turn, each once per cycle, in an
+order shuffled for every cycle from the seed.  A full report then represents as many proxies as there are groups, the
+inverse of its sampling probability, so that the estimated totals are unbiased (Horvitz and Thompson, "A generalization
+of sampling without replacement", 1952).  If that still exceeds the budget, these proxies report less often.
 """
 
 import random
@@ -17,13 +17,13 @@
 
 
 class SamplingStage(NamedTuple):
-    """How sparingly proxies report."""
+    """The number of groups and the report period that one sampling stage uses."""
 
     groups: int
-    period_factor: int  # times the usual period
+    period_factor: int  # report period, in fleet report intervals
 
 
-# From the least sparing to the most.
+# From the most detailed to the cheapest.
 STAGES = [
     SamplingStage(1, 1),
     SamplingStage(2, 1),
@@ -34,53 +34,59 @@
     SamplingStage(8, 8),
 ]
 MAX_GROUPS = 8
-MAX_BUDGET_SHARE = 0.8  # of the budget that a stage may use
-EASING_BUDGET_SHARE = 0.6  # of the budget within which a less sparing stage must fit before it is returned to
-HEAVY_TRAFFIC_SHARE = 0.5  # of all traffic, which the proxies with most of it carry together
-ALWAYS_FULL_SHARE = 0.125  # of the proxies that may be in full for their traffic, and as many as suspects
-TURN_PERIODS = 8.0  # length of a group's turn, in periods of its proxies
-LEAD_PERIODS = 1.5  # a group is notified before its turn, so that all its reports of the turn are full
-SUSPECT_FAILED_SHARE = 0.5  # of its attempts, from which on a proxy is suspected
-SUSPECT_PERIODS = 10.0  # for how long
-FIRST_PLAN_PERIODS = 2.0  # after a proxy has joined
-DECAY = 0.7  # of what was known of a proxy's traffic and rows, a report later
+MAX_BUDGET_SHARE = 0.8  # share of the budget that a stage may use
+EASING_BUDGET_SHARE = 0.6  # lower limit under which a more detailed stage is restored; prevents flapping
+HEAVY_TRAFFIC_SHARE = 0.5  # proxies with the most traffic always report in full, up to this share of it
+ALWAYS_FULL_SHARE = 0.125  # limit, as a share of all proxies, for each: those with the most traffic, suspects
+TURN_PERIODS = 8.0  # length of a group's turn, in report periods of its proxies
+LEAD_PERIODS = 1.5  # a group is notified this early, so that all reports of its turn are full
+SUSPECT_FAILED_SHARE = 0.5  # share of failed attempts from which a proxy is a suspect
+SUSPECT_PERIODS = 10.0  # how long a proxy remains a suspect
+FIRST_PLAN_PERIODS = 2.0  # delay of the first plan after a proxy has joined
+ESTIMATE_DECAY = 0.7  # weight that the estimates of a proxy's traffic and row cost retain at each report
 
 
 @dataclass(slots=True)
 class ProxyTraffic:
-    """What is known of one proxy's reports."""
+    """Traffic and cost estimates of one proxy, and its current report request."""
 
-    group_draw: int  # its group, modulo the number of groups
-    arrival_rate: float = 0.0  # requests a second
-    rows_cost: float | None = None  # of a full report, in rows
+    group_draw: int  # the group is this modulo the number of groups
+    arrival_rate: float = 0.0  # requests per second
+    rows_cost: float | None = None  # cost of the rows of a full report, in rows; None until one was read
     suspect_until_ms: float = float("-inf")
     request: ReportRequest | None = None
 
 
 @dataclass(slots=True)
 class Turn:
-    """The stage in force, and which group's turn it is."""
+    """The current stage, and the group that reports in full."""
 
     stage_index: int = 0
     always_full: set[int] = field(default_factory=set)
     begin_ms: float = 0.0
     length_ms: float = 0.0
-    order: list[int] = field(default_factory=list)  # of groups, in this cycle and the next
+    order: list[int] = field(default_factory=list)  # groups in the order of their turns, for this cycle and the next
     position: int = 0
 
     @property
     def stage(self) -> SamplingStage:
-        """The stage in force."""
+        """The current stage."""
         return STAGES[self.stage_index]
 
     @property
     def end_ms(self) -> float:
-        """When the next turn begins."""
+        """The end of this turn, at which the next one begins."""
         return self.begin_ms + self.length_ms
 
 
 class Sampler:
-    """`observe` takes in what proxies reported; `plan` says what has changed of what they have to report."""
+    """Observes the proxies' reports and plans how they are to report.
+
+    Attributes:
+        budget_per_s: The budget of all readers, in rows per second.
+        usual_ms: The fleet's report interval.
+        due_ms: When `plan` is to be called next.
+    """
 
     def __init__(self, budget_per_s: float, usual_ms: float, seed: int) -> None:
         self.budget_per_s, self.usual_ms = budget_per_s, usual_ms
@@ -90,36 +96,41 @@
         self.due_ms = float("inf")
 
     def add_proxy(self, proxy: int, now_ms: float) -> None:
-        """A proxy has joined."""
+        """Handles a proxy that has joined; it gets a random group."""
         self.proxies[proxy] = ProxyTraffic(self.random.randrange(MAX_GROUPS))
         self.due_ms = min(self.due_ms, now_ms + FIRST_PLAN_PERIODS * self.usual_ms)
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left."""
+        """Handles a proxy that has left."""
         self.proxies.pop(proxy, None)
 
     def observe(self, report: ProxyRow, now_ms: float) -> None:
-        """Takes in what one report shows of its proxy."""
+        """Updates the estimates of a proxy from one of its reports."""
         traffic = self.proxies.get(report.proxy)
         if traffic is None or report.window_ms <= 0.0:
             return
         rate = report.arrived * 1000.0 / report.window_ms
-        traffic.arrival_rate += (1.0 - DECAY) * (rate - traffic.arrival_rate)
+        traffic.arrival_rate += (1.0 - ESTIMATE_DECAY) * (rate - traffic.arrival_rate)
         if report.rows_cost >= 0.0:
-            before = traffic.rows_cost
+            previous = traffic.rows_cost
             traffic.rows_cost = (
-                report.rows_cost if before is None else before + (1.0 - DECAY) * (report.rows_cost - before)
+                report.rows_cost
+                if previous is None
+                else previous + (1.0 - ESTIMATE_DECAY) * (report.rows_cost - previous)
             )
         if report.failed_share >= SUSPECT_FAILED_SHARE:
             traffic.suspect_until_ms = now_ms + SUSPECT_PERIODS * self.usual_ms
 
     def plan_soon(self, now_ms: float) -> None:
-        """A reader has no budget to spare: where all report in full, plan again in one period, not in eight."""
+        """Brings the next plan forward when a reader has no budget to spare.
+
+        While all proxies report in full, the next plan is then due after one report interval instead of eight.
+        """
         if self.turn.stage.groups == 1:
             self.due_ms = min(self.due_ms, now_ms + self.usual_ms)
 
     def plan(self, now_ms: float) -> list[ReportRequest]:
-        """What has changed of what proxies have to report; to be called again at `due_ms`."""
+        """Returns the report requests that have changed; sets `due_ms` to the time of the next call."""
         turn = self.turn
         if now_ms >= turn.end_ms or turn.stage.groups == 1:
             self._begin_turn(now_ms)
@@ -137,35 +148,35 @@
         return changed
 
     def cost_per_s(self, stage: SamplingStage, always_full: set[int]) -> float:
-        """Rows a second that a stage is expected to cost."""
-        known = [traffic.rows_cost for traffic in self.proxies.values() if traffic.rows_cost is not None]
-        mean = sum(known) / len(known) if known else 0.0
-        lead = 1.0 + LEAD_PERIODS / TURN_PERIODS if stage.groups > 1 else 1.0
+        """Returns the expected cost of a stage, in rows per second."""
+        known_costs = [traffic.rows_cost for traffic in self.proxies.values() if traffic.rows_cost is not None]
+        mean_cost = sum(known_costs) / len(known_costs) if known_costs else 0.0
+        lead_factor = 1.0 + LEAD_PERIODS / TURN_PERIODS if stage.groups > 1 else 1.0
         cost = 0.0
         for proxy, traffic in self.proxies.items():
-            rows = mean if traffic.rows_cost is None else traffic.rows_cost
+            rows_cost = mean_cost if traffic.rows_cost is None else traffic.rows_cost
             if proxy in always_full:
-                cost += MESSAGE_COST + rows
+                cost += MESSAGE_COST + rows_cost
             else:
-                cost += (MESSAGE_COST + rows * min(1.0, lead / stage.groups)) / stage.period_factor
+                cost += (MESSAGE_COST + rows_cost * min(1.0, lead_factor / stage.groups)) / stage.period_factor
         return cost * 1000.0 / self.usual_ms
 
     def _always_full(self, now_ms: float) -> set[int]:
-        """The proxies with most traffic and the suspects, each within their share of all proxies."""
-        most = max(1, int(ALWAYS_FULL_SHARE * len(self.proxies)))
+        """Returns the proxies with the most traffic and the suspects, each at most `ALWAYS_FULL_SHARE` of all."""
+        max_count = max(1, int(ALWAYS_FULL_SHARE * len(self.proxies)))
         ranked = sorted(self.proxies, key=lambda proxy: (-self.proxies[proxy].arrival_rate, proxy))
-        total, so_far = sum(traffic.arrival_rate for traffic in self.proxies.values()), 0.0
+        total, cumulative = sum(traffic.arrival_rate for traffic in self.proxies.values()), 0.0
         heavy: set[int] = set()
-        for proxy in ranked[:most]:
-            if so_far >= HEAVY_TRAFFIC_SHARE * total:
+        for proxy in ranked[:max_count]:
+            if cumulative >= HEAVY_TRAFFIC_SHARE * total:
                 break
             heavy.add(proxy)
-            so_far += self.proxies[proxy].arrival_rate
+            cumulative += self.proxies[proxy].arrival_rate
         suspects = [proxy for proxy in ranked if self.proxies[proxy].suspect_until_ms > now_ms and proxy not in heavy]
-        return heavy | set(suspects[:most])
+        return heavy | set(suspects[:max_count])
 
     def _begin_turn(self, now_ms: float) -> None:
-        """Chooses the stage, and the group whose turn it is."""
+        """Chooses the stage and begins the next group's turn; a change of stage starts a new cycle."""
         turn = self.turn
         always_full = self._always_full(now_ms)
         stage_index = self._choose_stage(always_full)
@@ -179,13 +190,17 @@
         groups = turn.stage.groups
         if turn.position >= groups:
             turn.order, turn.position = turn.order[groups:], turn.position - groups
-        while len(turn.order) < 2 * groups:  # the next cycle too: its first group is notified before it
+        while len(turn.order) < 2 * groups:  # includes the next cycle, whose first group is notified before it begins
             cycle = list(range(groups))
             self.random.shuffle(cycle)
             turn.order += cycle
 
     def _choose_stage(self, always_full: set[int]) -> int:
-        """The least sparing stage that fits; easing goes one stage at a time, and only where it is sure to fit."""
+        """Returns the index of the most detailed stage that fits the budget.
+
+        A more detailed stage than the current one is restored one step at a time, and only within
+        `EASING_BUDGET_SHARE`.
+        """
         current = self.turn.stage_index
         fitting = len(STAGES) - 1
         for index, stage in enumerate(STAGES):
@@ -198,7 +213,7 @@
         return current - 1 if eased_cost <= EASING_BUDGET_SHARE * self.budget_per_s else current
 
     def _request(self, proxy: int, traffic: ProxyTraffic, now_ms: float) -> ReportRequest:
-        """What one proxy has to report now."""
+        """Returns how one proxy is to report now."""
         turn = self.turn
         groups, period_factor = turn.stage
         if groups == 1 and period_factor == 1 or proxy in turn.always_full:
@@ -211,6 +226,6 @@
             return ReportRequest(proxy, period_ms, True, float(groups), turn.begin_ms, turn.end_ms)
         is_next = group == turn.order[turn.position + 1]
         if is_next and now_ms >= turn.end_ms - LEAD_PERIODS * period_ms:
-            # Notified before its turn, counted from its turn on.
+            # Notified before its turn; its rows count from the start of the turn.
             return ReportRequest(proxy, period_ms, True, float(groups), turn.end_ms, turn.end_ms + turn.length_ms)
         return ReportRequest(proxy, period_ms, False, float(groups), 0.0, 0.0)
--- a/quillstep/load_reports/summary.py
+++ b/quillstep/load_reports/summary.py
@@ -1,14 +1,14 @@
-"""What a reader's window of load reports comes to, as the collector gets it.
+"""The summary of one window of load reports, which a reader sends to the collector.
 
-Summaries are stored in recordings and sent by reader processes: as MessagePack, with the names in `rename`, and rows as
-arrays.
+Summaries are written to recordings and sent by reader processes as MessagePack: `rename` gives the field names there,
+and rows are encoded as arrays.
 """
 
 import msgspec
 
 
 class UpstreamRow(msgspec.Struct, array_like=True, gc=False):
-    """One endpoint as the proxies of one zone met it."""
+    """Attempts at one endpoint, as observed by the proxies of one zone."""
 
     zone: str
     endpoint: int
@@ -42,15 +42,15 @@
 
 
 class ProxyRow(msgspec.Struct, array_like=True, gc=False):
-    """One report: when it arrived, what it covers, what it cost."""
+    """Times, cost and totals of one report of one proxy."""
 
     proxy: int
     arrived_ms: float
     end_ms: float
     window_ms: float
-    rows_cost: float  # of its endpoint rows, in rows; below 0: it was not to have any
+    rows_cost: float  # cost of reading its endpoint rows, in rows; below 0 if none were requested
     arrived: int
-    failed_share: float  # of its attempts
+    failed_share: float  # share of its attempts that failed, 0 to 1
 
 
 class ReportSummary(
@@ -60,19 +60,19 @@
         "superseded": "overtaken", "rejected": "void", "cost": "work", "buffered_bytes": "held_bytes",
     },
 ):  # fmt: skip
-    """What a reader's window of reports comes to."""
+    """The summary of one reader's window of reports."""
 
     upstream: list[UpstreamRow] = []
     downstream: list[DownstreamRow] = []
     latencies: list[LatencyRow] = []
     proxies: list[ProxyRow] = []
-    superseded: int = 0  # rows left out because fresher ones of their endpoint were known
+    superseded: int = 0  # rows omitted because fresher ones of their endpoint were known
     rejected: dict[str, int] = {}  # reports that did not count, by reason
-    cost: float = 0.0  # in rows
-    cpu_s: dict[str, float] | msgspec.UnsetType = msgspec.UNSET  # of the reader, by part
+    cost: float = 0.0  # cost of the messages read, in rows
+    cpu_s: dict[str, float] | msgspec.UnsetType = msgspec.UNSET  # CPU time of the reader since its start, by part
     buffered_bytes: int | msgspec.UnsetType = msgspec.UNSET
 
-    def take_cpu_s(self) -> dict[str, float]:
-        """The reader's processor time by part, which is not kept in recordings."""
+    def pop_cpu_s(self) -> dict[str, float]:
+        """Removes and returns the reader's CPU time by part, which is not recorded."""
         cpu_s, self.cpu_s = self.cpu_s, msgspec.UNSET
         return {} if isinstance(cpu_s, msgspec.UnsetType) else cpu_s
--- a/quillstep/load_reports/upstream_stats.py
+++ b/quillstep/load_reports/upstream_stats.py
@@ -1,8 +1,8 @@
-"""Sums that merge: checked reports, windows of them, and what a window comes to.  Without I/O and clocks.
+"""Mergeable windows of validated load reports, and their summaries.
 
-A window holds each report under its identity, so merging two windows is a union: repeated, reordered or split as they
-may be, the same reports come to the same figures, bit for bit (`math.fsum` rounds once, whatever the sequence).
-Times are milliseconds, counts are requests or attempts.
+Performs no I/O and reads no clock.  A window stores reports by identity, so merging two windows is a set union: however
+the same reports are repeated, reordered or split, the summary is the same bit for bit (`math.fsum` rounds once,
+whatever the order).  Times are in milliseconds; counts are requests or attempts.
 """
 
 import math
@@ -14,9 +14,9 @@
 
 from quillstep.load_reports.summary import DownstreamRow, LatencyRow, ProxyRow, ReportSummary, UpstreamRow
 
-MAX_PROXY_SHARE = 0.25  # of an endpoint's figures that one proxy may make up, where eight or more report it
-MIN_BOUNDED_PROXIES = 32  # proxies from which on none may make up more than that of all traffic
-MIN_REMAINING_SHARE = 1e-9
+MAX_PROXY_SHARE = 0.25  # largest share of an endpoint's statistics from one proxy, if eight or more report it
+MIN_BOUNDED_PROXIES = 32  # number of proxies from which `MAX_PROXY_SHARE` also limits each one's share of all traffic
+MIN_REMAINING_SHARE = 1e-9  # avoids a division by zero when all shares are clipped
 
 ReportIdentity = tuple[int, str, int]  # proxy, incarnation, number
 
@@ -40,7 +40,7 @@
 
 
 class ClassLatency(msgspec.Struct, gc=False):
-    """The requests of one class in one latency bucket."""
+    """The latencies of one class in one histogram bucket of a proxy."""
 
     class_index: int
     count: int
@@ -49,27 +49,27 @@
 
 @dataclass(slots=True)
 class CountedReport:
-    """What one proxy measured over `window_ms` until `end_ms`, checked."""
+    """A validated report: what one proxy measured over `window_ms` up to `end_ms`."""
 
     proxy: int
     incarnation: str
-    number: int  # sent by the proxy, or a digest of what it sent
+    number: int  # report number sent by the proxy, or a digest of the message
     zone: str
     arrived_ms: float
     end_ms: float
     window_ms: float
-    grace_ms: float  # the period that was requested from the proxy
-    uncounted_share: float = 1.0  # of its window that was not counted before
-    sampling_factor: float = 1.0  # proxies that its rows stand for; 0: its rows don't count
+    grace_ms: float  # longer of the requested period and the fleet's report interval
+    uncounted_share: float = 1.0  # share of its window that was not counted before
+    sampling_factor: float = 1.0  # number of proxies that its rows represent; 0 if the rows do not count
     arrivals: list[ClassArrivals] = field(default_factory=list)
     rows: list[EndpointRow] = field(default_factory=list)
     latencies: list[ClassLatency] = field(default_factory=list)
-    current_share: float = 1.0  # of its attempts that count as current traffic
-    rows_cost: float = -1.0  # what its rows cost to read, in rows; below 0: it was not to have any
+    current_share: float = 1.0  # share of its attempts that count as current traffic
+    rows_cost: float = -1.0  # cost of reading its rows, in rows; below 0 if none were requested
 
     @property
     def identity(self) -> ReportIdentity:
-        """What no other report has."""
+        """The unique key of the report."""
         return self.proxy, self.incarnation, self.number
 
 
@@ -82,15 +82,15 @@
             self.add(report)
 
     def add(self, report: CountedReport) -> bool:
-        """False where this very report is there already."""
+        """Adds a report; returns False if one with the same identity is present."""
         return self.reports.setdefault(report.identity, report) is report
 
     def merge(self, other: "ReportWindow") -> "ReportWindow":
-        """A window with the reports of both."""
+        """Returns a window with the reports of both."""
         return ReportWindow([*self.reports.values(), *other.reports.values()])
 
-    def in_order(self) -> list[CountedReport]:
-        """The reports by identity."""
+    def sorted_reports(self) -> list[CountedReport]:
+        """Returns the reports sorted by identity."""
         return [self.reports[identity] for identity in sorted(self.reports)]
 
 
@@ -98,7 +98,7 @@
 
 
 class WeightedRow(msgspec.Struct, gc=False):
-    """A report's row, what it weighs, and how many of its attempts count as current traffic."""
+    """A row of a report, with its weight and the share of its attempts that count as current traffic."""
 
     report: CountedReport
     weight: float
@@ -107,33 +107,39 @@
 
 
 class EndpointMemory:
-    """What summaries remember of each zone and endpoint: how recent its figures are, and attempts not yet passed on."""
+    """State of each zone and endpoint that is retained between summaries.
+
+    Attributes:
+        newest_ms: End of the latest window that reported the endpoint.
+        carried: Attempts of superseded rows, added to the endpoint's next fresh rows.
+    """
 
     def __init__(self) -> None:
-        self.newest_ms: dict[EndpointKey, float] = {}  # when the latest window ended
-        self.carried: dict[EndpointKey, float] = {}  # attempts of superseded rows, added to the next fresh ones
+        self.newest_ms: dict[EndpointKey, float] = {}
+        self.carried: dict[EndpointKey, float] = {}
 
-    def forget_older(self, now_ms: float, max_age_ms: float) -> None:
-        """Drops the times of endpoints that nobody has reported for so long."""
+    def evict_older(self, now_ms: float, max_age_ms: float) -> None:
+        """Evicts the times of endpoints that have not been reported for `max_age_ms`."""
         self.newest_ms = {key: at_ms for key, at_ms in self.newest_ms.items() if now_ms - at_ms < max_age_ms}
 
 
 def summarize(
     window: ReportWindow, weigh: Callable[[CountedReport], float], memory: EndpointMemory, slack_ms: float
 ) -> ReportSummary:
-    """Sums by zone and endpoint, arrivals by class and proxy, latencies by zone and class.
+    """Summarizes a window: attempts by zone and endpoint, arrivals by class and proxy, latencies by zone and class.
 
     Args:
         window: The reports.
-        weigh: A report's weight by age, 0 to 1.
-        memory: Brought up to date.
-        slack_ms: Rows that end by more than this (and their own period) before the latest of their endpoint are left
-            out, as they say nothing of how it is now; that their attempts were made is carried to its next sum.
+        weigh: Returns a report's weight by age, 0 to 1.
+        memory: State retained between summaries; it is updated.
+        slack_ms: Rows whose window ended more than this, plus their own period, before the latest one of their endpoint
+            are superseded and omitted, as they don't describe its present state.  Their attempts were still made: they
+            are carried over to the endpoint's next fresh rows.
     """
     summary = ReportSummary()
     rows: dict[EndpointKey, list[WeightedRow]] = {}
     latencies: dict[tuple[str, int], list[ClassLatency]] = {}
-    reports = window.in_order()
+    reports = window.sorted_reports()
     remaining = _remaining_shares(reports)
     for report in reports:
         weight = weigh(report) * report.uncounted_share
@@ -159,9 +165,9 @@
 
 
 def _remaining_shares(reports: list[CountedReport]) -> dict[int, float]:
-    """By proxy, the share that counts of what it reported, where it reported over `MAX_PROXY_SHARE` of all attempts.
+    """Returns, for each proxy above `MAX_PROXY_SHARE` of all attempts, the share of its attempts that counts.
 
-    Empty where few proxies report.
+    Empty if fewer than `MIN_BOUNDED_PROXIES` report.
     """
     attempts: dict[int, float] = {}
     for report in reports:
@@ -179,7 +185,7 @@
 
 
 def _add_proxy(summary: ReportSummary, report: CountedReport, weight: float) -> None:
-    """Adds a report's arrivals, and a row on the report itself."""
+    """Adds a report's arrivals, and a row about the report itself."""
     arrived = 0
     for row in report.arrivals:
         arrived += row.arrived
@@ -211,7 +217,7 @@
 def _add_endpoint(
     summary: ReportSummary, key: EndpointKey, rows: list[WeightedRow], memory: EndpointMemory, slack_ms: float
 ) -> None:
-    """Adds the sum of one zone's rows of one endpoint, or carries its attempts where all rows are superseded."""
+    """Adds the merged rows of one zone and endpoint, or carries their attempts over if all are superseded."""
     newest_ms = max(memory.newest_ms.get(key, float("-inf")), max(row.report.end_ms for row in rows))
     memory.newest_ms[key] = newest_ms
     fresh = [row for row in rows if row.report.end_ms >= newest_ms - slack_ms - row.report.grace_ms]
@@ -220,13 +226,13 @@
         row.current_share * (row.row.succeeded + row.row.failed) for row in rows
     )
     if fresh:
-        summary.upstream.append(_sum_rows(key, fresh, attempts, newest_ms))
+        summary.upstream.append(_merge_endpoint_rows(key, fresh, attempts, newest_ms))
     else:
         memory.carried[key] = attempts
 
 
-class _ProxySum(msgspec.Struct, gc=False):
-    """What one proxy reported of one endpoint, by weight."""
+class _ProxyTotals(msgspec.Struct, gc=False):
+    """Weighted totals of what one proxy reported about one endpoint."""
 
     succeeded: float = 0.0
     failed: float = 0.0
@@ -248,29 +254,30 @@
         return self.succeeded + self.failed
 
 
-def _sum_rows(key: EndpointKey, rows: list[WeightedRow], attempts: float, end_ms: float) -> UpstreamRow:
-    """One endpoint as one zone met it.
+def _merge_endpoint_rows(key: EndpointKey, rows: list[WeightedRow], attempts: float, end_ms: float) -> UpstreamRow:
+    """Merges the rows of one zone and endpoint.
 
-    The number of attempts is all that was reported; the shares that failed, the latency and the load go by weight, with
-    no proxy above `MAX_PROXY_SHARE` of the whole: one false report among many moves little.
+    All reported attempts count towards the total.  The failed share, the latency and the load are weighted means and
+    medians in which no proxy has more than `MAX_PROXY_SHARE`, which limits the effect of one false report among many.
     """
-    by_proxy: dict[int, _ProxySum] = {}
+    by_proxy: dict[int, _ProxyTotals] = {}
     for row in rows:
-        held = by_proxy.get(row.report.proxy)
-        if held is None:
-            held = by_proxy[row.report.proxy] = _ProxySum()
-        held.add(row)
-    sums = [by_proxy[proxy] for proxy in sorted(by_proxy)]
-    clipped = clip_shares([each.attempts for each in sums], MAX_PROXY_SHARE)
+        proxy_totals = by_proxy.get(row.report.proxy)
+        if proxy_totals is None:
+            proxy_totals = by_proxy[row.report.proxy] = _ProxyTotals()
+        proxy_totals.add(row)
+    totals = [by_proxy[proxy] for proxy in sorted(by_proxy)]
+    clipped = clip_shares([each.attempts for each in totals], MAX_PROXY_SHARE)
     shares = [
-        min(1.0, counted / each.attempts) if each.attempts else 0.0 for counted, each in zip(clipped, sums, strict=True)
+        min(1.0, counted / each.attempts) if each.attempts else 0.0
+        for counted, each in zip(clipped, totals, strict=True)
     ]
-    succeeded = math.fsum(each.succeeded * share for each, share in zip(sums, shares, strict=True))
-    failed = math.fsum(each.failed * share for each, share in zip(sums, shares, strict=True))
-    succeeded_ms = math.fsum(each.succeeded_ms * share for each, share in zip(sums, shares, strict=True))
+    succeeded = math.fsum(each.succeeded * share for each, share in zip(totals, shares, strict=True))
+    failed = math.fsum(each.failed * share for each, share in zip(totals, shares, strict=True))
+    succeeded_ms = math.fsum(each.succeeded_ms * share for each, share in zip(totals, shares, strict=True))
     scale = attempts / (succeeded + failed) if succeeded + failed else 0.0
     load = weighted_median(
-        [WeightedFigure(each.weighted_load / each.load_weight, each.load_weight) for each in sums if each.load_weight]
+        [WeightedFigure(each.weighted_load / each.load_weight, each.load_weight) for each in totals if each.load_weight]
     )
     begin_ms = min(row.report.end_ms - row.report.window_ms for row in rows)
     last_ms = max(row.report.end_ms for row in rows)
@@ -286,43 +293,46 @@
     )
 
 
-def clip_shares(shares: list[float], most: float) -> list[float]:
-    """Shares of a whole with none above `most` of what is left of all.
+def clip_shares(shares: list[float], max_share: float) -> list[float]:
+    """Clips shares so that none is above `max_share` of the sum of the clipped shares.
 
-    Where few shares are above 0 the limit is twice an equal part: with one or two there is nobody to compare with.
+    With few shares above 0 the limit is twice an equal part: with one or two there is nothing to compare them with.
     """
-    most = max(most, 2.0 / max(1, sum(each > 0.0 for each in shares)))
-    if not shares or max(shares) <= most * math.fsum(shares):
+    max_share = max(max_share, 2.0 / max(1, sum(each > 0.0 for each in shares)))
+    if not shares or max(shares) <= max_share * math.fsum(shares):
         return shares
     ordered = sorted(shares, reverse=True)
-    # With the greatest `cut` of them cut to a limit L, L = most x (cut x L + the rest).
+    # With the `cut` largest shares clipped to a limit L: L = max_share x (cut x L + sum of the others).
     for cut in range(1, len(ordered)):
-        if cut * most > 1.0 - MIN_REMAINING_SHARE:  # those that were cut make up all there is: they are equal
+        if cut * max_share > 1.0 - MIN_REMAINING_SHARE:  # the clipped shares make up the whole, so they are equal
             limit = ordered[cut - 1]
             break
-        limit = most * math.fsum(ordered[cut:]) / (1.0 - cut * most)
+        limit = max_share * math.fsum(ordered[cut:]) / (1.0 - cut * max_share)
         if ordered[cut] <= limit:
             break
     return [min(each, limit) for each in shares]
 
 
 class WeightedFigure(NamedTuple):
-    """A figure and its weight."""
+    """A value and its weight."""
 
     figure: float
     weight: float
 
 
 def weighted_median(figures: list[WeightedFigure]) -> WeightedFigure:
-    """The weighted median, with the weight of all figures; no figure's weight is above `MAX_PROXY_SHARE` of all."""
+    """Returns the weighted median and the total weight, or zeros if there are no figures.
+
+    For the median, no weight counts for more than `MAX_PROXY_SHARE` of all.
+    """
     if not figures:
         return WeightedFigure(0.0, 0.0)
     figures.sort()
     weights = clip_shares([each.weight for each in figures], MAX_PROXY_SHARE)
     total = math.fsum(each.weight for each in figures)
-    half, so_far = 0.5 * math.fsum(weights), 0.0
+    half, cumulative = 0.5 * math.fsum(weights), 0.0
     for (figure, _), weight in zip(figures, weights, strict=True):
-        so_far += weight
-        if so_far >= half:
+        cumulative += weight
+        if cumulative >= half:
             return WeightedFigure(figure, total)
     return WeightedFigure(figures[-1].figure, total)
--- a/quillstep/load_reports/validation.py
+++ b/quillstep/load_reports/validation.py
@@ -1,7 +1,8 @@
-"""What one proxy's reports may contain and how often they may come.  Without I/O and clocks; times are milliseconds.
+"""Validation and rate limits of one proxy's load reports.
 
-Impossible figures are rejected and logged; what is plausible but false is bounded where reports are summed
-(`upstream_stats.MAX_PROXY_SHARE`).  All that is kept for a proxy has a bound.
+Performs no I/O and reads no clock; times are in milliseconds.  Values that are out of range are rejected and logged.
+The effect of values that are plausible but false is limited where reports are merged
+(`upstream_stats.MAX_PROXY_SHARE`).  All state stored for a proxy is bounded.
 """
 
 from dataclasses import dataclass, field
@@ -12,39 +13,39 @@
 from quillstep.load_reports.aging import ExcessDelay, SeenNumbers, max_age_ms
 from quillstep.load_reports.upstream_stats import ClassArrivals, ClassLatency, CountedReport, EndpointRow
 
-MAX_RATE_PER_S = 100_000.0  # requests or attempts that one proxy may report at all
-MAX_WINDOW_MS = 86_400_000.0
+MAX_RATE_PER_S = 100_000.0  # largest rate of requests or attempts accepted from one proxy
+MAX_WINDOW_MS = 86_400_000.0  # one day
 MAX_TIME_STAMP_MS = 1e15
-MAX_LATENCY_DEADLINES = 10.0  # deadlines that one attempt may have taken
-MAX_LOAD = 16.0  # a larger load figure is ignored
-MAX_ATTEMPTS_PER_REQUEST = 3.0  # no retry policy makes more
-ARRIVED_DECAY = 0.8  # of the arrivals whose attempts may still end, a report later
-SPARE_ATTEMPTS = 8.0
-MAX_BURST = 4.0  # reports that may come at once
-MAX_REPORTS_PER_PERIOD = 2.0  # in the mean
-SPARE_WINDOW_PERIODS = 2.0  # of window beyond the time that has passed, for clocks and jitter
-MAX_CURRENT_PERIODS = 1.5  # of window that may count as current traffic at once
-DELAY_SPAN_PERIODS = 60.0  # after which the least delay is forgotten
-MAX_DIGESTS = 32
+MAX_LATENCY_DEADLINES = 10.0  # largest mean latency accepted in a row or bucket, in deadlines
+MAX_LOAD = 16.0  # larger load values are ignored
+MAX_ATTEMPTS_PER_REQUEST = 3.0  # no retry policy allows more
+ARRIVED_DECAY = 0.8  # weight that earlier arrivals, whose attempts may end later, retain at each report
+ATTEMPTS_TOLERANCE = 8.0  # attempts or unanswered requests accepted beyond those that the arrivals explain
+MAX_BURST = 4.0  # reports that may be read at once
+MAX_REPORTS_PER_PERIOD = 2.0  # mean rate at which reports are read
+WINDOW_TOLERANCE_PERIODS = 2.0  # window time counted beyond the elapsed time, for clock differences and jitter
+MAX_CURRENT_PERIODS = 1.5  # window time that may count as current traffic at once
+DELAY_SPAN_PERIODS = 60.0  # span of the minimum delay offset, which expires after two spans
+MAX_DIGESTS = 32  # digests stored per proxy to detect duplicates of reports without a number
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """A report as it was read, nothing of it checked."""
+    """A decoded report, not yet validated."""
 
-    number: int  # below 0 where the proxy sent none
-    sent_ms: float | None  # None where the proxy sent none
-    end_ms: float | None  # on the clock of `sent_ms`
+    number: int  # below 0 if the proxy sent none
+    sent_ms: float | None  # None if the proxy sent none
+    end_ms: float | None  # end of the window, on the same clock as `sent_ms`
     window_ms: float
     digest: int
     arrivals: list[ClassArrivals] = field(default_factory=list)
     rows: list[EndpointRow] = field(default_factory=list)
     latencies: list[ClassLatency] = field(default_factory=list)
-    unlisted_rows: int = 0  # of endpoints that are in no list
-    has_arrivals: bool = True  # it reported requests apart from attempts
+    unlisted_rows: int = 0  # rows of endpoints that are not in the endpoint list
+    has_arrivals: bool = True  # whether it reported requests separately from attempts
 
 
-# The names in `rename` are those of the accounts that travel between the controller and its reader processes.
+# `rename` gives the field names in accounts that the controller and its reader processes exchange.
 
 
 class ReportAccount(
@@ -55,54 +56,54 @@
         "current_budget_ms": "flow_ms", "current_at_ms": "flow_at_ms",
     },
 ):  # fmt: skip
-    """What is remembered of one joined proxy's reports."""
+    """The state of one joined proxy's reports: deduplication, delay and budgets."""
 
     number: int
     zone: str
     incarnation: str
-    period_ms: float  # as requested
-    usual_ms: float  # the fleet's period
+    period_ms: float  # requested interval between reports
+    usual_ms: float  # the fleet's report interval
     is_full: bool = True
     sampling_factor: float = 1.0
-    counts_from_ms: float = float("-inf")  # when its rows count, where groups of proxies report in full in turn
+    counts_from_ms: float = float("-inf")  # interval in which its rows count, when groups report in full in turn
     counts_to_ms: float = float("inf")
     numbers: SeenNumbers = msgspec.field(default_factory=SeenNumbers)
     digests: list[int] = msgspec.field(default_factory=list)
     delay: ExcessDelay = msgspec.field(default_factory=ExcessDelay)
-    window_budget_ms: float = float("inf")  # window that may still be counted
-    end_ms: float | None = None  # of the latest window
-    readable_reports: float = MAX_BURST  # that may be read now
-    readable_at_ms: float | None = None  # when that was brought up to date
+    window_budget_ms: float = float("inf")  # window time that may still be counted
+    end_ms: float | None = None  # end of the latest window
+    readable_reports: float = MAX_BURST  # reports that may be read now
+    readable_at_ms: float | None = None  # last update of `readable_reports`
     arrived: float = 0.0  # requests whose attempts may still end
-    current_budget_ms: float = float("inf")  # of window whose attempts may still count as current traffic
-    current_at_ms: float | None = None
+    current_budget_ms: float = float("inf")  # window time that may still count as current traffic
+    current_at_ms: float | None = None  # last update of `current_budget_ms`
 
     @property
     def longest_period_ms(self) -> float:
-        """The period as requested, or the fleet's where that is longer."""
+        """The longer of the requested period and the fleet's report interval."""
         return max(self.period_ms, self.usual_ms)
 
-    def restore(self, before: "ReportAccount") -> None:
-        """Takes over what was remembered of the same incarnation."""
-        self.numbers, self.digests, self.delay = before.numbers, before.digests, before.delay
-        self.window_budget_ms, self.end_ms = before.window_budget_ms, before.end_ms
+    def restore(self, previous: "ReportAccount") -> None:
+        """Restores deduplication, delay and window budget from an earlier account of the same incarnation."""
+        self.numbers, self.digests, self.delay = previous.numbers, previous.digests, previous.delay
+        self.window_budget_ms, self.end_ms = previous.window_budget_ms, previous.end_ms
 
     def current_share(self, window_ms: float, now_ms: float) -> float:
-        """The share of a report's attempts that counts as current traffic.
+        """Returns the share of a report's attempts that count as current traffic, 0 to 1, and charges it to the budget.
 
-        As much window counts as time has passed, so that a proxy that is always late counts in full, and one that sends
-        ten periods at once for a little over one.
+        Window time counts up to the time that has passed, so that a proxy whose reports are always late counts in full,
+        and one that sends ten periods at once counts for `MAX_CURRENT_PERIODS`.
         """
-        most_ms = MAX_CURRENT_PERIODS * self.longest_period_ms
-        passed_ms = now_ms - self.current_at_ms if self.current_at_ms is not None else most_ms
-        self.current_budget_ms = min(most_ms, self.current_budget_ms + max(0.0, passed_ms))
+        max_budget_ms = MAX_CURRENT_PERIODS * self.longest_period_ms
+        passed_ms = now_ms - self.current_at_ms if self.current_at_ms is not None else max_budget_ms
+        self.current_budget_ms = min(max_budget_ms, self.current_budget_ms + max(0.0, passed_ms))
         self.current_at_ms = now_ms
         share = min(1.0, self.current_budget_ms / window_ms)
         self.current_budget_ms -= share * window_ms
         return share
 
     def wait_until_ms(self, now_ms: float) -> float:
-        """0 where a report may be read now, else when; too frequent reports are read at the pace of the period."""
+        """Returns 0 if a report may be read now, else when; limits too frequent reports to `MAX_REPORTS_PER_PERIOD`."""
         if self.readable_at_ms is not None:
             reports_per_ms = MAX_REPORTS_PER_PERIOD / self.usual_ms
             self.readable_reports = min(
@@ -116,45 +117,57 @@
 
 
 class ValidationResult(NamedTuple):
-    """What came of checking a report."""
+    """The result of validating a report."""
 
-    rejection: str  # why nothing of it counts, or empty
+    rejection: str  # why the complete report is rejected, or empty
     dropped_rows: int
 
 
 class Rejected(NamedTuple):
-    """Why a report does not count."""
+    """A report that does not count, with the reason."""
 
     reason: str
 
 
 def validate(report: LoadReport, account: ReportAccount, deadline_ms: float, max_rows: int) -> ValidationResult:
-    """Drops impossible rows of a report, or says why it is rejected whole."""
-    most = MAX_RATE_PER_S * max(report.window_ms, account.usual_ms) / 1000.0
+    """Validates a report and drops its invalid rows in place.
+
+    Args:
+        report: The report; rows and latencies that are out of range are removed from it.
+        account: The proxy's account; its arrivals are updated.
+        deadline_ms: The longest deadline of any request class.
+        max_rows: The largest number of endpoint rows; with more, all are dropped.
+
+    Returns:
+        The reason if the complete report is rejected, and the number of rows dropped.
+    """
+    max_count = MAX_RATE_PER_S * max(report.window_ms, account.usual_ms) / 1000.0
     arrived = sum(row.arrived for row in report.arrivals)
-    if rejection := _rejection(report, account, most):
+    if rejection := _rejection_reason(report, account, max_count):
         return ValidationResult(rejection, 0)
     row_count = len(report.rows)
     if row_count > max_rows:
         report.rows = []
         return ValidationResult("", row_count)
     max_latency_ms = MAX_LATENCY_DEADLINES * deadline_ms
-    report.rows = [row for row in report.rows if _is_possible(row, most, max_latency_ms)]
+    report.rows = [row for row in report.rows if _is_valid_row(row, max_count, max_latency_ms)]
     account.arrived = ARRIVED_DECAY * account.arrived + arrived
     attempts = sum(row.succeeded + row.failed for row in report.rows)
-    if report.has_arrivals and attempts > MAX_ATTEMPTS_PER_REQUEST * account.arrived + SPARE_ATTEMPTS:
+    if report.has_arrivals and attempts > MAX_ATTEMPTS_PER_REQUEST * account.arrived + ATTEMPTS_TOLERANCE:
         report.rows = []
     report.latencies = [
-        row for row in report.latencies if 0 <= row.count <= most and 0.0 <= row.total_ms <= row.count * max_latency_ms
+        row
+        for row in report.latencies
+        if 0 <= row.count <= max_count and 0.0 <= row.total_ms <= row.count * max_latency_ms
     ]
     return ValidationResult("", row_count - len(report.rows))
 
 
-# The comparisons below are written so that a NaN fails too.
+# The comparisons below are written so that a NaN fails them as well.
 
 
-def _rejection(report: LoadReport, account: ReportAccount, most: float) -> str:
-    """Why a report is rejected whole, or an empty text."""
+def _rejection_reason(report: LoadReport, account: ReportAccount, max_count: float) -> str:
+    """Returns why a complete report is rejected, or an empty string."""
     if not 0.0 < report.window_ms <= MAX_WINDOW_MS:
         return "invalid window length"
     if report.sent_ms is not None and (
@@ -162,16 +175,18 @@
     ):
         return "window ends in the future"
     for row in report.arrivals:
-        if not (0 <= row.arrived <= most and 0 <= row.unanswered <= row.arrived + account.arrived + SPARE_ATTEMPTS):
+        if not (
+            0 <= row.arrived <= max_count and 0 <= row.unanswered <= row.arrived + account.arrived + ATTEMPTS_TOLERANCE
+        ):
             return "impossible arrivals"
     return ""
 
 
-def _is_possible(row: EndpointRow, most: float, max_latency_ms: float) -> bool:
-    """Whether a row may count; a load figure that can't be is taken out of it."""
+def _is_valid_row(row: EndpointRow, max_count: float, max_latency_ms: float) -> bool:
+    """Returns whether a row may count; removes a load value that is out of range from it."""
     if not (
-        0 <= row.succeeded <= most
-        and 0 <= row.failed <= most
+        0 <= row.succeeded <= max_count
+        and 0 <= row.failed <= max_count
         and 0.0 <= row.succeeded_ms <= row.succeeded * max_latency_ms
     ):
         return False
@@ -181,7 +196,13 @@
 
 
 def count_report(report: LoadReport, account: ReportAccount, arrived_ms: float) -> CountedReport | Rejected:
-    """The report as it counts: its age on our clock, its window no longer than the time that has passed."""
+    """Converts a validated report to one that counts, with its age on the reader's clock.
+
+    A window counts only as far as it is covered by the time that has passed since the previous ones.
+
+    Returns:
+        The report to be counted, or the reason if it is a duplicate or its window was counted before.
+    """
     if not _is_new(report, account):
         return Rejected("duplicate")
     late_ms = 0.0
@@ -189,7 +210,7 @@
         span_ms = DELAY_SPAN_PERIODS * account.usual_ms
         late_ms = report.sent_ms - report.end_ms + account.delay.measure(report.sent_ms, arrived_ms, span_ms)
     end_ms = arrived_ms - late_ms
-    share = _take_window(account, report.window_ms, end_ms)
+    share = _consume_window(account, report.window_ms, end_ms)
     if share <= 0.0:
         return Rejected("overlapping windows")
     counts = account.is_full and account.counts_from_ms <= arrived_ms < account.counts_to_ms
@@ -211,9 +232,9 @@
 
 
 def _is_new(report: LoadReport, account: ReportAccount) -> bool:
-    """Remembers a report; False where it was there before.
+    """Records a report's number or digest; returns False if it was seen before.
 
-    A proxy without report numbers is known by what it sent: its latencies are such that no two reports are alike.
+    Reports without a number are identified by their digest: no two reports have the same latencies.
     """
     if report.number >= 0:
         return account.numbers.add(report.number)
@@ -223,18 +244,18 @@
     return True
 
 
-def _take_window(account: ReportAccount, window_ms: float, end_ms: float) -> float:
-    """The share of a window that was not counted before.
+def _consume_window(account: ReportAccount, window_ms: float, end_ms: float) -> float:
+    """Returns the share of a window that was not counted before, 0 to 1, and charges it to the window budget.
 
-    Two reports over the same time, however they are numbered, count for that time once.
+    Reports over the same time count for it once, whatever their numbers.
     """
-    most_ms = max_age_ms(account.longest_period_ms, account.usual_ms)
-    most_ms += SPARE_WINDOW_PERIODS * account.longest_period_ms
+    max_budget_ms = max_age_ms(account.longest_period_ms, account.usual_ms)
+    max_budget_ms += WINDOW_TOLERANCE_PERIODS * account.longest_period_ms
     if account.end_ms is None:
-        account.window_budget_ms, account.end_ms = most_ms, end_ms
+        account.window_budget_ms, account.end_ms = max_budget_ms, end_ms
     else:
         passed_ms = max(0.0, end_ms - account.end_ms)
-        account.window_budget_ms = min(most_ms, account.window_budget_ms + passed_ms)
+        account.window_budget_ms = min(max_budget_ms, account.window_budget_ms + passed_ms)
         account.end_ms = max(account.end_ms, end_ms)
     share = min(1.0, account.window_budget_ms / window_ms)
     account.window_budget_ms -= share * window_ms
--- a/tests/load_reports/readers/test_framing.py
+++ b/tests/load_reports/readers/test_framing.py
@@ -1,4 +1,4 @@
-"""Messages between a controller and its reader processes."""
+"""Framing of messages between a controller and its reader processes."""
 
 import msgspec
 from hypothesis import given
@@ -8,9 +8,9 @@
 
 
 @given(st.lists(st.lists(st.integers(), max_size=4), max_size=6), st.integers(1, 7))
-def test_messages_between_processes_are_complete_however_the_bytes_are_cut(messages, size):
+def test_messages_are_decoded_completely_however_the_bytes_are_split(messages, size):
     messages = [[each % 2**63 for each in row] for row in messages]
-    data, frames, found = b"".join(encode_frame(row) for row in messages), FrameBuffer(), []
-    for at in range(0, len(data), size):
-        found += [msgspec.msgpack.decode(body) for body in frames.feed(data[at : at + size])]
-    assert found == messages
+    data, frames, decoded = b"".join(encode_frame(row) for row in messages), FrameBuffer(), []
+    for offset in range(0, len(data), size):
+        decoded += [msgspec.msgpack.decode(body) for body in frames.feed(data[offset : offset + size])]
+    assert decoded == messages
--- a/tests/load_reports/readers/test_ownership.py
+++ b/tests/load_reports/readers/test_ownership.py
@@ -1,4 +1,4 @@
-"""One reader at a time counts a proxy's reports."""
+"""Assignment of proxies to readers: one reader at a time counts a proxy's reports."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
 
 
 def run_commands(ownership, commands, readers):
-    """Do what readers are told, answers included, until there is no more."""
+    """Executes the commands on simulated readers, with their replies, until none is left."""
     while commands:
         reader, message = commands.pop(0)
         if isinstance(message, ReleaseProxy):
@@ -20,7 +20,7 @@
     return readers
 
 
-def test_a_proxy_counts_at_one_reader_at_a_time_and_its_account_goes_with_it():
+def test_a_proxy_is_counted_by_one_reader_at_a_time_and_its_account_moves_with_it():
     ownership, readers = ReportOwnership(), [{}, {}]
     run_commands(ownership, ownership.stream_opened(0, "p"), readers)
     assert readers == [{}, {}]
@@ -39,7 +39,7 @@
 
 @settings(max_examples=80, deadline=None)
 @given(st.lists(st.sampled_from(["opened at 0", "opened at 1", "join", "leave", "0 ends", "answer"]), max_size=40))
-def test_no_sequence_of_events_makes_a_proxy_count_twice(steps):
+def test_no_sequence_of_events_makes_two_readers_count_a_proxy(steps):
     ownership, commands = ReportOwnership(), []
     counting: list[bool] = [False, False]
     for step in [*steps, *["answer"] * 40]:
--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -1,4 +1,4 @@
-"""Readers on sockets: load reports beside all else that a controller does."""
+"""Readers on sockets: load reports alongside a controller's other streams."""
 
 import os
 import random
@@ -29,37 +29,39 @@
 from quillstep.xds.server import DELTA, LOAD
 
 
-def test_the_core_publishes_a_drain_while_reports_wait():
-    """News goes first: with more reports than the budget allows, a drain is ordered in the round that follows it."""
-    pilot = MemoryPilot(record=pilot_record(reports=LoadReportSettings(rows_per_s=500.0)))
-    proxies = [pilot.join(f"p{at}") for at in range(6)]
-    pilot.run(3000.0)
-    chance = random.Random(4)
+def test_the_core_publishes_a_drain_while_reports_are_pending():
+    """Discovery events take precedence: with reports over the budget, a drain is published in the next interval."""
+    controller = MemoryPilot(record=pilot_record(reports=LoadReportSettings(rows_per_s=500.0)))
+    proxies = [controller.join(f"p{index}") for index in range(6)]
+    controller.run(3000.0)
+    rng = random.Random(4)
     for number in range(1, 30):
         for proxy in proxies:
-            row = load_report(number, [endpoint_row(1 + chance.randrange(6))], end_ms=pilot.now, sent_ms=pilot.now)
-            pilot.core.add_load_report(proxy.number, row)
-    began = pilot.now
-    pilot.roster("partial", [3], "terminating")
+            report = load_report(
+                number, [endpoint_row(1 + rng.randrange(6))], end_ms=controller.now, sent_ms=controller.now
+            )
+            controller.core.add_load_report(proxy.number, report)
+    started_ms = controller.now
+    controller.roster("partial", [3], "terminating")
     while not any("withdrawn/3" in name for proxy in proxies for _, names, _ in proxy.log for name in names):
-        pilot.run(10.0)
-        assert pilot.now - began < 200.0
-    pilot.run(500.0)
-    assert pilot.core.reports.collector.totals["reports"] > 0
+        controller.run(10.0)
+        assert controller.now - started_ms < 200.0
+    controller.run(500.0)
+    assert controller.core.reports.collector.totals["reports"] > 0
 
 
-def test_the_simulators_adapter_imports_no_readers():
+def test_the_simulator_adapter_does_not_import_readers():
     code = "import sys, quillstep.simulator.host; print([m for m in sys.modules if 'reports' in m or 'hdrh' in m])"
-    out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
-    assert out.strip() == "[]"
+    output = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
+    assert output.strip() == "[]"
 
 
 class KillReaders(NamedTuple):
-    """A command that only `ReaderKiller` knows."""
+    """Kills the reader processes; only `ReaderKiller` handles it."""
 
 
 class ReaderKiller(Arm):
-    """An arm whose plan may kill the controller's reader processes."""
+    """An arm whose scenario plan may kill the controller's reader processes."""
 
     def execute(self, command):
         if not isinstance(command, KillReaders):
@@ -72,8 +74,8 @@
 
 
 @pytest.mark.parametrize("by", ["thread", "processes"])
-def test_a_zone_reconnects_with_old_reports_while_a_reader_dies_and_an_endpoint_drains(tmp_path, by):
-    """Heavy reports, a third of them late, a zone's proxies cut off and back, readers killed: the rules hold."""
+def test_a_zone_reconnects_with_old_reports_while_readers_are_killed_and_an_endpoint_drains(tmp_path, by):
+    """Checks the invariants under large reports, a third of them late, a disconnected zone and killed readers."""
     listen = ["127.0.0.1:0", "127.0.0.1:0"] if by == "processes" else []
     day = small_day(
         seconds=7.0, proxies=12, pilots=1, capture=True, reports={"by": by, "listen": listen, "work_per_s": 4000.0},
@@ -96,38 +98,42 @@
     assert check_invariants(evidence) == [] and longest_queue(evidence) <= day.fleet.channel.max_queued_lines
     log = (arm.folder / "pilot-0.log").read_text()
     assert log.count("report reader ended") == len(listen)
-    (life,) = read_incarnations(arm.folder / "capture-0")
-    heard = [row for record in read_records(life) if record[0] == "reports" for row in record[4]["heard"]]
-    assert {row[0] for row in heard} == set(range(12))
-    tried = sum(len(row["tries"]) for row in evidence.requests)
-    counted = sum(row[2] + row[3] for r in read_records(life) if r[0] == "reports" for row in r[4]["sums"])
-    assert 0.5 * tried < counted < 1.1 * tried  # nothing twice; old sums weigh less, a killed reader's last are lost
-    assert Replay(life.header).play(read_records(life)).is_identical
+    (incarnation,) = read_incarnations(arm.folder / "capture-0")
+    proxies = [row for record in read_records(incarnation) if record[0] == "reports" for row in record[4]["heard"]]
+    assert {row[0] for row in proxies} == set(range(12))
+    attempts = sum(len(row["tries"]) for row in evidence.requests)
+    counted = sum(
+        row[2] + row[3] for record in read_records(incarnation) if record[0] == "reports" for row in record[4]["sums"]
+    )
+    assert 0.5 * attempts < counted < 1.1 * attempts  # none twice; old reports weigh less, killed readers lose some
+    assert Replay(incarnation.header).play(read_records(incarnation)).is_identical
 
 
 @pytest.mark.parametrize(
-    ("pilots", "more", "trouble"),
+    ("controllers", "reports", "faults"),
     [
         (2, {}, [{"at_s": 2.5, "for_s": 2.0, "what": "pilot_kill"}]),
-        (1, {"message_most_bytes": 1024}, []),  # reports in full are larger than the limit, again and again
+        (1, {"message_most_bytes": 1024}, []),  # every full report exceeds the size limit
     ],
 )
-def test_a_drain_is_kept_while_a_controller_dies_or_reports_are_too_large(tmp_path, pilots, more, trouble):
+def test_a_drain_is_respected_while_a_controller_is_killed_or_reports_are_too_large(
+    tmp_path, controllers, reports, faults
+):
     day = small_day(
-        seconds=6.0, proxies=12, pilots=pilots, endpoints=[{"each_zone": 8}],
-        reports={"by": "processes", "listen": ["127.0.0.1:0"], **more},
+        seconds=6.0, proxies=12, pilots=controllers, endpoints=[{"each_zone": 8}],
+        reports={"by": "processes", "listen": ["127.0.0.1:0"], **reports},
         troubles=[
             {"at_s": 0.2, "for_s": 6.0, "what": "reports_heavy", "count": 12},
-            {"at_s": 2.7, "for_s": 3.0, "what": "drain", "zone": "a", "count": 1}, *trouble,
+            {"at_s": 2.7, "for_s": 3.0, "what": "drain", "zone": "a", "count": 1}, *faults,
         ],
     )  # fmt: skip
     arm = play_arm(day, tmp_path / "learnt")
     assert check_invariants(arm.evidence()) == []
     log = (arm.folder / "pilot-0.log").read_text()
-    assert ("reads only" in log or "larger than" in log or "stream ended" in log) is bool(more)
+    assert ("reads only" in log or "larger than" in log or "stream closed" in log) is bool(reports)
 
 
-def test_a_report_that_is_too_large_ends_its_stream_and_nothing_else(tmp_path):
+def test_a_report_that_is_too_large_ends_only_its_own_stream(tmp_path):
     day = small_day(pilots=1, reports={"message_most_bytes": 4096})
     arm = Arm(day, plan_scenario(day), "learnt", tmp_path / "learnt")
     try:
@@ -135,18 +141,18 @@
         arm.start_discovery()
         arm.controllers.start(0)
         client = GrpcClient(arm.controllers.addresses[0], 1000.0)
-        tables, loads = client.open(DELTA), client.open(LOAD)
+        discovery, reports = client.open(DELTA), client.open(LOAD)
         first = discovery_pb2.DeltaDiscoveryRequest(type_url=CDS)
         first.node.id = "large"
-        client.send(tables, first.SerializeToString())
-        client.send(loads, b"x" * 8192)
+        client.send(discovery, first.SerializeToString())
+        client.send(reports, b"x" * 8192)
         ended = answered = False
         for event in client.events():
             ended = ended or (
-                isinstance(event, StreamEnded) and event.stream == loads and event.status == RESOURCE_EXHAUSTED
+                isinstance(event, StreamEnded) and event.stream == reports and event.status == RESOURCE_EXHAUSTED
             )
-            answered = answered or (isinstance(event, MessageReceived) and event.stream == tables)
-            assert not (isinstance(event, StreamEnded) and event.stream == tables)
+            answered = answered or (isinstance(event, MessageReceived) and event.stream == discovery)
+            assert not (isinstance(event, StreamEnded) and event.stream == discovery)
             if ended and answered:
                 break
         assert ended and answered
@@ -155,8 +161,8 @@
         arm.stop()
 
 
-def test_a_small_benchmark_run_keeps_rules_channel_and_control_intervals(tmp_path):
-    found = measure(48, "processes", 60.0, 2, tmp_path, {"work_per_s": 5000.0})
-    assert found["rules_broken"] == 0 and 0.0 < found["channel_of_limit"] <= 1.0
-    assert min(found["ack_ms_with"] + found["ack_ms_without"]) > 0.0 and found["drains"] >= 4
-    assert found["reports_per_s"] > 0 and found["rounds_late_ms"][1] < 1000.0  # a turn of the module
+def test_a_small_benchmark_run_meets_invariants_channel_limit_and_control_intervals(tmp_path):
+    result = measure(48, "processes", 60.0, 2, tmp_path, {"work_per_s": 5000.0})
+    assert result["rules_broken"] == 0 and 0.0 < result["channel_of_limit"] <= 1.0
+    assert min(result["ack_ms_with"] + result["ack_ms_without"]) > 0.0 and result["drains"] >= 4
+    assert result["reports_per_s"] > 0 and result["rounds_late_ms"][1] < 1000.0  # one control interval
--- a/tests/load_reports/test_upstream_stats.py
+++ b/tests/load_reports/test_upstream_stats.py
@@ -1,4 +1,4 @@
-"""Sums of reports: merging, bounds of one proxy."""
+"""Merging of report windows, and limits on the influence of one proxy."""
 
 import pytest
 from hypothesis import given, settings
@@ -47,32 +47,32 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(counted_reports, max_size=8), st.randoms(), st.integers(0, 8))
-def test_windows_merge_in_any_order_and_grouping_to_the_same_bits(rows, chance, cut):
-    rows = list({row.identity: row for row in rows}.values())
-    whole = summary_of(ReportWindow(rows))
-    twice = rows + rows[:cut]
-    chance.shuffle(twice)
-    a, b, c = ReportWindow(twice[:cut]), ReportWindow(twice[cut : cut + 2]), ReportWindow(twice[cut + 2 :])
-    assert summary_of(a.merge(b).merge(c)) == whole == summary_of(c.merge(b.merge(a)))
+def test_windows_merge_in_any_order_and_grouping_to_the_same_bits(reports, rng, cut):
+    reports = list({report.identity: report for report in reports}.values())
+    expected = summary_of(ReportWindow(reports))
+    repeated = reports + reports[:cut]
+    rng.shuffle(repeated)
+    a, b, c = ReportWindow(repeated[:cut]), ReportWindow(repeated[cut : cut + 2]), ReportWindow(repeated[cut + 2 :])
+    assert summary_of(a.merge(b).merge(c)) == expected == summary_of(c.merge(b.merge(a)))
 
 
 @given(st.lists(st.floats(0.0, 1e6), min_size=1, max_size=12))
 def test_no_clipped_share_is_over_its_limit(shares):
-    cut = clip_shares(shares, MAX_PROXY_SHARE)
-    speak = sum(each > 0 for each in shares)
-    assert all(now <= was for now, was in zip(cut, shares, strict=True))
-    if speak:
-        assert max(cut) <= max(MAX_PROXY_SHARE, 2.0 / speak) * sum(cut) * (1 + 1e-9)
+    clipped = clip_shares(shares, MAX_PROXY_SHARE)
+    nonzero = sum(each > 0 for each in shares)
+    assert all(after <= before for after, before in zip(clipped, shares, strict=True))
+    if nonzero:
+        assert max(clipped) <= max(MAX_PROXY_SHARE, 2.0 / nonzero) * sum(clipped) * (1 + 1e-9)
 
 
-def test_one_false_report_among_many_moves_the_failed_share_by_a_quarter_at_most_and_the_load_hardly():
-    """The number that the design note states: with seven honest voices or more, 0.25 of the failing part."""
-    made = new_aggregator(proxies=15)
-    for proxy in range(0, 14, 2):  # zone a: all they try there fails
-        made.add_report(f"p{proxy}", load_report(rows=[endpoint_row(1, 0, 10, 0.0, 0.9)]), 0.0, 0.0)
-    made.add_report(
+def test_one_false_report_among_many_changes_the_failed_share_by_at_most_a_quarter_and_not_the_load():
+    """The documented limit: beside seven or more correct proxies, a false one changes the failed share by 0.25."""
+    aggregator = new_aggregator(proxies=15)
+    for proxy in range(0, 14, 2):  # zone a: all attempts at the endpoint fail
+        aggregator.add_report(f"p{proxy}", load_report(rows=[endpoint_row(1, 0, 10, 0.0, 0.9)]), 0.0, 0.0)
+    aggregator.add_report(
         "p14", load_report(rows=[EndpointRow(1, 29, 0, 29.0, 0.0)]), 0.0, 0.0
-    )  # reports successes at a dead endpoint
-    (row,) = made.drain(200.0).upstream
+    )  # reports successes at a failed endpoint
+    (row,) = aggregator.drain(200.0).upstream
     assert row.failed / (row.succeeded + row.failed) >= 1.0 - MAX_PROXY_SHARE - 1e-9
     assert row.weighted_load / row.load_weight == pytest.approx(0.9)
--- a/tests/load_reports/test_validation.py
+++ b/tests/load_reports/test_validation.py
@@ -1,4 +1,4 @@
-"""Impossible figures are dropped or rejected, and logged."""
+"""Values out of range are dropped or rejected, and logged."""
 
 import pytest
 from load_report_builders import endpoint_row, load_report, new_aggregator
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "void", "rows"),
+    ("fields", "rejection", "row_count"),
     [
         ({"window_ms": -5.0}, "invalid window length", 0),
         ({"window_ms": float("nan")}, "invalid window length", 0),
@@ -21,22 +21,22 @@
         ({"rows": [endpoint_row(), EndpointRow(2, 1, 0, float("nan"), None)]}, "", 1),
         ({"rows": [endpoint_row(), EndpointRow(2, 1, 0, -1.0, None)]}, "", 1),
         ({"rows": [endpoint_row(), EndpointRow(2, 1, 0, 1e9, None)]}, "", 1),
-        ({"rows": [endpoint_row(), EndpointRow(2, 1000, 0, 10.0, None)]}, "", 0),  # more tries than exchanges can make
-        ({"rows": [endpoint_row(k, 1) for k in range(5000)]}, "", 0),  # more rows than one report may have
+        ({"rows": [endpoint_row(), EndpointRow(2, 1000, 0, 10.0, None)]}, "", 0),  # more attempts than requests allow
+        ({"rows": [endpoint_row(k, 1) for k in range(5000)]}, "", 0),  # more rows than a report may contain
         ({"unlisted_rows": 40, "rows": [endpoint_row()]}, "", 1),
     ],
 )
-def test_impossible_figures_are_dropped_or_rejected_and_logged(change, void, rows):
-    made = new_aggregator()
-    made.add_report("p0", load_report(1, **change), 1000.0, 1000.0)
-    found = made.drain(1100.0)
-    assert list(found.rejected) == ([void] if void else []) and len(found.upstream) == rows
-    assert made.warnings and made.warnings[0][0] == "p0"
+def test_values_out_of_range_are_dropped_or_rejected_and_logged(fields, rejection, row_count):
+    aggregator = new_aggregator()
+    aggregator.add_report("p0", load_report(1, **fields), 1000.0, 1000.0)
+    summary = aggregator.drain(1100.0)
+    assert list(summary.rejected) == ([rejection] if rejection else []) and len(summary.upstream) == row_count
+    assert aggregator.warnings and aggregator.warnings[0][0] == "p0"
 
 
 @pytest.mark.parametrize("load", [float("nan"), float("inf"), -1.0, 1e9])
-def test_an_impossible_load_figure_is_left_out(load):
-    made = new_aggregator()
-    made.add_report("p0", load_report(1, [endpoint_row(load=load)]), 0.0, 0.0)
-    (row,) = made.drain(100.0).upstream
+def test_a_load_value_out_of_range_is_ignored(load):
+    aggregator = new_aggregator()
+    aggregator.add_report("p0", load_report(1, [endpoint_row(load=load)]), 0.0, 0.0)
+    (row,) = aggregator.drain(100.0).upstream
     assert row.succeeded == 5.0 and row.load_weight == 0.0
