--- a/quillstep/load_reports/validation.py
+++ b/quillstep/load_reports/validation.py
@@ -136,7 +136,7 @@
         report: The report; rows and latencies that are out of range are removed from it.
         account: The proxy's account; its arrivals are updated.
         deadline_ms: The longest deadline of any request class.
-        max_rows: The largest number of endpoint rows; with more, all are dropped.
+        max_rows: The largest number of endpoint rows; with more, all are dropped and latencies are not checked.
 
     Returns:
         The reason if the complete report is rejected, and the number of rows dropped.
