--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -92,7 +92,7 @@
             channel.lines_per_message,
             retry_policies=self.retry_policies,
             max_ack_delay_ms=channel.max_ack_delay_ms,
-            stall_ms=stall_ms,
+            max_stall_ms=stall_ms,
             max_messages=channel.max_messages,
             message_window_ms=channel.message_window_ms,
         )
--- a/quillstep/files/proxy_generations.py
+++ b/quillstep/files/proxy_generations.py
@@ -63,7 +63,7 @@
         has_unknown = any(key not in base for key in ledger.acknowledged)
         if has_unknown and not ledger.assignments:
             return None  # a set without what it holds from elsewhere would remove that; it is assigned a table soon
-        changes = tables.changes_to_send(self.proxy, now_ms, _wants_all, together=True)
+        changes = tables.changes_to_send(self.proxy, now_ms, _wants_all, atomic=True)
         if not changes:
             return None
         resources, changes = _apply(*self._complete(tables, base, changes))
--- a/quillstep/model_checking/mutants.py
+++ b/quillstep/model_checking/mutants.py
@@ -51,9 +51,9 @@
 class NeverRetriesNacked(Tables):
     """A rejected ejection is held back like anything else."""
 
-    def record_nack(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Nack | None:
+    def record_nack(self, proxy: int, nonce: str, reason: str, now_ms: float, indivisible: bool = False) -> Nack | None:
         """Drops the retries."""
-        found = super().record_nack(proxy, nonce, reason, now_ms, whole)
+        found = super().record_nack(proxy, nonce, reason, now_ms, indivisible)
         self.proxies[proxy].nack_retries_ms.clear()
         return found
 
--- a/quillstep/routing/__init__.py
+++ b/quillstep/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Desired, in-flight and acknowledged state of all proxies, and the versions of tables.  Without I/O."""
+"""The desired, in-flight and acknowledged state of all proxies, and the versions of tables.  Performs no I/O."""
 
 from quillstep.routing.changes import Change, Nack
 from quillstep.routing.proxy_state import ProxyState
--- a/quillstep/routing/ack_latency.py
+++ b/quillstep/routing/ack_latency.py
@@ -1,8 +1,9 @@
-"""How long one proxy takes to apply and acknowledge updates.  Without I/O and clocks; times are milliseconds.
+"""How long one proxy takes to apply and acknowledge updates.
 
-A proxy serves nothing while it applies an update.  The cost of a line (a changed resource) is the least that lines have
-cost it lately: queues and a busy controller only ever add to a time, so that the minimum over a window is the proxy's
-own part (the filter that BBR uses for the round trip of a path; Cardwell et al., ACM Queue 14(5), 2016).
+A proxy serves no requests while it applies an update.  The cost of a line (a changed resource) is estimated as the
+minimum over the proxy's recent updates: queues and a busy controller only ever add to a latency, so the minimum is the
+proxy's own share of it.  BBR filters round-trip times in the same way (Cardwell et al., ACM Queue 14(5), 2016).
+Performs no I/O and reads no clock; times are milliseconds.
 """
 
 from collections import deque
@@ -15,28 +16,28 @@
 STALLED = "stalls"
 LOST = "lost"
 
-MAX_SMALL_UPDATE_LINES = 2  # up to this size an update tells the round trip
-MIN_LARGE_UPDATE_LINES = 8  # from this size on an update tells the cost of a line
-KEPT_SAMPLES = 8  # of updates of each size
-MIN_LARGE_SAMPLES = 2  # one alone may have met a busy controller
-KEPT_FLEET_SAMPLES = 64
+MAX_SMALL_UPDATE_LINES = 2  # updates of at most this size are samples of the round trip
+MIN_LARGE_UPDATE_LINES = 8  # updates of at least this size are samples of the cost of a line
+MAX_SAMPLES = 8  # retained for small and for large updates each
+MIN_LARGE_SAMPLES = 2  # a single sample may include the delay of a busy controller
+MAX_FLEET_SAMPLES = 64
 MIN_FLEET_SAMPLES = 8
-MAX_STALL_SHARE = 0.1  # of the shortest latency objective, that one update may stall a proxy for
-FIRST_UPDATE_LINES = 16  # while no cost of a line is known
-MIN_UPDATE_LINES = 4  # however much a line costs
-REST_FACTOR = 1.0  # a proxy is left alone after an update for as long as that stalled it, times this
-MIN_REST_SHARE = 0.5  # of the stall limit, below which a stall needs no rest
-LATE_FACTOR = 2.0  # times the expected latency
+MAX_STALL_SHARE = 0.1  # longest stall of a proxy by one update, as a share of the shortest latency objective
+FIRST_UPDATE_LINES = 16  # size limit of an update while the cost of a line is unknown
+MIN_UPDATE_LINES = 4  # lower bound of the size limit, for proxies with a very high cost of a line
+PAUSE_FACTOR = 1.0  # pause after an update, as a multiple of the stall that the update caused
+MIN_PAUSE_SHARE = 0.5  # stalls shorter than this share of the stall limit need no pause
+LATE_FACTOR = 2.0  # an update is late after this multiple of its expected latency
 
 
 class LineCostEstimate:
-    """The cost of a line at most proxies: the median of the last samples, so that few slow proxies do not count."""
+    """The typical cost of a line in the fleet: the median of recent samples, which a few slow proxies do not move."""
 
     def __init__(self) -> None:
-        self.samples_ms: deque[float] = deque(maxlen=KEPT_FLEET_SAMPLES)
+        self.samples_ms: deque[float] = deque(maxlen=MAX_FLEET_SAMPLES)
 
     def add(self, line_ms: float) -> None:
-        """Adds a proxy's sample."""
+        """Adds one proxy's sample."""
         self.samples_ms.append(line_ms)
 
     def line_ms(self) -> float | None:
@@ -45,7 +46,7 @@
 
 
 class AckDelay(NamedTuple):
-    """The status of an update that has no acknowledgement, how long it has waited, and what the status rests on."""
+    """The status of an unacknowledged update, how long it has waited, and the reason for the status."""
 
     nonce: str
     status: str
@@ -54,24 +55,26 @@
 
 
 class AckLatency:
-    """One proxy's latency.
+    """The acknowledgement latency of one proxy.
 
-    `max_ack_delay_ms`: from when on an update is late; 0: never.  `stall_ms`: how long one update may stall the proxy;
-    0: no limit.  `usual_line_ms`: the cost of a line at other proxies, used until its own is known.
+    Attributes:
+        max_ack_delay_ms: How long an update may be unacknowledged before it is late; 0: updates are never late.
+        max_stall_ms: The longest time that one update may stall the proxy; 0: no limit.
+        fleet_line_ms: The cost of a line at other proxies, used until the proxy's own is known.
     """
 
     def __init__(
-        self, max_ack_delay_ms: float = 0.0, stall_ms: float = 0.0, usual_line_ms: float | None = None
+        self, max_ack_delay_ms: float = 0.0, max_stall_ms: float = 0.0, fleet_line_ms: float | None = None
     ) -> None:
-        self.max_ack_delay_ms, self.stall_ms, self.usual_line_ms = max_ack_delay_ms, stall_ms, usual_line_ms
-        self.small_update_ms: deque[float] = deque(maxlen=KEPT_SAMPLES)
-        self.large_updates: deque[tuple[int, float]] = deque(maxlen=KEPT_SAMPLES)  # lines and latency
-        self.last_line_ms: float | None = None  # the sample of the last large update, until it is collected
+        self.max_ack_delay_ms, self.max_stall_ms, self.fleet_line_ms = max_ack_delay_ms, max_stall_ms, fleet_line_ms
+        self.small_update_ms: deque[float] = deque(maxlen=MAX_SAMPLES)
+        self.large_updates: deque[tuple[int, float]] = deque(maxlen=MAX_SAMPLES)  # (lines, latency)
+        self.last_line_ms: float | None = None  # sample of the last large update, until added to the fleet's
         self.last_ack_ms = float("-inf")
-        self.rest_until_ms = 0.0  # before it only ejections are sent
+        self.pause_until_ms = 0.0  # the end of the pause, during which only ejections are sent
 
     def record_ack(self, lines: int, sent_ms: float, now_ms: float) -> None:
-        """Records the answer to an update of so many lines; earlier updates of the stream were applied before it."""
+        """Records the ack or nack of an update of `lines` lines, which the proxy applied after all earlier updates."""
         latency_ms = now_ms - max(sent_ms, self.last_ack_ms)
         self.last_ack_ms = now_ms
         if lines <= MAX_SMALL_UPDATE_LINES:
@@ -79,55 +82,60 @@
         elif lines >= MIN_LARGE_UPDATE_LINES:
             self.large_updates.append((lines, latency_ms))
             self.last_line_ms = max(0.0, latency_ms - self.round_trip_ms()) / lines
-        self.rest_until_ms = now_ms + REST_FACTOR * self.stall_of_ms(lines)
+        self.pause_until_ms = now_ms + PAUSE_FACTOR * self.significant_stall_ms(lines)
 
     def round_trip_ms(self) -> float:
-        """Returns the latency of an update that costs nothing to apply."""
+        """Returns the estimated latency of an update that takes no time to apply."""
         return min(self.small_update_ms, default=0.0)
 
     def line_ms(self) -> float | None:
-        """Returns the cost of a line; None where nothing is known of it."""
+        """Returns the estimated cost of a line; None if neither this proxy nor the fleet has enough samples."""
         if len(self.large_updates) < MIN_LARGE_SAMPLES:
-            return self.usual_line_ms
+            return self.fleet_line_ms
         round_trip_ms = self.round_trip_ms()
         return min(max(0.0, latency_ms - round_trip_ms) / lines for lines, latency_ms in self.large_updates)
 
-    def stall_of_ms(self, lines: int) -> float:
-        """Returns how long so many lines stall the proxy; 0 where that is too short to need a rest."""
+    def significant_stall_ms(self, lines: int) -> float:
+        """Returns how long an update of `lines` lines stalls the proxy; 0 if that is too short to need a pause."""
         stall_ms = lines * (self.line_ms() or 0.0)
-        return stall_ms if stall_ms > MIN_REST_SHARE * self.stall_ms else 0.0
+        return stall_ms if stall_ms > MIN_PAUSE_SHARE * self.max_stall_ms else 0.0
 
     def max_lines(self) -> int | None:
-        """Returns the most lines of one update; None: no limit."""
+        """Returns the size limit of one update in lines; None: no limit."""
         line_ms = self.line_ms()
-        if not self.stall_ms:
+        if not self.max_stall_ms:
             return None
         if line_ms is None:
             return FIRST_UPDATE_LINES
-        return max(MIN_UPDATE_LINES, int(self.stall_ms / line_ms)) if line_ms else None
+        return max(MIN_UPDATE_LINES, int(self.max_stall_ms / line_ms)) if line_ms else None
 
     def late_ms(self, lines: int) -> float:
-        """Returns after how long an update of so many lines is late: the configured time, or what it surely takes."""
+        """Returns how long an update of `lines` lines may be unacknowledged before it is late.
+
+        That is the configured delay, or a multiple of the expected latency if that is longer.
+        """
         return max(self.max_ack_delay_ms, LATE_FACTOR * (self.round_trip_ms() + lines * (self.line_ms() or 0.0)))
 
-    def ack_delay(self, nonce: str, lines: int, sent_ms: float, now_ms: float, heard_ms: float | None) -> AckDelay:
-        """Returns the status of the oldest update that has no acknowledgement.
+    def ack_delay(
+        self, nonce: str, lines: int, sent_ms: float, now_ms: float, last_received_ms: float | None
+    ) -> AckDelay:
+        """Returns the status of the oldest unacknowledged update.
 
-        A proxy that still sends other messages is stalled by the update, or will never apply it; to one that sends
-        nothing it may still be on its way.  Neither counts as acknowledged.  Only a later acknowledgement can show
-        that it was lost.
+        A proxy that still sends other messages is stalled by the update, or will never apply it.  If the proxy sends
+        nothing, the update may not have arrived yet.  Neither case counts as acknowledged.  Only the acknowledgement of
+        a later update can show that this one was lost.
 
         Args:
-            nonce: The update's.
-            lines: Its size.
-            sent_ms: When it was sent.
-            now_ms: The present time.
-            heard_ms: When anything at all last came from this proxy, if that is known.
+            nonce: The nonce of the update.
+            lines: The size of the update.
+            sent_ms: When the update was sent.
+            now_ms: The current time.
+            last_received_ms: When the last message of any kind was received from this proxy, if known.
         """
         since_ms = max(sent_ms, self.last_ack_ms)
         waiting_ms = now_ms - since_ms
         if not self.max_ack_delay_ms or waiting_ms <= self.late_ms(lines):
             return AckDelay(nonce, IN_TIME, waiting_ms, "")
-        if heard_ms is not None and heard_ms > since_ms + self.max_ack_delay_ms:
-            return AckDelay(nonce, STALLED, waiting_ms, f"it talks and has not applied {lines} lines")
-        return AckDelay(nonce, LATE, waiting_ms, f"nothing came from it since it was sent {lines} lines")
+        if last_received_ms is not None and last_received_ms > since_ms + self.max_ack_delay_ms:
+            return AckDelay(nonce, STALLED, waiting_ms, f"proxy is active but has not acknowledged {lines} lines")
+        return AckDelay(nonce, LATE, waiting_ms, f"no message from the proxy since it was sent {lines} lines")
--- a/quillstep/routing/changes.py
+++ b/quillstep/routing/changes.py
@@ -1,4 +1,4 @@
-"""Changes of what a proxy holds: to be sent, in flight, and rejected."""
+"""Changes to the resources that a proxy holds: to be sent, in flight, and rejected."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -9,22 +9,22 @@
 
 
 class Change(NamedTuple):
-    """A resource to hold from now on; None: the key is to be removed."""
+    """A key and the resource that the proxy should hold under it; None: the key is to be removed."""
 
     key: Key
     resource: Resource | None
 
     @property
     def is_urgent(self) -> bool:
-        """Whether it is an ejection, which waits for no other change."""
+        """Whether this is an ejection, which never waits for other changes."""
         return self.key[0] == EJECTED and self.resource is not None
 
 
 class Nack(NamedTuple):
-    """Changes that a proxy rejected, and its reason.
+    """Changes that a proxy rejected, and the reason that it gave.
 
-    `is_isolated`: nothing else was rejected with it, so that it is known to be at fault.  A weight is not sent again
-    until it changes, all else after a backoff.
+    `is_isolated`: the update had a single change or cannot be split, so the fault cannot be narrowed down further.
+    An isolated weight is not sent again until it changes; other kinds are sent again after a backoff.
     """
 
     changes: list[Change]
@@ -33,7 +33,7 @@
 
 
 class InFlightVersion(msgspec.Struct, frozen=True, gc=False):
-    """A key's newest version in flight (None: its removal), its nonce, and since which revision it was pending."""
+    """A key's newest version in flight (None: its removal), its nonce, and the revision since which it was pending."""
 
     version: str | None
     nonce: str
@@ -44,18 +44,18 @@
 class InFlightUpdate:
     """Changes that were sent as one response and wait for its acknowledgement.
 
-    Responses of one `type_url` are acknowledged in sequence; where it is empty, in none.
+    Responses of one `type_url` are acknowledged in sequence; an empty `type_url` implies no sequence.
     """
 
     changes: list[Change]
-    revision: int  # the newest in it
+    revision: int  # the newest revision that the changes belong to
     sent_ms: float
     type_url: str = ""
-    probes: int = 0  # empty responses that were sent after it, to learn whether it was lost
+    probes: int = 0  # empty responses sent after this update to find out whether it was lost
 
 
 class AwaitedAck(NamedTuple):
-    """An acknowledgement that the planner asked for: its serial, and the keys of the revision that are not held yet."""
+    """An acknowledgement that the planner requested: its serial, and the revision's keys not yet acknowledged."""
 
     revision: int
     serial: int
@@ -63,7 +63,7 @@
 
 
 def split_keys(keys: list[Key]) -> list[list[Key]]:
-    """Returns the parts in which a rejected update is tried again: ejections and the rest, or else halves."""
+    """Returns the parts in which a rejected update is sent again: ejections and the rest, or else halves."""
     ejections = [key for key in keys if key[0] == EJECTED]
     others = [key for key in keys if key[0] != EJECTED]
     if ejections and others:
--- a/quillstep/routing/desired_state.py
+++ b/quillstep/routing/desired_state.py
@@ -1,6 +1,6 @@
-"""The desired state: tables of weights and admission limits, ejections, addresses, and the resources that they make.
+"""The desired state: tables of weights and admission limits, ejections, addresses, and the resources made from them.
 
-Without I/O and clocks.
+Performs no I/O and reads no clock.
 """
 
 from dataclasses import dataclass, field
@@ -23,12 +23,12 @@
     make_resource,
 )
 
-UNLIMITED_RATE = 1e5  # a rate from which on no limit is sent
-PUBLISHED_DIGITS = 4  # of shares and rates
+UNLIMITED_RATE = 1e5  # requests a second; rates from here on are sent as no limit
+PUBLISHED_DIGITS = 4  # decimal places of published shares and rates
 
 
 class AdmissionLimit(NamedTuple):
-    """What a table's proxies admit of a class (a share, or requests a second), and the class's retry policy."""
+    """A class's admission limit in a table (a share, or requests a second), and the class's retry policy."""
 
     limit: float
     retry_policy: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Table:
-    """One table: weight by endpoint, admission limit by class, and the proxies that it is assigned to."""
+    """One table: weights by endpoint, admission limits by class, and the proxies that the table is assigned to."""
 
     weights: dict[int, float] = field(default_factory=dict)
     admission: dict[int, AdmissionLimit] = field(default_factory=dict)
@@ -44,9 +44,11 @@
 
 
 class DesiredState:
-    """What all proxies should hold.
+    """The resources that all proxies should hold.
 
-    `admission` says what limits are: share, rate or none.  `default_retry_policy` holds where a table sets none.
+    Attributes:
+        admission: The kind of admission limits: share, rate or none.
+        default_retry_policy: The retry policy of classes for which a table sets none.
     """
 
     def __init__(self, admission: str, default_retry_policy: int) -> None:
@@ -54,10 +56,10 @@
         self.tables: dict[int, Table] = {}
         self.ejected: dict[int, str] = {}  # status by endpoint
         self.addresses: dict[int, tuple[str, int]] = {}
-        self.shared_resources: dict[Key, Resource] = {}  # made resources, until an update touches their key
+        self.shared_resources: dict[Key, Resource] = {}  # cached until an update changes their key
 
     def keys_of(self, state: ProxyState) -> list[Key]:
-        """Returns all keys that a proxy should hold, except those that it keeps while it has no table."""
+        """Returns all keys that a proxy should hold, except those that it retains while it has no table."""
         keys: list[Key] = [LISTENER_KEY, *((EJECTED, endpoint) for endpoint in self.ejected)]
         for number in sorted(set(state.assignments.values())):
             keys += [(CLUSTER, number), (ADMISSION, number)]
@@ -65,7 +67,7 @@
         return [*keys, ROUTES_KEY] if state.assignments else keys
 
     def desired_resource(self, state: ProxyState, key: Key) -> Resource | None:
-        """Returns what a proxy should hold under a key; one without a table keeps what it has."""
+        """Returns the resource that a proxy should hold under a key; a proxy without a table keeps what it has."""
         kind = key[0]
         if kind == ROUTES:
             return self.desired_routes(state)
@@ -79,14 +81,14 @@
         return self.shared_resource(key)
 
     def shared_resource(self, key: Key) -> Resource | None:
-        """Returns the resource of a key that is the same for all proxies that should hold it."""
-        made = self.shared_resources.get(key)
-        if made is None:
+        """Returns the resource of a key whose content is the same for all proxies; None if none should hold it."""
+        resource = self.shared_resources.get(key)
+        if resource is None:
             content = self._shared_content(key)
             if content is None:
                 return None
-            made = self.shared_resources[key] = make_resource(key, content)
-        return made
+            resource = self.shared_resources[key] = make_resource(key, content)
+        return resource
 
     def _shared_content(self, key: Key) -> tuple[Any, ...] | None:
         kind = key[0]
@@ -102,7 +104,7 @@
         return ()
 
     def desired_routes(self, state: ProxyState) -> Resource | None:
-        """Returns the routes that a proxy should hold; one without a table keeps what it has."""
+        """Returns the routes that a proxy should hold; a proxy without a table keeps its routes."""
         if not state.assignments:
             version = state.acknowledged.get(ROUTES_KEY)
             return Resource(version, ()) if version is not None else None
@@ -118,5 +120,5 @@
 
 
 def retry_policies_of(routes: Resource) -> dict[int, int]:
-    """Returns the retry policy of each class in routes of ours."""
+    """Returns the retry policy of each class in a resource of kind ROUTES."""
     return {entry[0]: entry[3] for entry in routes.content}
--- a/quillstep/routing/in_flight.py
+++ b/quillstep/routing/in_flight.py
@@ -1,6 +1,6 @@
-"""What one proxy was sent and what it has acknowledged.  Without I/O and clocks; times are milliseconds.
+"""What one proxy was sent and what it has acknowledged.  Performs no I/O and reads no clock; times are milliseconds.
 
-Only what was acknowledged, or reported by the proxy itself, counts as held.
+A proxy counts as holding only the versions that it has acknowledged or reported itself.
 """
 
 from collections.abc import Iterable
@@ -14,35 +14,37 @@
 
 @dataclass(slots=True)
 class InFlightState:
-    """The pending, in-flight and acknowledged versions of one proxy.  `proxy` is its number."""
+    """The pending, in-flight and acknowledged versions of one proxy.  `proxy` is the proxy's number."""
 
     proxy: int
     zone: str
     ack_latency: AckLatency = field(default_factory=AckLatency)
     message_quota: MessageQuota = field(default_factory=MessageQuota)
-    acknowledged: dict[Key, str] = field(default_factory=dict)  # versions, those that the proxy reported too
-    pending: dict[Key, int] = field(
-        default_factory=dict
-    )  # what may differ from the desired state, since which revision
-    must_resend: set[Key] = field(default_factory=set)  # to be sent though it does not differ
-    in_flight_updates: dict[str, InFlightUpdate] = field(default_factory=dict)  # by nonce, in the order of sending
+    acknowledged: dict[Key, str] = field(default_factory=dict)  # versions, including those that the proxy reported
+    # Keys that may differ from the desired state, and the revision since which they may.
+    pending: dict[Key, int] = field(default_factory=dict)
+    must_resend: set[Key] = field(default_factory=set)  # keys to send even if the proxy holds the desired version
+    in_flight_updates: dict[str, InFlightUpdate] = field(default_factory=dict)  # keyed by nonce, in sending order
     in_flight: dict[Key, InFlightVersion] = field(default_factory=dict)
     released_revision: int = 0  # revisions up to this one have left the update channel
-    unreported_delays: list[AckDelay] = field(default_factory=list)  # of lost updates, to be logged
-    reported_statuses: dict[str, str] = field(default_factory=dict)  # last logged status, by nonce in flight
+    unreported_delays: list[AckDelay] = field(default_factory=list)  # lost updates that are not logged yet
+    reported_statuses: dict[str, str] = field(default_factory=dict)  # last logged status of each nonce in flight
 
     def mark_pending(self, key: Key, revision: int) -> None:
-        """Marks that a key may differ since a revision; an earlier mark stays, so that no change waits twice."""
+        """Marks that a key may differ since a revision.
+
+        An earlier mark stays: a change that has already been released must not wait for a later revision.
+        """
         if key not in self.pending:
             self.pending[key] = revision
 
     def newest_sent_version(self, key: Key) -> str | None:
-        """Returns the version in flight, or else the acknowledged one; None: the proxy holds or will hold none."""
+        """Returns the version in flight, or else the acknowledged one; None if the proxy holds or will hold none."""
         in_flight = self.in_flight.get(key)
         return in_flight.version if in_flight else self.acknowledged.get(key)
 
     def record_sent(self, nonce: str, changes: list[Change], now_ms: float, type_url: str = "") -> None:
-        """Records that these changes were sent as one response."""
+        """Records that the changes were sent as one response."""
         revision = self.released_revision
         self.in_flight_updates[nonce] = InFlightUpdate(changes, revision, now_ms, type_url)
         for key, resource in changes:
@@ -52,10 +54,10 @@
                 self.must_resend.discard(key)
 
     def end_in_flight(self, nonce: str, now_ms: float) -> InFlightUpdate | None:
-        """Removes and returns an update that was acknowledged or rejected; None: this nonce is not in flight.
+        """Removes and returns an update that was acknowledged or rejected; None if the nonce is not in flight.
 
-        Updates of its type that were sent before it and were not answered are lost, and become pending again: a proxy
-        that dropped one would not get those changes until its stream ends.
+        Earlier updates of the same type without an ack or nack are lost, and their changes become pending again:
+        otherwise a proxy that dropped one would not get those changes until its stream closes.
         """
         update = self.in_flight_updates.get(nonce)
         if update is None:
@@ -63,13 +65,13 @@
         self.ack_latency.record_ack(len(update.changes), update.sent_ms, now_ms)
         for lost in self._sent_before(nonce, update.type_url):
             waiting_ms = now_ms - self.in_flight_updates[lost].sent_ms
-            self.unreported_delays.append(AckDelay(lost, LOST, waiting_ms, "a later word came, this one did not"))
+            self.unreported_delays.append(AckDelay(lost, LOST, waiting_ms, "a later update was acknowledged first"))
             self.cancel_in_flight(lost)
         self.reported_statuses.pop(nonce, None)
         return self.in_flight_updates.pop(nonce)
 
     def _sent_before(self, nonce: str, type_url: str) -> list[str]:
-        """Returns the nonces of the updates of a type that were sent before this one."""
+        """Returns the nonces of the updates of a type that were sent before `nonce`."""
         earlier: list[str] = []
         for other, update in self.in_flight_updates.items():
             if other == nonce:
@@ -79,7 +81,7 @@
         return earlier
 
     def cancel_in_flight(self, nonce: str) -> None:
-        """Marks the changes of an update that was lost, or never left, as pending again."""
+        """Marks the changes of an update that was lost or never sent as pending again."""
         update = self.in_flight_updates.pop(nonce, None)
         self.reported_statuses.pop(nonce, None)
         for key, _ in update.changes if update else ():
@@ -87,7 +89,7 @@
                 self.mark_pending(key, self.in_flight.pop(key).revision)
 
     def merge_in_flight(self, nonces: Iterable[str], into: str) -> None:
-        """Merges earlier updates into a later one, where the proxy applied or rejected them as one."""
+        """Merges earlier updates into a later one when the proxy has applied or rejected them as one."""
         merged: dict[Key, Change] = {}
         newest = self.in_flight_updates[into]
         for nonce in nonces:
@@ -100,16 +102,16 @@
         newest.changes = list(merged.values())
 
     def has_late_ack(self, now_ms: float) -> bool:
-        """Whether the oldest update is late; those behind it wait for it."""
+        """Whether the oldest update is late; the acknowledgements of later updates wait for its own."""
         nonce = next(iter(self.in_flight_updates), None)
         return nonce is not None and self._ack_delay(nonce, now_ms, None).status != IN_TIME
 
     def probe_type_url(self, now_ms: float) -> str | None:
-        """Returns the type for which to send a probe, a response without changes; None: none is due.
+        """Returns the type URL for which a probe, a response without changes, is due; None if none is due.
 
-        The acknowledgement of a probe comes after that of the late update, or proves that there will be none.  Without
-        it a lost ejection would wait until the stream is ended where no further update is made.  A probe can be lost
-        too, so that it is repeated at growing intervals.
+        Acknowledgements come in sequence, so that of a probe shows that the late update was lost unless it has been
+        acknowledged by then.  Without probes a lost ejection would not be sent again until the stream closes, if no
+        further update follows.  A probe can be lost too, so probes are repeated at growing intervals.
         """
         if not self.has_late_ack(now_ms):
             return None
@@ -121,28 +123,28 @@
         oldest.probes += 1
         return oldest.type_url
 
-    def _ack_delay(self, nonce: str, now_ms: float, heard_ms: float | None) -> AckDelay:
+    def _ack_delay(self, nonce: str, now_ms: float, last_received_ms: float | None) -> AckDelay:
         update = self.in_flight_updates[nonce]
-        return self.ack_latency.ack_delay(nonce, len(update.changes), update.sent_ms, now_ms, heard_ms)
+        return self.ack_latency.ack_delay(nonce, len(update.changes), update.sent_ms, now_ms, last_received_ms)
 
-    def new_ack_delays(self, now_ms: float, heard_ms: float | None) -> list[AckDelay]:
-        """Returns what is to be logged of updates without an acknowledgement, each status of each once.
+    def new_ack_delays(self, now_ms: float, last_received_ms: float | None) -> list[AckDelay]:
+        """Returns the delayed acknowledgements to log; each status of an update is returned once.
 
         Args:
-            now_ms: The present time.
-            heard_ms: When anything last came from this proxy; see `AckLatency.ack_delay`.
+            now_ms: The current time.
+            last_received_ms: When the last message was received from this proxy; see `AckLatency.ack_delay`.
         """
         found, self.unreported_delays = self.unreported_delays, []
         nonce = next(iter(self.in_flight_updates), None)
         if nonce is not None:
-            delay = self._ack_delay(nonce, now_ms, heard_ms)
+            delay = self._ack_delay(nonce, now_ms, last_received_ms)
             if delay.status != self.reported_statuses.get(nonce, IN_TIME):
                 self.reported_statuses[nonce] = delay.status
                 found.append(delay)
         return found
 
     def overdue_ejections(self, now_ms: float, max_delay_ms: float) -> list[tuple[str, int]]:
-        """Returns the nonce and endpoint of each ejection that has waited longer for its acknowledgement."""
+        """Returns the nonce and endpoint of each ejection in flight for more than `max_delay_ms`."""
         return [
             (nonce, change.key[1])
             for nonce, update in self.in_flight_updates.items()
@@ -152,12 +154,12 @@
         ]
 
     def unsubscribe(self, keys: Iterable[Key]) -> None:
-        """Forgets keys that the proxy no longer asks for: what it holds of them is not known."""
+        """Removes keys that the proxy has unsubscribed from: the versions that it holds of them are unknown."""
         for key in keys:
             self.acknowledged.pop(key, None)
             self.in_flight.pop(key, None)
             self.must_resend.discard(key)
 
     def oldest_sent_ms(self) -> float | None:
-        """Returns when the oldest update in flight was sent."""
+        """Returns when the oldest update in flight was sent; None if none is in flight."""
         return min((update.sent_ms for update in self.in_flight_updates.values()), default=None)
--- a/quillstep/routing/message_quota.py
+++ b/quillstep/routing/message_quota.py
@@ -1,26 +1,27 @@
-"""How many messages one proxy is sent within a time window.  Without I/O and clocks; times are milliseconds.
+"""Limits how many messages one proxy is sent within a time window.
 
-The planner spaces its updates.  A full channel brings them closer together, and the messages of a join come on top, so
-that more than the limit could be sent within its window (`model_checking/message_limit_model.py`).  Here they wait,
-and what waits is merged.
+The planner spaces its updates.  A full update channel releases them closer together, and the messages to a joining
+proxy come in addition, so that more than the limit could be sent within its window
+(`model_checking/message_limit_model.py`).  Changes beyond the limit wait and are merged.  Performs no I/O and reads no
+clock; times are milliseconds.
 """
 
 from collections import deque
 
-EJECTION_RESERVE = 2  # messages of the limit that are left for ejections
+EJECTION_RESERVE = 2  # messages of the limit that only ejections may use
 
 
 class MessageQuota:
-    """Allows `max_messages` within `window_ms`; 0: no limit.  All that one revision sends is one message."""
+    """Allows `max_messages` within `window_ms`; 0: no limit.  All responses of one revision count as one message."""
 
     def __init__(self, max_messages: int = 0, window_ms: float = 0.0) -> None:
         self.max_messages, self.window_ms = max_messages, window_ms
-        self.sent: deque[tuple[int, float]] = deque()  # revisions, and when the first response of each was sent
+        self.sent: deque[tuple[int, float]] = deque()  # (revision, when its first response was sent)
 
     def remaining(self, revision: int, now_ms: float) -> int:
         """Returns how many messages may be sent now under this revision.
 
-        Any change may be sent where more than `EJECTION_RESERVE` remain, ejections alone where fewer do.
+        Any change may be sent if more than `EJECTION_RESERVE` messages remain, otherwise only ejections.
         """
         while self.sent and self.sent[0][1] <= now_ms - self.window_ms:
             self.sent.popleft()
@@ -34,5 +35,5 @@
             self.sent.append((revision, now_ms))
 
     def next_expiry_ms(self) -> float:
-        """Returns when the oldest message no longer counts."""
+        """Returns when the oldest message leaves the window; 0 if no message is in it."""
         return self.sent[0][1] + self.window_ms + 1.0 if self.sent else 0.0
--- a/quillstep/routing/recovery.py
+++ b/quillstep/routing/recovery.py
@@ -1,22 +1,24 @@
-"""How far the tables of the last incarnation count after a start.  Without I/O and clocks; times are milliseconds.
-
-The planner starts with nothing learned and gives every endpoint its listed weight.  Until it has learned anew, the
-weight from before the start stays in effect: the planner's first weight for an endpoint rests on no observation, a
-later one counts where it is the lower one.  The older the recovered table is, the sooner the planner's weights alone
-count.  An endpoint that has started since, is warming up or is gone has the planner's weight at once.  So old knowledge
-never outweighs a new finding against an endpoint, and never outlives its trust.
+"""How long the tables of the last incarnation stay in effect after a start.
+
+The planner starts without observations and gives every endpoint its listed weight.  Until it has observed enough, the
+recovered weight stays in effect: the planner's first weight for an endpoint is based on no observation and is ignored,
+and a later one takes effect if it is lower than the recovered weight.  The older a recovered table is, the sooner it
+expires and the planner's weights alone are used.  An endpoint that has started since, is warming up or is not in
+service has the planner's weight at once.  A recovered weight thus never overrides a new observation against an
+endpoint, and never outlives the trust in it.  Performs no I/O and reads no clock; times are milliseconds.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-CLOCK_TOLERANCE_MS = 1000.0  # that a clock may have gone back, or two clocks may differ
+CLOCK_TOLERANCE_MS = 1000.0  # how far a clock may have been set back, or two clocks may differ
 
 
 def recovery_trust_ms(age_ms: float, window_ms: float, max_age_ms: float) -> float:
-    """Returns for how long after a start a table of this age counts.
+    """Returns for how long after a start a table of this age is trusted.
 
-    The trust falls linearly from `window_ms` to 0 at `max_age_ms`.  A clock that went back tells nothing of the age.
+    The time falls linearly from `window_ms` at age 0 to 0 at `max_age_ms`.  It is 0 if the clock was set back by more
+    than `CLOCK_TOLERANCE_MS`, as the age is unknown then.
     """
     if age_ms < -CLOCK_TOLERANCE_MS or max_age_ms <= 0.0:
         return 0.0
@@ -25,15 +27,22 @@
 
 @dataclass(slots=True)
 class RecoveredTable:
-    """A table as it was when the last incarnation ended, on this incarnation's clock, and until when it counts."""
+    """A table as it was when the last incarnation ended.
+
+    Attributes:
+        weights: The weight of each endpoint.
+        recorded_ms: When the table was recorded, on this incarnation's clock.
+        trusted_until_ms: When the table expires.
+        planned: Endpoints for which the planner has set its first weight.
+    """
 
     weights: Mapping[int, float]
     recorded_ms: float
     trusted_until_ms: float
-    planned: set[int] = field(default_factory=set)  # endpoints for which the planner has set its first weight
+    planned: set[int] = field(default_factory=set)
 
     def effective_weight(self, endpoint: int, weight: float, now_ms: float, is_warm: bool, started_ms: float) -> float:
-        """Returns the weight in effect where the planner sets this one."""
+        """Returns the weight that takes effect when the planner sets `weight`."""
         is_first = endpoint not in self.planned
         self.planned.add(endpoint)
         recovered = self.weights.get(endpoint, 0.0)
--- a/quillstep/routing/retry_policies.py
+++ b/quillstep/routing/retry_policies.py
@@ -1,9 +1,10 @@
-"""Which retry policies may still be in effect at which proxies.  Without I/O and clocks; times are milliseconds.
+"""Which retry policies may still be in effect at which proxies.
 
-A policy is 0 (never retry), 1 (only where an attempt surely was not executed), 2 or 3 (after any failure, once or
-twice).  A higher policy counts as in effect from the moment it is sent, a lower one only once its proxy has
-acknowledged it and all requests that began before are over: a proxy finishes a request with the routes that the request
-began with.  A policy that a proxy brought from elsewhere counts as the highest until the proxy holds routes of ours.
+A policy is 0 (never retry), 1 (only if an attempt was certainly not executed), 2 or 3 (after any failure, once or
+twice).  A higher policy counts as in effect from the moment it is sent; a lower one only once its proxy has
+acknowledged it and all requests that began before have ended, because a proxy finishes a request with the routes that
+the request began with.  A proxy that connects with unknown routes counts as having the highest policy until it holds
+routes of this controller.  Performs no I/O and reads no clock; times are milliseconds.
 """
 
 from collections.abc import Mapping
@@ -12,12 +13,12 @@
 
 MAX_RETRY_POLICY = 3
 IDEMPOTENT_RETRY_POLICY = 2
-ONLY_IF_NOT_EXECUTED = 1  # no class forbids it
-MAX_RETRY_POLICIES = {"safe": MAX_RETRY_POLICY, "keyed": IDEMPOTENT_RETRY_POLICY}  # by a class's semantics
+ONLY_IF_NOT_EXECUTED = 1  # allowed for every class
+MAX_RETRY_POLICIES = {"safe": MAX_RETRY_POLICY, "keyed": IDEMPOTENT_RETRY_POLICY}  # keyed by a class's semantics
 
 
 class PolicyExcess(NamedTuple):
-    """A class with a higher policy than it allows: the highest, and at which proxies, those that left with it too."""
+    """A class with a higher policy than it allows: the highest, and the proxies, including disconnected ones."""
 
     class_index: int
     retry_policy: int
@@ -25,7 +26,7 @@
 
 
 class PolicyExcessChange(NamedTuple):
-    """A change of a class's excess: the proxies that exceed now, those that no longer do, and how many exceed."""
+    """A change of a class's excess: proxies newly exceeding, proxies no longer exceeding, and how many exceed now."""
 
     class_index: int
     retry_policy: int
@@ -35,7 +36,7 @@
 
 
 class ExpiringPolicy(NamedTuple):
-    """A replaced policy, and until when requests that began with it may last."""
+    """A replaced policy, and the latest end of requests that began with it."""
 
     retry_policy: int
     until_ms: float
@@ -43,29 +44,34 @@
 
 @dataclass(slots=True)
 class ProxyRetryPolicies:
-    """One proxy's policies by class: acknowledged, in flight by nonce, and expiring."""
+    """One proxy's policies by class: acknowledged, in flight (by nonce), and expiring."""
 
     acknowledged: dict[int, int] = field(default_factory=dict)
     in_flight: dict[str, dict[int, int]] = field(default_factory=dict)
     expiring: dict[int, list[ExpiringPolicy]] = field(default_factory=dict)
-    is_known: bool = True  # it holds routes of ours
+    is_known: bool = True  # whether the proxy holds routes of this controller
 
 
 class RetryPolicies:
-    """`allowed`: the highest policy that each class allows; `deadline_ms`: how long a request of each may last."""
+    """The retry policies of all proxies.
+
+    Attributes:
+        allowed: The highest policy that each class allows.
+        deadline_ms: The longest duration of a request of each class.
+    """
 
     def __init__(self, allowed: list[int], deadline_ms: list[float]) -> None:
         self.allowed, self.deadline_ms = allowed, deadline_ms
         self.proxies: dict[int, ProxyRetryPolicies] = {}
-        self.logged_excess: dict[int, set[int]] = {}  # the exceeding proxies that `changes` returned last, by class
-        self.has_changed = False  # since `changes` was called last
-        self.next_expiry_ms = float("inf")  # when time alone changes something
+        self.logged_excess: dict[int, set[int]] = {}  # exceeding proxies at the last call of `changes`, by class
+        self.has_changed = False  # whether anything was recorded since the last call of `changes`
+        self.next_expiry_ms = float("inf")  # expiry of the next replaced policy
 
     def add_proxy(self, proxy: int, fresh: bool, default_policy: int) -> None:
-        """Adds a proxy; `fresh`: it holds no routes, and retries by the default policy.
+        """Adds a proxy; `fresh`: it holds no routes and follows the default policy.
 
-        One that reconnects goes on with requests that had begun, so that what is known of it stays, and what it may
-        have been sent by another controller is added.
+        A proxy that reconnects finishes the requests that it had begun.  Its known policies are therefore kept, and the
+        highest policy is added, which another controller may have sent to it.
         """
         policies = ProxyRetryPolicies() if fresh else self.proxies.get(proxy, ProxyRetryPolicies())
         policies.is_known = fresh
@@ -75,12 +81,12 @@
         self.has_changed = True
 
     def is_unknown(self, proxy: int) -> bool:
-        """Whether a proxy came with routes that are not known yet."""
+        """Whether a proxy connected with routes whose policies are not known yet."""
         policies = self.proxies.get(proxy)
         return policies is not None and not policies.is_known
 
     def record_reported(self, proxy: int, policies: Mapping[int, int], now_ms: float) -> None:
-        """Records that the routes that a proxy came with have turned out to have these policies."""
+        """Records the policies of the routes that a proxy connected with, once they have been identified."""
         if self.is_unknown(proxy):
             self.proxies[proxy].in_flight[""] = dict(policies)
             self.record_ack(proxy, "", now_ms)
@@ -92,17 +98,17 @@
             self.has_changed = True
 
     def record_ack(self, proxy: int, nonce: str, now_ms: float) -> None:
-        """Records that a proxy begins requests with these routes from now on.
+        """Records that a proxy uses these routes for new requests from now on.
 
-        Routes that were sent before these and were not acknowledged may have been in effect for a while.
+        Routes that were sent earlier and not acknowledged may have been in effect for a while.
         """
         policies = self.proxies.get(proxy)
         if policies is None or nonce not in policies.in_flight:
             return
         sent = list(policies.in_flight)
-        overtaken = [policies.in_flight.pop(each) for each in sent[: sent.index(nonce)]]
+        superseded = [policies.in_flight.pop(each) for each in sent[: sent.index(nonce)]]
         for index, policy in policies.in_flight.pop(nonce).items():
-            before = max([policies.acknowledged.get(index, 0), *(each.get(index, 0) for each in overtaken)])
+            before = max([policies.acknowledged.get(index, 0), *(each.get(index, 0) for each in superseded)])
             if before > policy:
                 expiring = ExpiringPolicy(before, now_ms + self.deadline_ms[index])
                 policies.expiring.setdefault(index, []).append(expiring)
@@ -110,12 +116,12 @@
         policies.is_known = self.has_changed = True
 
     def record_nack(self, proxy: int, nonce: str) -> None:
-        """Records that a proxy rejected routes and keeps what it had."""
+        """Records that a proxy rejected routes and keeps its previous ones."""
         if proxy in self.proxies:
             self.proxies[proxy].in_flight.pop(nonce, None)
 
     def highest_in_effect(self, proxy: int, class_index: int, now_ms: float) -> int:
-        """Returns the highest policy that a request of this class may have at this proxy now."""
+        """Returns the highest policy that a request of this class may follow at this proxy now."""
         policies = self.proxies[proxy]
         expiring = [each for each in policies.expiring.get(class_index, ()) if each.until_ms > now_ms]
         policies.expiring[class_index] = expiring
@@ -123,7 +129,7 @@
         return max([policies.acknowledged.get(class_index, 0), *in_flight, *(each.retry_policy for each in expiring)])
 
     def excesses(self, now_ms: float) -> list[PolicyExcess]:
-        """Returns the classes that may still be retried by a higher policy than they allow."""
+        """Returns the classes that may still be retried under a higher policy than they allow."""
         found = []
         for class_index, allowed in enumerate(self.allowed):
             policies = {proxy: self.highest_in_effect(proxy, class_index, now_ms) for proxy in self.proxies}
@@ -134,7 +140,7 @@
         return found
 
     def changes(self, now_ms: float) -> list[PolicyExcessChange]:
-        """Returns what has changed of the excesses since the last call, by class."""
+        """Returns the changes of the excesses since the last call, by class."""
         if not self.has_changed and now_ms < self.next_expiry_ms:
             return []
         self.has_changed = False
@@ -152,7 +158,7 @@
         return changes
 
     def _first_expiry_ms(self, now_ms: float) -> float:
-        """Returns when the next of the expiring policies is no longer in effect."""
+        """Returns when the next replaced policy expires; infinity if there is none."""
         first_ms = float("inf")
         for policies in self.proxies.values():
             for expiring in policies.expiring.values():
@@ -165,7 +171,7 @@
 def max_retry_policy(semantics: str) -> int:
     """Returns the highest policy that a class of these semantics allows, whatever the planner sets.
 
-    A safe class allows any, an idempotent one a single retry within its window, all others only a retry of an attempt
-    that surely was not executed.
+    A safe class allows any policy, an idempotent one a single retry within its idempotency window, all others only a
+    retry of an attempt that was certainly not executed.
     """
     return MAX_RETRY_POLICIES.get(semantics, ONLY_IF_NOT_EXECUTED)
--- a/quillstep/routing/rollout_gate.py
+++ b/quillstep/routing/rollout_gate.py
@@ -1,9 +1,11 @@
-"""The rollout gate: which changes of a table may take effect now.  Without I/O and clocks; times are milliseconds.
-
-The planner says what tables hold; the gate withholds and reports.  Ejections and weights of 0 always pass.  All else is
-checked against what is in effect: a weight of an endpoint that is not in service, one of a warming endpoint above its
-part, more of the traffic moved at a time than configured, admission limits and retry policies out of bounds, a table
-without a warm endpoint.  What is withheld waits, and is checked again with what is wanted then.
+"""The rollout gate: decides which changes of a table may take effect now.
+
+The planner decides the content of tables; the gate withholds changes and reports them.  Ejections and weights of 0
+always pass.  Other changes are checked against the table in effect.  Withheld are: weights of endpoints that are not in
+service, weights of warming endpoints above their share, moves of more traffic at a time than configured, admission
+limits and retry policies out of bounds, and changes that leave a table without a warm endpoint.  A withheld change
+waits and is checked again with the wanted state at that time.  Performs no I/O and reads no clock; times are
+milliseconds.
 """
 
 import math
@@ -14,9 +16,9 @@
 
 MAX_ADMISSION_RATE = 1e7  # requests a second
 FULL_CAPACITY = 1.0
-WARM_UP_SLACK = 2.0  # times its part of the mean that a warming endpoint may have, for slots are whole numbers
+WARM_UP_SLACK = 2.0  # allowed multiple of a warming endpoint's share of the mean, because slots are integers
 
-# Rules.  The values are shown in the log.
+# Rules.  The values are written to the log.
 NOT_IN_SERVICE = "gone"
 WARMING_UP = "cold"
 MOVED_SHARE = "moves"
@@ -25,7 +27,7 @@
 
 
 class WithheldChange(NamedTuple):
-    """What may not take effect, by which rule and why; `endpoint` or `class_index` is -1 where it is about neither."""
+    """A change that may not take effect, the rule and the reason; `endpoint` or `class_index` is -1 if unaffected."""
 
     table: int
     rule: str
@@ -36,11 +38,11 @@
 
 @dataclass(slots=True)
 class EndpointStates:
-    """What is known of endpoints."""
+    """The states of endpoints that the gate's rules depend on."""
 
     in_service: set[int] = field(default_factory=set)
-    capacity_shares: dict[int, float] = field(default_factory=dict)  # of its capacity that a warming endpoint has
-    started_ms: dict[int, float] = field(default_factory=dict)  # of each listed endpoint; 0: long ago
+    capacity_shares: dict[int, float] = field(default_factory=dict)  # usable share of capacity, by warming endpoint
+    started_ms: dict[int, float] = field(default_factory=dict)  # start of each listed endpoint; 0: long ago
 
     def is_warm(self, endpoint: int) -> bool:
         """Whether an endpoint is in service and has its full capacity."""
@@ -48,15 +50,18 @@
 
 
 class RolloutGate:
-    """Allows `max_moved_share` of a table's traffic to be moved within `window_ms`; 0: any.
+    """Decides which changes may take effect.
 
-    `max_retry_policies`: the highest policy that each class allows.
+    Attributes:
+        max_moved_share: The share of a table's traffic that may be moved within `window_ms`; 0: no limit.
+        window_ms: See `max_moved_share`.
+        max_retry_policies: The highest retry policy that each class allows.
     """
 
     def __init__(self, max_moved_share: float, window_ms: float, max_retry_policies: list[int]) -> None:
         self.max_moved_share, self.window_ms = max_moved_share, window_ms
         self.max_retry_policies = max_retry_policies
-        self.moved: dict[int, deque[tuple[float, float]]] = {}  # when, and which share, by table
+        self.moved: dict[int, deque[tuple[float, float]]] = {}  # (time, share) of each move, by table
 
     def moved_share(self, table: int, now_ms: float) -> float:
         """Returns the share of a table's traffic that was moved within the window."""
@@ -73,14 +78,14 @@
         endpoints: EndpointStates,
         now_ms: float,
     ) -> tuple[dict[int, float], list[WithheldChange]]:
-        """Returns the weights that may take effect now and what is withheld.  The largest moves go first.
+        """Returns the weights that may take effect now and the withheld changes.  The largest moves are allowed first.
 
         Args:
             table: The table's number.
-            current: All its weights in effect.
+            current: All weights of the table in effect.
             wanted: The weights to change.
-            endpoints: What is known of endpoints.
-            now_ms: The present time.
+            endpoints: The states of endpoints.
+            now_ms: The current time.
         """
         passed: dict[int, float] = {}
         withheld: list[WithheldChange] = []
@@ -93,7 +98,7 @@
             before = current.get(endpoint, 0.0)
             if weight == before:
                 continue
-            # What takes from an endpoint that is warming up or gone, and what removes one, is never withheld.
+            # Removals, and reductions for an endpoint that is warming up or not in service, are never withheld.
             is_urgent = weight < before and (weight <= 0.0 or not endpoints.is_warm(endpoint))
             if not weight < before and (change := self.check_weight(table, endpoint, weight, mean, endpoints)):
                 withheld.append(change)
@@ -109,8 +114,8 @@
             self.moved[table].append((now_ms, moved))
         return passed, withheld
 
-    def _moved_too_much(self, table: int, endpoint: int, share: float, left: float) -> WithheldChange:
-        reason = f"{share:.2f} of the traffic to be moved, {left:.2f} left of {self.max_moved_share:g}"
+    def _moved_too_much(self, table: int, endpoint: int, share: float, remaining: float) -> WithheldChange:
+        reason = f"moves {share:.2f} of the traffic, {remaining:.2f} remaining of {self.max_moved_share:g}"
         return WithheldChange(table, MOVED_SHARE, reason, endpoint)
 
     @staticmethod
@@ -121,37 +126,39 @@
         endpoints: EndpointStates,
         withheld: list[WithheldChange],
     ) -> dict[int, float]:
-        """Returns the weights that pass without those that would leave the table without a warm endpoint."""
+        """Returns the passed weights, except changes that would leave the table without a warm endpoint."""
 
         def has_warm(weights: Mapping[int, float]) -> bool:
             return any(endpoints.is_warm(endpoint) and weight > 0 for endpoint, weight in weights.items())
 
         if not has_warm(current) or has_warm({**current, **passed}):
             return passed
-        kept = {endpoint for endpoint in passed if endpoints.is_warm(endpoint) and current.get(endpoint, 0.0) > 0}
-        withheld.append(WithheldChange(table, NO_WARM_ENDPOINT, f"the last {len(kept)} warm lines would go"))
-        return {endpoint: weight for endpoint, weight in passed.items() if endpoint not in kept}
+        retained = {endpoint for endpoint in passed if endpoints.is_warm(endpoint) and current.get(endpoint, 0.0) > 0}
+        withheld.append(WithheldChange(table, NO_WARM_ENDPOINT, f"removes the last {len(retained)} warm endpoints"))
+        return {endpoint: weight for endpoint, weight in passed.items() if endpoint not in retained}
 
     def check_weight(
         self, table: int, endpoint: int, weight: float, mean: float, endpoints: EndpointStates
     ) -> WithheldChange | None:
-        """Returns why a weight may not be added or grow; None: it may.  `mean`: of the table's weights."""
+        """Returns why a weight may not be added or raised; None if it may.  `mean`: the mean of the table's weights."""
         if not math.isfinite(weight):
-            return WithheldChange(table, MOVED_SHARE, f"a weight of {weight}", endpoint)
+            return WithheldChange(table, MOVED_SHARE, f"expected a finite weight, got {weight}", endpoint)
         if endpoint not in endpoints.in_service:
-            return WithheldChange(table, NOT_IN_SERVICE, "it drains or is gone", endpoint)
+            return WithheldChange(table, NOT_IN_SERVICE, "endpoint is draining or not in service", endpoint)
         share = endpoints.capacity_shares.get(endpoint, FULL_CAPACITY)
         if share < FULL_CAPACITY and mean and weight > max(1.0, WARM_UP_SLACK * share * mean):
-            reason = f"weight {weight:g}, {WARM_UP_SLACK * share * mean:.1f} for a cold one"
+            reason = f"weight {weight:g}, limit {WARM_UP_SLACK * share * mean:.1f} while warming up"
             return WithheldChange(table, WARMING_UP, reason, endpoint)
         return None
 
     def check_admission(self, table: int, class_index: int, limit: float, retry_policy: int) -> WithheldChange | None:
-        """Returns why an admission limit or retry policy may not take effect; None: it may."""
-        if not 0.0 <= limit <= MAX_ADMISSION_RATE:  # false for NaN, too
-            return WithheldChange(table, OUT_OF_BOUNDS, f"a level of {limit}", class_index=class_index)
+        """Returns why an admission limit or retry policy may not take effect; None if it may."""
+        if not 0.0 <= limit <= MAX_ADMISSION_RATE:  # also rejects NaN
+            return WithheldChange(
+                table, OUT_OF_BOUNDS, f"admission limit {limit} out of bounds", class_index=class_index
+            )
         max_policy = self.max_retry_policies[class_index]
         if not 0 <= retry_policy <= max_policy:
-            reason = f"way {retry_policy} of trying again, {max_policy} at most"
+            reason = f"retry policy {retry_policy}, expected 0 to {max_policy}"
             return WithheldChange(table, OUT_OF_BOUNDS, reason, class_index=class_index)
         return None
--- a/quillstep/routing/tables.py
+++ b/quillstep/routing/tables.py
@@ -1,8 +1,8 @@
-"""All tables of one controller, and the state of each joined proxy.
+"""All tables of one controller, and the state of each connected proxy.
 
-An update is written between `begin` and `commit`; commit returns what each proxy concerned is to be sent, counted in
-lines as the planner counts them.  Once a proxy's update has left the update channel, `release` is called; only then may
-a front send the differences.  Without I/O and clocks; times are milliseconds.
+An update is written between `begin` and `commit`, which returns the size of each affected proxy's part in lines, as the
+planner counts them.  `release` is called once a proxy's part has left the update channel; only then may a front send
+the changes.  Performs no I/O and reads no clock; times are milliseconds.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -19,7 +19,7 @@
 
 
 class ProxyUpdate(NamedTuple):
-    """One proxy's part of an update; so many lines wait in the update channel until it may be released."""
+    """One proxy's part of an update; it waits in the update channel as `lines` lines until it may be released."""
 
     proxy: int
     revision: int
@@ -27,7 +27,7 @@
 
 
 class Tables(DesiredState):
-    """The desired state, and the state of each joined proxy by its number in `proxies`."""
+    """The desired state, and in `proxies` the state of each connected proxy by its number."""
 
     proxy_state_type: type[ProxyState] = ProxyState
 
@@ -38,35 +38,35 @@
         lines_per_message: float,
         *,
         max_ack_delay_ms: float = 0.0,
-        stall_ms: float = 0.0,
+        max_stall_ms: float = 0.0,
         retry_policies: RetryPolicies | None = None,
         max_messages: int = 0,
         message_window_ms: float = 0.0,
     ) -> None:
-        """Starts without tables and proxies.
+        """Creates an instance without tables and proxies.
 
         Args:
-            admission: What admission limits are: share, rate or none.
-            default_retry_policy: The policy that proxies follow where none is set.
-            lines_per_message: What a message costs in the update channel beside its lines.
-            max_ack_delay_ms: From when on an update is late; 0: never.
-            stall_ms: How long one update may stall a proxy; 0: no limit.
-            retry_policies: Where the policies in effect are recorded.
-            max_messages: The most messages to one proxy within `message_window_ms`; 0: no limit.
+            admission: The kind of admission limits: share, rate or none.
+            default_retry_policy: The retry policy of classes for which none is set.
+            lines_per_message: The overhead of a message in the update channel, in lines.
+            max_ack_delay_ms: How long an update may be unacknowledged before it is late; 0: updates are never late.
+            max_stall_ms: The longest time that one update may stall a proxy; 0: no limit.
+            retry_policies: Records the policies in effect at each proxy.
+            max_messages: The limit of messages to one proxy within `message_window_ms`; 0: no limit.
             message_window_ms: See `max_messages`.
         """
         super().__init__(admission, default_retry_policy)
         self.lines_per_message = lines_per_message
-        self.max_ack_delay_ms, self.stall_ms = max_ack_delay_ms, stall_ms
+        self.max_ack_delay_ms, self.max_stall_ms = max_ack_delay_ms, max_stall_ms
         self.message_limit = (max_messages, message_window_ms)
         self.retry_policies = retry_policies or RetryPolicies([], [])
         self.line_cost = LineCostEstimate()
         self.proxies: dict[int, ProxyState] = {}
         self.saturation = SaturationGuard(self, self.proxies)
-        self.revision = 0  # of the newest update
-        self.pending_proxies: set[int] = set()  # those that may have something to be sent
-        self.ack_candidates: set[int] = set()  # those that may have completed an awaited acknowledgement
-        # Of the update that is being written: lines and keys by proxy, and the serial of its acknowledgement.
+        self.revision = 0  # revision of the newest update
+        self.pending_proxies: set[int] = set()  # proxies that may have changes to be sent
+        self.ack_candidates: set[int] = set()  # proxies that may have completed an awaited acknowledgement
+        # The update that is being written: lines and keys by proxy, and the serial of the requested acknowledgement.
         self.update_lines: dict[int, float] = {}
         self.update_keys: dict[int, set[Key]] = {}
         self.ack_serial: int | None = None
@@ -74,8 +74,8 @@
     # proxies
 
     def add_proxy(self, proxy: int, zone: str, reported: Mapping[Key, str]) -> ProxyState:
-        """Adds a proxy whose stream was opened; it keeps the versions that it reports until it is assigned a table."""
-        latency = AckLatency(self.max_ack_delay_ms, self.stall_ms, self.line_cost.line_ms())
+        """Adds a proxy that opened a stream; it keeps the versions that it reports until it is assigned a table."""
+        latency = AckLatency(self.max_ack_delay_ms, self.max_stall_ms, self.line_cost.line_ms())
         state = self.proxy_state_type(proxy, zone, latency, MessageQuota(*self.message_limit), dict(reported))
         state.released_revision = self.revision
         self.remove_proxy(proxy)
@@ -83,7 +83,7 @@
         return state
 
     def remove_proxy(self, proxy: int) -> None:
-        """Removes a proxy whose stream has ended."""
+        """Removes a proxy whose stream has closed."""
         state = self.proxies.pop(proxy, None)
         self.pending_proxies.discard(proxy)
         if state:
@@ -91,7 +91,7 @@
                 self.tables[table].proxies.discard(proxy)
 
     def add_reported(self, proxy: int, reported: Mapping[Key, str]) -> None:
-        """Adds versions that a proxy reports to hold in its first request for a further type."""
+        """Adds the versions that a proxy reports in its first request for a further type."""
         state = self.proxies[proxy]
         if ROUTES_KEY in reported:
             self.retry_policies.add_proxy(proxy, False, self.default_retry_policy)
@@ -103,11 +103,11 @@
         self.pending_proxies.add(proxy)
 
     def subscribe(self, proxy: int, keys: Iterable[Key], resend: bool) -> None:
-        """Marks keys that a proxy asks for as pending; `resend`: they are sent though it may hold them."""
+        """Marks keys that a proxy subscribes to as pending; `resend`: they are sent even if the proxy holds them."""
         state = self.proxies[proxy]
         for key in keys:
             if key[0] == EJECTED and not state.assignments and not resend:
-                continue  # ejections from before it joined are sent and counted with its table
+                continue  # ejections from before the proxy joined are sent and counted with its first table
             if resend and key not in state.in_flight:
                 state.acknowledged.pop(key, None)
                 state.must_resend.add(key)
@@ -122,7 +122,7 @@
         self.update_lines, self.update_keys, self.ack_serial = {}, {}, None
 
     def set_address(self, endpoint: int, host: str, port: int) -> None:
-        """Sets where an endpoint is reached; a change of it changes every resource that names the endpoint."""
+        """Sets an endpoint's address; a new address changes every resource that contains the endpoint."""
         if self.addresses.get(endpoint) == (host, port):
             return
         has_moved = endpoint in self.addresses
@@ -135,7 +135,7 @@
                 self._mark_changed((EJECTED, endpoint), self.proxies, 0.0)
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        """Sets an endpoint's weight in a table; 0 removes it."""
+        """Sets an endpoint's weight in a table; 0 removes the endpoint."""
         record = self.tables.setdefault(table, Table())
         if weight > 0:
             record.weights[endpoint] = weight
@@ -152,7 +152,7 @@
         self._mark_changed((EJECTED, endpoint), self.proxies, 1.0)
 
     def set_admission(self, table: int, classes: Iterable[int], limit: float, retry_policy: int) -> None:
-        """Sets what a table's proxies admit of these classes, and their retry policy."""
+        """Sets the admission limit and retry policy of these classes in a table."""
         record = self.tables.setdefault(table, Table())
         for class_index in classes:
             record.admission[class_index] = AdmissionLimit(limit, retry_policy)
@@ -163,7 +163,7 @@
                 self._mark_pending(proxy, (ADMISSION, table), 0.0)
 
     def assign_table(self, proxy: int, table: int, classes: Iterable[int]) -> None:
-        """Assigns a table to a proxy for these classes; nothing if the proxy has left."""
+        """Assigns a table to a proxy for these classes; does nothing if the proxy is not connected."""
         state = self.proxies.get(proxy)
         if state is None:
             return
@@ -173,11 +173,11 @@
         before = set(state.assignments.values())
         state.assignments.update(dict.fromkeys(assigned, table))
         after = set(state.assignments.values())
-        for left in before - after:
-            self.tables[left].proxies.discard(proxy)
-            self._mark_pending(proxy, (CLUSTER, left), 0.0)
+        for unassigned in before - after:
+            self.tables[unassigned].proxies.discard(proxy)
+            self._mark_pending(proxy, (CLUSTER, unassigned), 0.0)
         record.proxies.add(proxy)
-        # The planner counts an assignment as a whole: one line, one for each class, weight and ejection in it.
+        # As the planner counts it, an assignment costs one line, plus one for each class, weight and ejection in it.
         ejected = sum(endpoint in self.ejected for endpoint in record.weights)
         self._mark_pending(proxy, (CLUSTER, table), 1.0 + len(assigned) + len(record.weights) + ejected)
         self._mark_pending(proxy, (ADMISSION, table), 0.0)
@@ -188,7 +188,7 @@
             self._mark_first_assignment(proxy, state)
 
     def _mark_first_assignment(self, proxy: int, state: ProxyState) -> None:
-        """Marks what a proxy is sent with its first table, and all that it has kept until now."""
+        """Marks the keys that a proxy is sent with its first table, and all that it has retained until now."""
         self._mark_pending(proxy, LISTENER_KEY, 0.0)
         for endpoint in self.ejected:
             self._mark_pending(proxy, (EJECTED, endpoint), 0.0)
@@ -196,18 +196,18 @@
             self._mark_pending(proxy, key, 0.0)
 
     def request_ack(self, serial: int) -> None:
-        """Asks each proxy that this update reaches to acknowledge it; see `completed_acks`."""
+        """Requests an acknowledgement from each proxy that this update changes; see `completed_acks`."""
         self.ack_serial = serial
 
     def commit(self) -> list[ProxyUpdate]:
-        """Ends an update; returns each proxy's part, in the order in which proxies were first concerned."""
+        """Ends an update; returns each proxy's part, in the sequence in which proxies were first affected."""
         updates = []
         for proxy, lines in self.update_lines.items():
             state = self.proxies.get(proxy)
             if state is None:
                 continue
             if not lines:
-                lines = 1.0  # an address changed: it is sent as a line, though the planner counted none
+                lines = 1.0  # an address changed, which is sent as a line that the planner has not counted
             extra = self.lines_per_message
             if self.ack_serial is not None:
                 extra += 1.0
@@ -217,7 +217,7 @@
         return updates
 
     def _mark_changed(self, key: Key, proxies: Iterable[int], lines: float) -> None:
-        """Marks a key whose resource is made anew as pending at all these proxies."""
+        """Discards the cached resource of a changed key and marks the key as pending at these proxies."""
         self.shared_resources.pop(key, None)
         for proxy in proxies:
             self._mark_pending(proxy, key, lines)
@@ -227,14 +227,14 @@
         self.update_lines[proxy] = self.update_lines.get(proxy, 0.0) + lines
         self.update_keys.setdefault(proxy, set()).add(key)
 
-    # what fronts send and receive
+    # fronts
 
     def desired_keys(self, proxy: int) -> list[Key]:
-        """Returns all keys that a proxy should hold, except those that it keeps while it has no table."""
+        """Returns all keys that a proxy should hold, except those that it retains while it has no table."""
         return self.keys_of(self.proxies[proxy])
 
     def release(self, proxy: int, revision: int) -> None:
-        """Allows a proxy's part of an update to be sent: it has left the update channel."""
+        """Allows a proxy's part of an update to be sent, because it has left the update channel."""
         state = self.proxies.get(proxy)
         if state and revision > state.released_revision:
             state.released_revision = revision
@@ -242,12 +242,12 @@
             self.ack_candidates.add(proxy)
 
     def changes_to_send(
-        self, proxy: int, now_ms: float, subscribed: Callable[[Key], bool], together: bool = False
+        self, proxy: int, now_ms: float, subscribed: Callable[[Key], bool], atomic: bool = False
     ) -> list[Change]:
-        """Returns what a front should send a proxy now; see `ProxyState.changes_to_send`."""
+        """Returns the changes that a front should send to a proxy now; see `ProxyState.changes_to_send`."""
         state = self.proxies[proxy]
         self.ack_candidates.add(proxy)
-        found = state.changes_to_send(now_ms, subscribed, lambda key: self.desired_resource(state, key), together)
+        found = state.changes_to_send(now_ms, subscribed, lambda key: self.desired_resource(state, key), atomic)
         if self.saturation.warming_up and found:
             found = self.saturation.without_saturating(state, found, now_ms)
         if self.retry_policies.is_unknown(proxy):
@@ -255,7 +255,7 @@
         return found
 
     def _record_reported_policies(self, state: ProxyState, now_ms: float) -> None:
-        """Records the retry policies of a proxy whose reported routes turn out to be the desired ones."""
+        """Records the retry policies of a proxy whose reported routes are the desired ones."""
         if not state.assignments or ROUTES_KEY not in state.acknowledged or ROUTES_KEY in state.pending:
             return
         routes = self.desired_routes(state)
@@ -273,7 +273,7 @@
                 self.retry_policies.record_sent(proxy, nonce, retry_policies_of(resource))
 
     def record_ack(self, proxy: int, nonce: str, now_ms: float = 0.0) -> list[Change]:
-        """Records an acknowledgement; returns what the proxy holds by it, nothing where the nonce is not in flight."""
+        """Records an acknowledgement; returns the changes that it acknowledges, none for an unknown nonce."""
         self.pending_proxies.add(proxy)
         self.ack_candidates.add(proxy)
         state = self.proxies[proxy]
@@ -285,14 +285,14 @@
                 state.ack_latency.last_line_ms = None
         return found
 
-    def record_nack(self, proxy: int, nonce: str, reason: str, now_ms: float, whole: bool = False) -> Nack | None:
+    def record_nack(self, proxy: int, nonce: str, reason: str, now_ms: float, indivisible: bool = False) -> Nack | None:
         """Records that a proxy rejected an update; see `ProxyState.record_nack`."""
         self.pending_proxies.add(proxy)
         self.retry_policies.record_nack(proxy, nonce)
-        return self.proxies[proxy].record_nack(nonce, reason, now_ms, whole)
+        return self.proxies[proxy].record_nack(nonce, reason, now_ms, indivisible)
 
     def completed_acks(self) -> list[int]:
-        """Returns the serials of acknowledgements that were completed since the last call, once for each proxy."""
+        """Returns the serials of acknowledgements completed since the last call, once for each proxy."""
         completed: list[int] = []
         for proxy in sorted(self.ack_candidates):
             if state := self.proxies.get(proxy):
--- a/quillstep/routing/unacknowledged.py
+++ b/quillstep/routing/unacknowledged.py
@@ -1,7 +1,8 @@
-"""What may be in effect at proxies that have not acknowledged newer versions.  Without I/O and clocks.
+"""Weights that may still be in effect at proxies that have not acknowledged newer versions.
 
-A proxy that never applies an update goes by its old version, and counts so: where it may still send requests to a
-warming endpoint by the weight that the endpoint had when it was warm, the other proxies wait with theirs.
+A proxy that never applies an update uses its old version.  While such a proxy may still send requests to a warming
+endpoint by the weight that the endpoint had when it was warm, the other proxies do not add theirs.  Performs no I/O and
+reads no clock.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,7 +16,7 @@
 
 
 def uses_outdated_weight(state: ProxyState, key: Key, desired: Resource | None) -> bool:
-    """Whether a proxy may pick an endpoint by another weight than it should hold, as far as it has acknowledged."""
+    """Whether a proxy may use a weight other than the desired one, judging by what it has acknowledged."""
     version = state.acknowledged.get(key)
     if version is None or (EJECTED, key[2]) in state.acknowledged:
         return False
@@ -23,23 +24,23 @@
 
 
 def is_saturated_by_outdated_weights(
-    states: Iterable[ProxyState], key: Key, desired: Resource, usual_weight: float
+    states: Iterable[ProxyState], key: Key, desired: Resource, mean_weight: float
 ) -> bool:
-    """Whether proxies with outdated weights may send an endpoint as much as all proxies should by the desired weight.
+    """Whether proxies with outdated weights may send more to an endpoint than all proxies should by the desired weight.
 
     Args:
         states: The proxies of the table.
-        key: The endpoint's weight in it.
-        desired: The weight that they should hold.
-        usual_weight: The mean of the table's weights, which an outdated weight is taken to have been.
+        key: The key of the endpoint's weight in the table.
+        desired: The weight that the proxies should hold.
+        mean_weight: The mean of the table's weights, used as an estimate of outdated weights.
     """
     proxies = list(states)
     outdated = sum(uses_outdated_weight(state, key, desired) for state in proxies)
-    return outdated * usual_weight > len(proxies) * float(desired.content[2])
+    return outdated * mean_weight > len(proxies) * float(desired.content[2])
 
 
 def warming_endpoint_that_gains(change: Change, state: ProxyState, warming_up: Mapping[int, float]) -> int | None:
-    """Returns the warming endpoint to which a change would send requests from a proxy that sends it none now."""
+    """Returns the warming endpoint that a proxy would start to use by a change; None if there is none."""
     kind = change.key[0]
     if kind == WEIGHT and change.resource and change.key[2] in warming_up:
         endpoint: int = change.key[2]
@@ -51,19 +52,19 @@
 
 
 class SaturationGuard:
-    """Holds back changes that would send more to a warming endpoint that outdated weights saturate already.
+    """Withholds changes that would add load to a warming endpoint that outdated weights saturate already.
 
-    This guards against a proxy that never applied an endpoint's death: by its old weight it sends the endpoint a full
-    part when that is back and warming up, and all other proxies would send theirs beside it.
+    A proxy that never applied an endpoint's ejection sends it a full share by the old weight when the endpoint is back
+    and warming up; the requests of all other proxies in addition would overload the endpoint.
     """
 
     def __init__(self, desired: DesiredState, proxies: Mapping[int, ProxyState]) -> None:
         self.desired, self.proxies = desired, proxies
-        self.warming_up: dict[int, float] = {}  # when each warming endpoint started
-        self._checks: dict[int, tuple[float, bool]] = {}  # until when a check holds, and its result, by endpoint
+        self.warming_up: dict[int, float] = {}  # start of each warming endpoint
+        self._checks: dict[int, tuple[float, bool]] = {}  # (valid until, result) by endpoint
 
     def without_saturating(self, state: ProxyState, changes: list[Change], now_ms: float) -> list[Change]:
-        """Returns the changes that may be sent; the proxy is to be tried again where some may not."""
+        """Returns the changes that may be sent; schedules another attempt for the proxy if some may not."""
         allowed = []
         for change in changes:
             endpoint = warming_endpoint_that_gains(change, state, self.warming_up)
@@ -74,7 +75,7 @@
         return allowed
 
     def is_saturated(self, endpoint: int, now_ms: float) -> bool:
-        """Whether outdated weights of any table saturate an endpoint; checked once in `RECHECK_INTERVAL_MS`."""
+        """Whether outdated weights of any table saturate an endpoint; checked at most once in `RECHECK_INTERVAL_MS`."""
         until_ms, is_saturated = self._checks.get(endpoint, (0.0, False))
         if now_ms < until_ms:
             return is_saturated
@@ -88,6 +89,6 @@
         desired = self.desired.shared_resource(key) if endpoint in table.weights else None
         if not desired or not table.proxies:
             return False
-        usual_weight = sum(table.weights.values()) / len(table.weights)
+        mean_weight = sum(table.weights.values()) / len(table.weights)
         states = (self.proxies[proxy] for proxy in table.proxies)
-        return is_saturated_by_outdated_weights(states, key, desired, usual_weight)
+        return is_saturated_by_outdated_weights(states, key, desired, mean_weight)
--- a/quillstep/routing/versioned_tables.py
+++ b/quillstep/routing/versioned_tables.py
@@ -1,9 +1,9 @@
-"""Between the planner and the tables: what is wanted, what is in effect, what is pinned.
+"""The rollout of tables: the planner's wanted state, the state in effect, and pins.
 
-The planner goes on writing while a table is pinned; what it wants is kept here, and takes effect again when the table
-is released, through the rollout gate, a part of the traffic at a time.  A rollback is a pin to an earlier version.
-What is pinned obeys the rules all the same: an endpoint that is gone by now stays out, a warming one is limited.
-Without I/O and clocks; times are milliseconds.
+The planner continues to write while a table is pinned.  Its wanted state is stored here and takes effect again when the
+table is released, through the rollout gate, a part of the traffic at a time.  A rollback is a pin to an earlier
+version.  Pinned versions obey the rules of the gate: endpoints that are no longer in service are left out, and the
+weights of warming endpoints are limited.  Performs no I/O and reads no clock; times are milliseconds.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,44 +15,44 @@
 from quillstep.routing.tables import Tables
 from quillstep.routing.versions import Admission, TableVersion, Weights, version_name
 
-MAX_KEPT_VERSIONS = 512  # of a table in memory; a store keeps more
+MAX_VERSIONS_IN_MEMORY = 512  # per table; a store may retain more
 
 
 @dataclass(slots=True)
 class TableRollout:
-    """One table: what is wanted of it, as far as it differs from what is in effect, and its versions."""
+    """One table's wanted state, the changes that are not in effect yet, its pin and its versions."""
 
-    wanted_weights: Weights = field(default_factory=dict)  # all of them
+    wanted_weights: Weights = field(default_factory=dict)  # all wanted weights, whether in effect or not
     wanted_admission: Admission = field(default_factory=dict)
     unapplied_weights: set[int] = field(default_factory=set)  # endpoints written since the last flush
     unapplied_admission: set[int] = field(default_factory=set)  # classes written since the last flush
-    is_behind: bool = False  # something wanted is not in effect
-    recovered: RecoveredTable | None = None  # what the last incarnation left, while it counts
-    planner_weights: Weights = field(default_factory=dict)  # the planner's own, while recovered ones are in effect
+    is_behind: bool = False  # whether a wanted change is not in effect
+    recovered: RecoveredTable | None = None  # the last incarnation's table, while it is trusted
+    planner_weights: Weights = field(default_factory=dict)  # the planner's weights while recovered ones are in effect
     pinned: TableVersion | None = None
     versions: list[TableVersion] = field(default_factory=list)
 
 
 class VersionedTables:
-    """All tables' rollouts.  `on_version` is called with each new version that takes effect."""
+    """The rollouts of all tables.  `on_version` is called with each new version that takes effect."""
 
     def __init__(self, tables: Tables, gate: RolloutGate | None, on_version: Callable[[TableVersion], None]) -> None:
         self.tables, self.gate, self.on_version = tables, gate, on_version
         self.rollouts: dict[int, TableRollout] = {}
         self.endpoints = EndpointStates()
-        self.withheld: list[WithheldChange] = []  # by the gate, to be logged
+        self.withheld: list[WithheldChange] = []  # changes withheld by the gate that are not logged yet
         self.now_ms = 0.0
 
     def rollout_of(self, table: int) -> TableRollout:
-        """Returns a table's rollout, a new one if there is none."""
+        """Returns a table's rollout; creates it if there is none."""
         return self.rollouts.setdefault(table, TableRollout())
 
-    # what the planner writes
+    # changes by the planner
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
         """Sets the weight that the planner wants; 0 removes the endpoint.
 
-        Weights are floats throughout: 10 and 10.0 would make two versions of the same table.
+        Weights are always floats: 10 and 10.0 would be encoded differently and make two versions of the same table.
         """
         rollout = self.rollout_of(table)
         weight = float(weight)
@@ -77,9 +77,10 @@
             rollout.unapplied_admission.add(class_index)
 
     def flush(self, only: int | None = None) -> None:
-        """Applies what was written since the last call, as far as the gate allows it.
+        """Applies the changes since the last call, as far as the gate allows them.
 
-        A table is flushed by itself before it is assigned, so that the assignment costs what the planner counted.
+        A table is flushed by itself (`only`) before it is assigned, so that the assignment costs as many lines as the
+        planner counted.
         """
         for table in [only] if only is not None else list(self.rollouts):
             rollout = self.rollouts.get(table)
@@ -97,7 +98,7 @@
         if record and record.proxies:
             rollout.is_behind = True
             self._apply_while_pinned(table, weights, admission)
-        else:  # no proxy has it yet: it starts as it is pinned
+        else:  # no proxy holds the table yet, so it starts at its pinned version
             weights = weight_changes(self._current_weights(table), self.target(table)[0])
             self._apply(table, weights, admission, rollout.pinned.cause, rollout.pinned.operator)
 
@@ -112,7 +113,7 @@
         if reduced or admission:
             self._apply(table, reduced, admission, "module", "")
 
-    # what is in effect
+    # the state in effect
 
     def _current_weights(self, table: int) -> Weights:
         record = self.tables.tables.get(table)
@@ -147,7 +148,7 @@
         return weights, allowed
 
     def _record_version(self, table: int, cause: str, operator: str) -> None:
-        """Adds what is in effect as a version, unless it is the last one."""
+        """Records the table in effect as a version, unless it is equal to the last one."""
         versions = self.rollout_of(table).versions
         record = self.tables.tables[table]
         name = version_name(table, record.weights, record.admission)
@@ -158,7 +159,7 @@
         weights, admission = dict(record.weights), dict(record.admission)
         version = TableVersion(name, table, parent, cause, operator, self.now_ms, revision, weights, admission)
         versions.append(version)
-        del versions[:-MAX_KEPT_VERSIONS]
+        del versions[:-MAX_VERSIONS_IN_MEMORY]
         self.on_version(version)
 
     # recovery after a start
@@ -168,13 +169,13 @@
         self.rollout_of(version.table).versions.append(version)
 
     def recover(self, wall_ms: float, trust_ms: Callable[[float], float]) -> None:
-        """Lets the newest stored version of each table count for as long as its age deserves.
+        """Puts the newest stored version of each table into effect for as long as its age allows.
 
-        A table counts as old as the newest of all: that it was not changed lately says nothing against it.
+        All tables are as old as the newest of them: a table that did not change for a while is not outdated by that.
 
         Args:
-            wall_ms: The wall clock now, by which stored versions are dated.
-            trust_ms: For how long a table of an age counts.
+            wall_ms: The current wall-clock time; stored versions have wall-clock times.
+            trust_ms: Returns for how long a table of a given age is trusted.
         """
         newest = {table: rollout.versions[-1] for table, rollout in self.rollouts.items() if rollout.versions}
         age_ms = wall_ms - max((version.created_ms for version in newest.values()), default=0.0)
@@ -186,7 +187,7 @@
             self.rollout_of(table).recovered = recovered
 
     def end_expired_recovery(self) -> None:
-        """Replaces recovered weights by the planner's own where they no longer count."""
+        """Replaces expired recovered weights by the planner's."""
         for rollout in self.rollouts.values():
             if rollout.recovered and self.now_ms >= rollout.recovered.trusted_until_ms:
                 for endpoint, weight in rollout.planner_weights.items():
@@ -196,31 +197,31 @@
                 rollout.recovered, rollout.planner_weights = None, {}
 
     def recovery_expires_ms(self) -> float:
-        """Returns when the next recovered table no longer counts."""
+        """Returns when the next recovered table expires; infinity if there is none."""
         recovered = (rollout.recovered for rollout in self.rollouts.values())
         return min((table.trusted_until_ms for table in recovered if table), default=float("inf"))
 
-    # what operators ask for
+    # operators' commands
 
     def pin(self, version: TableVersion) -> None:
-        """Keeps a table at a version until it is released; it overtakes changes that are in flight."""
+        """Keeps a table at a version until it is released; supersedes changes in flight."""
         rollout = self.rollout_of(version.table)
         rollout.pinned, rollout.is_behind = version, True
 
     def release(self, table: int) -> bool:
-        """Lets what the planner wants take effect again; returns whether the table was pinned."""
+        """Lets the planner's wanted state take effect again; returns whether the table was pinned."""
         rollout = self.rollout_of(table)
         was_pinned = rollout.pinned is not None
         rollout.pinned, rollout.is_behind = None, rollout.is_behind or was_pinned
         return was_pinned
 
-    # on the way to the target
+    # convergence to the target
 
     def target(self, table: int) -> tuple[Weights, Admission]:
-        """Returns what a table is on its way to: its pin within the rules of now, or what the planner wants.
+        """Returns a table's target: its pinned version as far as the gate's rules allow now, or the planner's state.
 
-        A pin of which no warm endpoint is left gives way to the planner: no proxy may be without a usable endpoint.
-        Admission limits are never pinned: they follow the load, and an old limit may admit what now overloads.
+        A pin without a remaining warm endpoint has no effect, because no proxy may be without a usable endpoint.
+        Admission limits are never pinned: they follow the load, and an old limit may admit an overload now.
         """
         rollout = self.rollout_of(table)
         if rollout.pinned is None:
@@ -243,7 +244,7 @@
     def catch_up(self, available_lines: float) -> None:
         """Moves every table that is behind towards its target, as far as the update channel has capacity.
 
-        Belongs between `begin` and `commit` of an update of its own.
+        Must be called between `begin` and `commit` of a separate update.
         """
         for table, rollout in self.rollouts.items():
             record = self.tables.tables.get(table)
@@ -251,7 +252,7 @@
                 available_lines -= self._catch_up_table(table, rollout, record, available_lines)
 
     def _catch_up_table(self, table: int, rollout: TableRollout, record: Table, available_lines: float) -> float:
-        """Moves one table towards its target; returns the lines that this takes."""
+        """Moves one table towards its target; returns the lines that this costs."""
         proxies = max(1, len(record.proxies))
         weights, admission = self.target(table)
         max_changes = int(max(0.0, available_lines) / proxies)
@@ -273,7 +274,7 @@
 
 
 def weight_changes(current: Weights, wanted: Weights) -> Weights:
-    """Returns the weights that turn one table into another: removals last, the largest changes first."""
+    """Returns the changes from current to wanted weights: largest changes first, removals last."""
     changed = {
         endpoint: wanted.get(endpoint, 0.0)
         for endpoint in {*current, *wanted}
--- a/quillstep/routing/versions.py
+++ b/quillstep/routing/versions.py
@@ -1,4 +1,4 @@
-"""Versions of tables, named by their content.  Without I/O."""
+"""Versions of tables, named by their content.  Performs no I/O."""
 
 from typing import Any, NamedTuple
 
@@ -7,15 +7,15 @@
 
 from quillstep.routing.desired_state import AdmissionLimit
 
-Weights = dict[int, float]  # by endpoint
-Admission = dict[int, AdmissionLimit]  # by class
+Weights = dict[int, float]  # keyed by endpoint
+Admission = dict[int, AdmissionLimit]  # keyed by class
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class TableVersion(NamedTuple):
-    """A table as it was at a time.
+    """The content of a table at one time.
 
-    `cause` is module (the planner), pin, rollback, release or gate; `operator` is empty where no person asked for it.
+    `cause` is module (the planner), pin, rollback, release or gate; `operator` is empty if no operator requested it.
     """
 
     name: str
@@ -30,13 +30,13 @@
 
 
 def version_name(table: int, weights: Weights, admission: Admission) -> str:
-    """Returns the name of a content; the same content has the same name at every controller."""
+    """Returns the name of a table's content; equal content has the same name at every controller."""
     limits = sorted((class_index, *limit) for class_index, limit in admission.items())
     return xxhash.xxh3_64_hexdigest(_encode((table, sorted(weights.items()), limits)))
 
 
 def version_from_row(row: list[Any]) -> TableVersion:
-    """Returns the version of a stored row: name, table, parent, cause, operator, wall clock, weights, admission."""
+    """Returns the version in a stored row: name, table, parent, cause, operator, wall clock, weights, admission."""
     name, table, parent, cause, operator, wall_ms, weights, admission = row
     return TableVersion(
         name=name,
