--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -31,7 +31,7 @@
 from quillstep.routing.rollout_gate import RolloutGate
 from quillstep.routing.versioned_tables import VersionedTables
 from quillstep.routing.versions import TableVersion
-from quillstep.store.events import OperatorRequest, StoreEvent, StoreLost, StoreOpened, UpdatesStored
+from quillstep.store.events import OperatorRequest, StoreEvent, StoreOpened, StoreUnavailable, UpdatesStored
 
 PLANNERS: dict[str, Callable[..., Any]] = {"learnt": Planner, "even": EvenPlanner, "listed": ListedPlanner}
 MAX_REMEMBERED_REVISIONS = 4096  # whose times are known
@@ -194,7 +194,7 @@
         match event:
             case UpdatesStored(revision):
                 self.release.record_durable(revision)
-            case StoreLost():
+            case StoreUnavailable():
                 self.release.record_store_lost()
             case StoreOpened():
                 self.operations.recover(event, self.now_ms)
--- a/quillstep/controller/event_codec.py
+++ b/quillstep/controller/event_codec.py
@@ -23,8 +23,8 @@
     OperatorTarget,
     PinnedVersion,
     StoreEvent,
-    StoreLost,
     StoreOpened,
+    StoreUnavailable,
     UpdatesStored,
 )
 from quillstep.xds.events import StreamEnded, StreamOpened, StreamRequest
@@ -52,7 +52,7 @@
             GenerationWritten: _generation_written,
             StoreOpened: _store_opened,
             UpdatesStored: lambda event, arrived, taken: ["store", arrived, taken, "stored", event.number, []],
-            StoreLost: lambda event, arrived, taken: ["store", arrived, taken, "lost", event.reason, []],
+            StoreUnavailable: lambda event, arrived, taken: ["store", arrived, taken, "lost", event.reason, []],
             OperatorRequest: _operator_request,
         }
 
@@ -193,7 +193,7 @@
         case "stored":
             return UpdatesStored(content)
         case "lost":
-            return StoreLost(content)
+            return StoreUnavailable(content)
         case _:
             command, targets, operator = more
             return OperatorRequest(content, command, [OperatorTarget(*target) for target in targets], operator)
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -230,4 +230,4 @@
         """Logs figures of control intervals, load reports and the store, since the start."""
         self.log.info("status", **self.status.fields(self.core))
         if self.store_writer:
-            self.log.info("store status", late=self.core.release.late_count, **self.store_writer.figures())
+            self.log.info("store status", late=self.core.release.late_count, **self.store_writer.commit_stats())
--- a/quillstep/store/__init__.py
+++ b/quillstep/store/__init__.py
@@ -1,4 +1,4 @@
-"""What outlives a controller's process: table versions, pins, acknowledged updates.  See docs/store.md."""
+"""Persistent state of a controller: table versions, pins, acknowledged updates.  See docs/store.md."""
 
 from quillstep.store.errors import (
     StoreCorruptError,
--- a/quillstep/store/errors.py
+++ b/quillstep/store/errors.py
@@ -1,10 +1,10 @@
-"""Why a store cannot be used, one type for each thing that a caller can do about it."""
+"""Errors of the store, with one type for each way in which callers can handle them."""
 
 from quillstep.errors import QuillstepError
 
 
 class StoreError(QuillstepError):
-    """A store cannot be used; `reason` is the one word that log events and reports show."""
+    """A store cannot be used; `reason` is a constant that log events and reports contain."""
 
     reason = "broken"
 
@@ -16,26 +16,26 @@
 
 
 class StoreReadOnlyError(StoreError):
-    """The store may not be written."""
+    """The store is read-only."""
 
     reason = "read-only"
 
 
 class StoreSchemaTooNewError(StoreError):
-    """A later version of quillstep wrote the store."""
+    """The store was written by a newer version of quillstep."""
 
     reason = "newer"
 
 
 class StoreCorruptError(StoreError):
-    """A part of the store is missing, or a page or a value does not read."""
+    """A database of the store is missing, or a page or a value is corrupt."""
 
     reason = "bad"
 
 
 class CorruptValueError(QuillstepError):
-    """One stored value does not read; the message says which and why."""
+    """A stored value is corrupt; the message contains its key and the cause."""
 
 
 class InvalidExportError(QuillstepError, ValueError):
-    """A row of an export does not read; the message says which and why."""
+    """A row of an export is invalid; the message contains its number and the cause."""
--- a/quillstep/store/events.py
+++ b/quillstep/store/events.py
@@ -1,13 +1,13 @@
-"""Events that the store hands to the deciding thread.
+"""Events that the store publishes to the deciding thread.
 
-Versions are plain values, as `quillstep.routing.versions.version_of` reads them.
+Versions are plain values, as `quillstep.routing.versions.version_from_row` reads them.
 """
 
 from typing import Any, NamedTuple
 
 
 class PinnedVersion(NamedTuple):
-    """A table that an operator has pinned to a version in an earlier incarnation."""
+    """A table that an operator pinned to a version in an earlier incarnation."""
 
     version: list[Any]
     cause: str
@@ -15,7 +15,7 @@
 
 
 class StoreOpened(NamedTuple):
-    """What earlier incarnations left: the newest versions of each table, and the pins."""
+    """The state stored by earlier incarnations: the newest versions of each table, and the pins."""
 
     wall_ms: float
     versions: list[list[Any]]
@@ -23,26 +23,26 @@
 
 
 class UpdatesStored(NamedTuple):
-    """All updates up to this number are durable."""
+    """All updates up to this revision are durable."""
 
     number: int
 
 
-class StoreLost(NamedTuple):
-    """The store has failed; the controller goes on without it."""
+class StoreUnavailable(NamedTuple):
+    """The store has failed; the controller continues without it."""
 
     reason: str
 
 
 class OperatorTarget(NamedTuple):
-    """A table that a command names, with its version; the version is empty where it is not kept."""
+    """A table named by a command, with its version; the version is empty if the store does not retain it."""
 
     table: int
     version: list[Any]
 
 
 class OperatorRequest(NamedTuple):
-    """An operator's command for some tables: a release, or the cause of a pin; `key` identifies it in the store."""
+    """An operator's command; `kind` is pin, rollback or release, and `key` identifies the command in the store."""
 
     key: str
     kind: str
@@ -50,4 +50,4 @@
     operator: str
 
 
-StoreEvent = StoreOpened | UpdatesStored | StoreLost | OperatorRequest
+StoreEvent = StoreOpened | UpdatesStored | StoreUnavailable | OperatorRequest
--- a/quillstep/store/records.py
+++ b/quillstep/store/records.py
@@ -1,8 +1,8 @@
-"""Records of the store: MessagePack behind a checksum, and keys that sort.  Without I/O.
+"""Records of the store: MessagePack with a checksum, and sortable keys.  Performs no I/O.
 
-A stored value is eight bytes of xxh3 over its key and body, then the body, so that neither a damaged page nor a value
-under another value's key is read.  Rows are stored as arrays: the order of their fields is the format.  The names that
-exports and reports show of them are given by `rename`.
+A stored value consists of an 8-byte xxh3 checksum of its key and body, followed by the body.  The checksum detects both
+damaged pages and values stored under the wrong key.  Rows are stored as arrays, so the order of their fields is part of
+the format.  `rename` defines the field names in exports and reports.
 """
 
 import struct
@@ -17,7 +17,7 @@
 CHECKSUM_BYTES = 8
 _encode = msgspec.msgpack.Encoder().encode
 
-# The store's parts; the values are names on disk.
+# The parts of the store.  The values are the names of LMDB databases on disk.
 META = "meta"
 VERSIONS = "versions"
 PINS = "pins"
@@ -40,8 +40,8 @@
 ):
     """One version of a table.
 
-    Weights are (endpoint, weight), admission limits (class index, limit, retry policy).  `cause` is module, pin,
-    rollback, release or gate; `operator` is empty where no person asked for it.
+    Weights are (endpoint, weight), admission limits (class index, limit, retry policy).  `cause` is module (the
+    planner), pin, rollback, release or gate; `operator` is empty if no operator requested it.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 
 class PinRow(msgspec.Struct, array_like=True, rename={"operator": "who"}):
-    """An operator's pin: the table stays at this version."""
+    """An operator's pin, which keeps a table at a version."""
 
     table: int
     name: str
@@ -67,9 +67,9 @@
 
 
 class OperatorCommand(msgspec.Struct, array_like=True, rename={"operator": "who"}):
-    """A pin, rollback or release that an operator asks a controller for.
+    """A pin, rollback or release that an operator requests from a controller.
 
-    Targets are (table, version name); the name is empty in a release.
+    Targets are (table, version name); the name is empty for a release.
     """
 
     kind: str
@@ -79,7 +79,7 @@
 
 
 class AcknowledgedUpdate(msgspec.Struct, array_like=True, rename={"incarnation": "life", "revision": "order"}):
-    """The newest revision that a proxy has acknowledged, of which incarnation, and when."""
+    """The newest revision that a proxy has acknowledged, the incarnation that sent it, and the time."""
 
     node: str
     incarnation: str
@@ -88,7 +88,7 @@
 
 
 class IncarnationRow(msgspec.Struct, array_like=True, rename={"incarnation": "life", "started_ms": "begun_ms"}):
-    """One incarnation of the controller; `ended_ms` is 0 until it has closed the store itself."""
+    """One incarnation of the controller; `ended_ms` is 0 until it has closed the store regularly."""
 
     incarnation: str
     started_ms: float
@@ -96,7 +96,7 @@
 
 
 class Entry(NamedTuple):
-    """One row to write into a part under a key; `row` None removes it."""
+    """A row to write to a part under a key; None as `row` removes the key."""
 
     part: str
     key: bytes
@@ -115,7 +115,7 @@
 
 
 def pack(key: bytes, row: Any) -> bytes:
-    """Returns a row as it is stored under a key."""
+    """Returns the stored value of a row under a key: the checksum and the encoded row."""
     body = _encode(row)
     return xxhash.xxh3_64_digest(key + body) + body
 
@@ -124,7 +124,7 @@
     """Returns the row of a stored value.
 
     Raises:
-        CorruptValueError: The checksum does not fit, or the body is no row of this part.
+        CorruptValueError: The checksum does not match, or the body is not a valid row of this part.
     """
     body = value[CHECKSUM_BYTES:]
     if not body or xxhash.xxh3_64_digest(key + body) != value[:CHECKSUM_BYTES]:
@@ -136,17 +136,17 @@
 
 
 def number_key(*numbers: int) -> bytes:
-    """Returns numbers as a key that sorts as they do."""
+    """Returns a key made of numbers; keys sort in the order of their numbers."""
     return struct.pack(f">{len(numbers)}Q", *numbers)
 
 
 def numbers_of(key: bytes) -> tuple[int, ...]:
-    """Returns the numbers that a key of `number_key` was made of."""
+    """Returns the numbers in a key made by `number_key`."""
     return struct.unpack(f">{len(key) // 8}Q", key)
 
 
-def migrated(part: str, row: list[Any], schema: int) -> list[Any]:
-    """Returns a row of an older schema as one of the present schema.
+def migrate_row(part: str, row: list[Any], schema: int) -> list[Any]:
+    """Returns a row of an older schema converted to the current schema.
 
     Schema 1 had no incarnation in a version, and no cause in a pin.
     """
--- a/quillstep/store/retention.py
+++ b/quillstep/store/retention.py
@@ -1,4 +1,7 @@
-"""Which versions of a table a store keeps.  Without I/O and clocks; times are wall-clock milliseconds."""
+"""Which versions of a table a store retains.
+
+Performs no I/O and reads no clock; times are wall-clock milliseconds.
+"""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -15,10 +18,10 @@
 def numbers_to_drop(
     versions: Iterable[StoredVersion], pinned: set[str], now_ms: float, max_versions: int, max_age_ms: float
 ) -> list[int]:
-    """Returns the numbers of the versions that are too old, or too many.
+    """Returns the numbers of the versions to remove, because of their age or the limit on their number.
 
-    The newest version and pinned ones stay.  Where the clock went back, nothing counts as older for it: no age is
-    below 0.
+    The newest version and pinned versions are retained.  Ages are never below 0, so no version is removed because the
+    clock was set back.
     """
     ordered = sorted(versions)
     dropped: list[int] = []
--- a/quillstep/store/store.py
+++ b/quillstep/store/store.py
@@ -1,7 +1,7 @@
-"""The store on disk: one LMDB environment, one writer, readers that never block it.
+"""The store on disk: one LMDB environment with one writer, and readers that never block it.
 
-LMDB writes copies of pages and points to them last, so that a process killed at any moment leaves the last committed
-state.  It does not notice a damaged page: the checksums of `records.py` do.
+LMDB writes copies of pages and updates the pointers to them last, so a process killed at any time leaves the last
+committed state.  LMDB does not detect damaged pages; the checksums of `records.py` do.
 """
 
 import contextlib
@@ -33,7 +33,7 @@
     VERSIONS,
     Entry,
     VersionRow,
-    migrated,
+    migrate_row,
     number_key,
     numbers_of,
     pack,
@@ -47,14 +47,16 @@
 
 
 def ignore_step(step: str) -> None:
-    """Does nothing at a write point."""
+    """Ignores a write point."""
 
 
 class Store:
-    """One folder.  `on_step` is called at each write point, so that a test can kill the process there.
+    """The store in one folder.
+
+    `on_step` is called at each write point, so that a test can kill the process there.
 
     Raises:
-        StoreError: The store cannot be opened; the type says why.
+        StoreError: The store cannot be opened; the subclass gives the cause.
     """
 
     def __init__(
@@ -91,23 +93,23 @@
 
     @contextlib.contextmanager
     def _errors_at_opening(self, max_size_bytes: int) -> Iterator[None]:
-        """Raises what goes wrong within it as a StoreError."""
+        """Converts errors raised while the store is opened to a StoreError."""
         try:
             yield
         except lmdb.MapFullError as error:
-            raise StoreFullError(f"{self.folder}: its {max_size_bytes} bytes are full") from error
+            raise StoreFullError(f"{self.folder}: size limit of {max_size_bytes} bytes reached") from error
         except (lmdb.ReadonlyError, PermissionError) as error:
             raise StoreReadOnlyError(f"{self.folder}: {error}") from error
         except OSError as error:
             is_read_only = error.errno in (errno.EROFS, errno.EACCES)
             raise (StoreReadOnlyError if is_read_only else StoreError)(f"{self.folder}: {error}") from error
         except lmdb.NotFoundError as error:
-            raise StoreCorruptError(f"{self.folder}: a part of it is missing") from error
+            raise StoreCorruptError(f"{self.folder}: a database of the store is missing") from error
         except lmdb.Error as error:
             raise StoreCorruptError(f"{self.folder}: {error}") from error
 
     def _check_schema(self, write: bool) -> None:
-        """Migrates an older store where it may be written."""
+        """Migrates a store of an older schema if it is opened for writing."""
         with self.reading(META) as (txn, part):
             value = txn.get(SCHEMA_KEY, db=part)
         try:
@@ -115,12 +117,12 @@
         except CorruptValueError as error:
             raise StoreCorruptError(f"{self.folder}: {error}") from error
         if schema > SCHEMA:
-            raise StoreSchemaTooNewError(f"{self.folder}: schema {schema}, this version knows {SCHEMA} at most")
+            raise StoreSchemaTooNewError(f"{self.folder}: expected schema {SCHEMA} or older, got {schema}")
         if schema < SCHEMA and write:
             self._migrate(schema)
 
     def _migrate(self, schema: int) -> None:
-        """Writes all rows in the present schema, in one commit; a new store has schema 0."""
+        """Rewrites all rows in the current schema, in one commit; a new store has schema 0."""
         entries = [Entry(META, SCHEMA_KEY, SCHEMA)]
         for name in PARTS if schema else ():
             if name == META:
@@ -128,17 +130,17 @@
             with self.reading(name) as (txn, part):
                 for key, value in txn.cursor(db=part):
                     row = msgspec.msgpack.decode(bytes(value)[CHECKSUM_BYTES:])
-                    entries.append(Entry(name, bytes(key), migrated(name, row, schema)))
+                    entries.append(Entry(name, bytes(key), migrate_row(name, row, schema)))
         self.write(entries)
 
-    # reading
+    # reads
 
     @contextlib.contextmanager
     def reading(self, part: str) -> Iterator[tuple[Any, Any]]:
-        """A transaction over one moment's state, and the part's database in it.
+        """Returns a context manager that yields a read transaction on a snapshot, and the database of a part.
 
         Raises:
-            StoreCorruptError: Pages do not read.
+            StoreCorruptError: Pages are corrupt.
         """
         try:
             with self.env.begin() as txn:
@@ -147,10 +149,10 @@
             raise StoreCorruptError(f"{self.folder}: {error}") from error
 
     def rows(self, part: str, prefix: bytes = b"") -> list[tuple[bytes, Any]]:
-        """Returns the keys and rows of a part, in the order of their keys.
+        """Returns the keys and rows of a part, sorted by key.
 
         Raises:
-            StoreCorruptError: A page or a value does not read.
+            StoreCorruptError: A page or a value is corrupt.
         """
         found = []
         with self.reading(part) as (txn, db):
@@ -170,7 +172,7 @@
         return [row for _, row in self.rows(VERSIONS, number_key(table))]
 
     def last_number(self, part: str, prefix: bytes) -> int:
-        """Returns the last of the numbers that keys of this prefix end with; 0 where there is none."""
+        """Returns the last number in the highest key with this prefix; 0 if no key has the prefix."""
         with self.reading(part) as (txn, db):
             cursor = txn.cursor(db=db)
             above = number_key(*numbers_of(prefix)[:-1], numbers_of(prefix)[-1] + 1) if prefix else b"\xff" * 8
@@ -178,13 +180,13 @@
             key = bytes(cursor.key()) if found else b""
         return numbers_of(key)[-1] if key and key.startswith(prefix) else 0
 
-    # writing
+    # writes
 
     def write(self, entries: list[Entry]) -> None:
         """Writes all entries or none; they are durable when this returns, unless `fsync` is off.
 
         Raises:
-            StoreError: They could not be written; the type says why.
+            StoreError: The entries could not be written; the subclass gives the cause.
         """
         try:
             self.on_step("begin")
@@ -207,7 +209,7 @@
             raise StoreError(f"{self.folder}: {error}") from error
 
     def apply_retention(self, now_ms: float, max_versions: int, max_age_ms: float, max_journal_rows: int) -> int:
-        """Removes the rows that are kept no longer; returns how many they were."""
+        """Removes the rows that exceed the retention limits; returns how many."""
         entries = self._versions_to_drop(now_ms, max_versions, max_age_ms)
         journal = [key for key, _ in self.rows(JOURNAL)]
         entries += [Entry(JOURNAL, key, None) for key in journal[: max(0, len(journal) - max_journal_rows)]]
@@ -216,7 +218,7 @@
         return len(entries)
 
     def _versions_to_drop(self, now_ms: float, max_versions: int, max_age_ms: float) -> list[Entry]:
-        """Returns the removal of each table's versions that are too old or too many."""
+        """Returns entries that remove each table's versions beyond the retention limits."""
         pinned: dict[int, set[str]] = {}
         for _, pin in self.rows(PINS):
             pinned.setdefault(pin.table, set()).add(pin.name)
@@ -229,10 +231,10 @@
             for number in numbers_to_drop(versions, pinned.get(table, set()), now_ms, max_versions, max_age_ms)
         ]
 
-    # for operators
+    # operators' commands
 
     def check(self) -> dict[str, Any]:
-        """Reads all of it; returns how many rows each part has, what does not read, and the bytes used."""
+        """Reads the complete store; returns the rows of each part, the corrupt values, the bytes used and the limit."""
         found: dict[str, Any] = {"rows": {}, "bad": []}
         for part in PARTS:
             count = 0
@@ -250,21 +252,21 @@
         return found
 
     def compact(self, to: Path) -> None:
-        """Writes a copy without free pages to a new folder."""
+        """Copies the store without its free pages to a new folder."""
         to.mkdir(parents=True)
         self.env.copy(str(to), compact=True)
 
     def export_rows(self) -> Iterator[dict[str, Any]]:
-        """Yields all rows as plain values, a dict each."""
+        """Yields all rows, each as a dict of plain values."""
         for part in PARTS:
             for key, row in self.rows(part):
                 yield {"part": part, "key": key.hex(), "row": msgspec.to_builtins(row)}
 
     def import_rows(self, exported: Iterator[dict[str, Any]]) -> int:
-        """Writes rows as `export_rows` yielded them, in one commit; returns how many they were.
+        """Writes rows in the form yielded by `export_rows`, in one commit; returns how many.
 
         Raises:
-            InvalidExportError: A row does not read; nothing was written.
+            InvalidExportError: A row is invalid; nothing was written.
         """
         entries = []
         for line in exported:
@@ -277,8 +279,8 @@
         return len(entries)
 
 
-def set_aside(folder: Path) -> Path:
-    """Moves a store that cannot be used out of the way; returns where it is now."""
-    aside = folder.with_name(f"{folder.name}.aside-{time.time_ns()}")
-    folder.replace(aside)
-    return aside
+def rename_corrupt_store(folder: Path) -> Path:
+    """Renames the folder of a corrupt store, to free its path for a new one; returns the new path."""
+    path = folder.with_name(f"{folder.name}.aside-{time.time_ns()}")
+    folder.replace(path)
+    return path
--- a/quillstep/store/writer.py
+++ b/quillstep/store/writer.py
@@ -1,7 +1,7 @@
-"""The store's thread in a controller: commits what the deciding thread submits, in groups, and reports what is durable.
+"""The store writer of a controller: commits submissions of the deciding thread in groups, then reports them durable.
 
-The deciding thread never waits for the disk: its updates wait, up to a time.  Where the store fails, that is logged,
-and the controller goes on without it.
+The deciding thread never blocks on the disk; instead, updates are withheld for a limited time until they are durable.
+If the store fails, the failure is logged and the controller continues without a store.
 """
 
 import contextlib
@@ -22,8 +22,8 @@
     OperatorTarget,
     PinnedVersion,
     StoreEvent,
-    StoreLost,
     StoreOpened,
+    StoreUnavailable,
     UpdatesStored,
 )
 from quillstep.store.records import (
@@ -40,45 +40,46 @@
     VersionRow,
     number_key,
 )
-from quillstep.store.store import Store, ignore_step, set_aside
+from quillstep.store.store import Store, ignore_step, rename_corrupt_store
 
-MAX_GROUP = 256  # submissions in one commit
-MAX_WAITING = 4096  # submissions, beyond which journal rows are left out
-MAX_NODE_KEY_BYTES = 400  # LMDB's keys have at most 511
+MAX_SUBMISSIONS_PER_COMMIT = 256
+MAX_QUEUED_SUBMISSIONS = 4096  # no journal rows are added while more submissions are queued
+MAX_NODE_KEY_BYTES = 400  # below the limit of LMDB, whose keys have at most 511 bytes
 RETENTION_INTERVAL_S = 60.0
 MS_PER_HOUR = 3_600_000.0
 INCARNATION_KEY = number_key(0)
 
 
 def open_store(settings: StoreSettings, on_step: Callable[[str], None] = ignore_step) -> Store:
-    """Opens the configured store; a corrupt one is set aside and a new one begun.
+    """Opens the configured store; a corrupt store is renamed and a new one is created.
 
     Raises:
-        StoreError: It cannot be used for another reason.
+        StoreError: The store cannot be used for a reason other than corruption.
     """
     try:
         store = Store(settings.folder, settings.max_size_bytes, settings.fsync, on_step=on_step)
         for part in (PINS, OPERATOR_COMMANDS, INCARNATIONS):
             store.rows(part)
     except StoreCorruptError as error:
-        aside = set_aside(Path(settings.folder))
-        structlog.get_logger("store").error("store set aside", reason=str(error), now=str(aside))
+        path = rename_corrupt_store(Path(settings.folder))
+        structlog.get_logger("store").error("corrupt store renamed", reason=str(error), path=str(path))
         return Store(settings.folder, settings.max_size_bytes, settings.fsync, on_step=on_step)
     return store
 
 
 class Submission(NamedTuple):
-    """Entries to write, and the revision that is durable once they are."""
+    """Entries to write, and the revision that is durable once they are written."""
 
     revision: int
     entries: list[Entry]
 
 
 class StoreWriter:
-    """One controller's store.
+    """Writes one controller's store.
 
-    The deciding thread makes entries and submits them; `run` is the store's thread, which alone writes.  What both use
-    is the queue of submissions.  `put` takes events for the deciding thread; it may block the store's thread.
+    The deciding thread creates entries and submits them.  `run` is executed by the store's thread, which alone writes
+    to the store.  Both threads share the queue of submissions.  `put` publishes events to the deciding thread; it may
+    block the store's thread.
     """
 
     def __init__(
@@ -86,18 +87,18 @@
     ) -> None:
         self.settings, self.store, self.incarnation, self.put = settings, store, incarnation, put
         self.submissions: queue.Queue[Submission] = queue.Queue()
-        self.version_numbers: dict[int, int] = {}  # the last, by table
+        self.version_numbers: dict[int, int] = {}  # last number used, by table
         self.journal_number = store.last_number(JOURNAL, b"")
         self.stopping = threading.Event()
-        self.failure = ""  # why the store is no longer written; empty: it is
-        self.delivered_commands: set[bytes] = set()  # keys of operators' commands that the deciding thread has
+        self.failure = ""  # why the store has failed; empty while it works
+        self.published_commands: set[bytes] = set()  # keys of operators' commands sent to the deciding thread
         self.commits, self.commit_ms, self.max_commit_ms, self.skipped_journal_rows = 0, 0.0, 0.0, 0
         self.log = structlog.get_logger("store")
 
-    # in the deciding thread
+    # methods of the deciding thread
 
     def opened_event(self) -> StoreOpened:
-        """Returns what the last incarnation left: the newest versions of each table, and its pins."""
+        """Returns the state stored by earlier incarnations: the newest versions of each table, and the pins."""
         tables: dict[int, list[VersionRow]] = {}
         for _, row in self.store.rows(VERSIONS):
             tables.setdefault(row.table, []).append(row)
@@ -108,12 +109,12 @@
             if row := by_name.get((pin.table, pin.name)):
                 pinned.append(PinnedVersion(version_values(row), pin.cause, pin.operator))
             else:
-                reason = "its version is not kept"
-                self.log.error("pin passed over", table=pin.table, version=pin.name, reason=reason)
+                reason = "version not retained"
+                self.log.error("pin skipped", table=pin.table, version=pin.name, reason=reason)
         return StoreOpened(time.time() * 1000.0, [version_values(row) for row in recovered], pinned)
 
     def version_entry(self, version: TableVersion, wall_ms: float) -> Entry:
-        """Returns a version as the next row of its table."""
+        """Returns the entry of a version, numbered after the last one of its table."""
         table = version.table
         if table not in self.version_numbers:
             self.version_numbers[table] = self.store.last_number(VERSIONS, number_key(table))
@@ -133,43 +134,43 @@
         return Entry(VERSIONS, number_key(table, self.version_numbers[table]), row)
 
     def acknowledged_entry(self, node: str, revision: int, wall_ms: float) -> Entry:
-        """Returns the newest revision that a proxy has acknowledged."""
+        """Returns the entry of the newest revision that a proxy has acknowledged."""
         row = AcknowledgedUpdate(node, self.incarnation, revision, wall_ms)
         return Entry(ACKNOWLEDGED_UPDATES, node.encode()[:MAX_NODE_KEY_BYTES], row)
 
-    def journal_entries(self, revision: int, wall_ms: float, orders: list[Any]) -> list[Entry]:
-        """Returns the journal row of what the planner wrote in an update; none while the disk is behind."""
-        if self.submissions.qsize() > MAX_WAITING:
+    def journal_entries(self, revision: int, wall_ms: float, output: list[Any]) -> list[Entry]:
+        """Returns the journal entry of the planner's output in an update; none while the disk is behind."""
+        if self.submissions.qsize() > MAX_QUEUED_SUBMISSIONS:
             self.skipped_journal_rows += 1
             return []
         self.journal_number += 1
-        return [Entry(JOURNAL, number_key(self.journal_number), [self.incarnation, revision, wall_ms, orders])]
+        return [Entry(JOURNAL, number_key(self.journal_number), [self.incarnation, revision, wall_ms, output])]
 
     @staticmethod
     def pin_entry(version: TableVersion, wall_ms: float) -> Entry:
-        """Returns the pin of a table to a version."""
+        """Returns the entry that pins a table to a version."""
         row = PinRow(version.table, version.name, version.operator, wall_ms, version.cause)
         return Entry(PINS, number_key(version.table), row)
 
     @staticmethod
     def release_entry(table: int) -> Entry:
-        """Returns the removal of a table's pin."""
+        """Returns the entry that removes a table's pin."""
         return Entry(PINS, number_key(table), None)
 
     @staticmethod
     def command_done_entry(key: str) -> Entry:
-        """Returns the removal of an operator's command that was carried out."""
+        """Returns the entry that removes an operator's command after its execution."""
         return Entry(OPERATOR_COMMANDS, bytes.fromhex(key), None)
 
     def submit(self, revision: int, entries: list[Entry]) -> None:
-        """Submits entries to be written; the revision is reported as durable once they are."""
+        """Submits entries; the revision is reported as durable once they are written."""
         if not self.failure:
             self.submissions.put(Submission(revision, entries))
 
-    # in the store's thread
+    # methods of the store's thread
 
     def run(self) -> None:
-        """Writes submissions, delivers operators' commands and applies the retention until `stop`; closes the store."""
+        """Writes submissions, publishes operators' commands and applies retention until `stop`; closes the store."""
         try:
             incarnation = IncarnationRow(self.incarnation, time.time() * 1000.0)
             self.store.write([Entry(INCARNATIONS, INCARNATION_KEY, incarnation)])
@@ -183,47 +184,47 @@
                 self.store.close()
 
     def _serve(self) -> None:
-        polled_s = retained_s = 0.0
+        last_poll_s = last_retention_s = 0.0
         while True:
             group = self._next_group()
             if group:
                 self._commit(group)
             now_s = time.monotonic()
-            if now_s - polled_s > self.settings.operator_poll_interval_ms / 1000.0:
-                polled_s = now_s
-                self._deliver_commands()
-            if now_s - retained_s > RETENTION_INTERVAL_S:
-                retained_s = now_s
+            if now_s - last_poll_s > self.settings.operator_poll_interval_ms / 1000.0:
+                last_poll_s = now_s
+                self._publish_commands()
+            if now_s - last_retention_s > RETENTION_INTERVAL_S:
+                last_retention_s = now_s
                 self._apply_retention()
             if self.stopping.is_set() and self.submissions.empty():
                 return
 
     def _next_group(self) -> list[Submission]:
-        """Returns what has been submitted, for one commit; waits a while for the first."""
+        """Returns the submissions for one commit; waits up to the poll interval for the first."""
         try:
             group = [self.submissions.get(timeout=self.settings.operator_poll_interval_ms / 1000.0)]
         except queue.Empty:
             return []
-        while len(group) < MAX_GROUP and not self.submissions.empty():
+        while len(group) < MAX_SUBMISSIONS_PER_COMMIT and not self.submissions.empty():
             group.append(self.submissions.get())
         return group
 
     def _commit(self, group: list[Submission]) -> None:
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         self.store.write([entry for submission in group for entry in submission.entries])
-        took_ms = (time.monotonic() - begun_s) * 1000.0
-        self.commits, self.commit_ms = self.commits + 1, self.commit_ms + took_ms
-        self.max_commit_ms = max(self.max_commit_ms, took_ms)
+        duration_ms = (time.monotonic() - started_s) * 1000.0
+        self.commits, self.commit_ms = self.commits + 1, self.commit_ms + duration_ms
+        self.max_commit_ms = max(self.max_commit_ms, duration_ms)
         self.put(UpdatesStored(max(submission.revision for submission in group)))
 
-    def _deliver_commands(self) -> None:
-        """Delivers each operator's command once, with the versions that it names."""
+    def _publish_commands(self) -> None:
+        """Publishes each operator's command once, with the versions that it names."""
         commands = self.store.rows(OPERATOR_COMMANDS)
-        self.delivered_commands &= {key for key, _ in commands}
+        self.published_commands &= {key for key, _ in commands}
         for key, command in commands:
-            if key in self.delivered_commands:
+            if key in self.published_commands:
                 continue
-            self.delivered_commands.add(key)
+            self.published_commands.add(key)
             targets = []
             for table, name in command.targets:
                 rows = [row for row in self.store.versions(table) if row.name == name]
@@ -236,25 +237,25 @@
         self.store.apply_retention(time.time() * 1000.0, settings.keep_versions, max_age_ms, settings.keep_orders)
 
     def _fail(self, error: StoreError) -> None:
-        """Goes on without a store: no update waits for it any more."""
+        """Reports the failure; from then on no update waits for the store."""
         self.failure = str(error)
-        self.log.error("store lost", kind=error.reason, reason=str(error))
-        self.put(StoreLost(str(error)))
+        self.log.error("store unavailable", kind=error.reason, reason=str(error))
+        self.put(StoreUnavailable(str(error)))
 
-    # for both
+    # methods of either thread
 
     def stop(self) -> None:
-        """Asks the store's thread to write what was submitted and to end; does not wait for it."""
+        """Requests the store's thread to write the queued submissions and stop; does not wait for it."""
         self.stopping.set()
 
-    def figures(self) -> dict[str, float]:
-        """Returns the commits so far, their mean and worst time in milliseconds, for the log."""
+    def commit_stats(self) -> dict[str, float]:
+        """Returns the number of commits, and their mean and maximum duration in milliseconds, for the log."""
         mean_ms = self.commit_ms / self.commits if self.commits else 0.0
         return {"commits": self.commits, "mean_ms": round(mean_ms, 3), "worst_ms": round(self.max_commit_ms, 3)}
 
 
 def version_values(row: VersionRow) -> list[Any]:
-    """Returns a version as plain values, as the deciding thread and its recording take it."""
+    """Returns a version as plain values, for the deciding thread and its recording."""
     weights = [list(weight) for weight in row.weights]
     admission = [list(limit) for limit in row.admission]
     return [row.name, row.table, row.parent, row.cause, row.operator, row.wall_ms, weights, admission]
