--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -11,7 +11,7 @@
 
 import msgspec
 from envoy.service.discovery.v3 import discovery_pb2
-from memory_fleet import MemoryPilot, order, pilot_record
+from memory_fleet import MemoryController, apply_update, controller_settings
 
 from quillstep.config.controller import ControllerSettings, RolloutGateSettings
 from quillstep.config.errors import ConfigError
@@ -214,25 +214,25 @@
 
     Names within one response stand in the order of a set, which differs from process to process: they are sorted here.
     """
-    pilot = MemoryPilot(endpoints=6, record=pilot_record(gate=RolloutGateSettings(enabled=False)))
+    pilot = MemoryController(endpoints=6, settings=controller_settings(gate=RolloutGateSettings(enabled=False)))
     lines = []
     proxy = recording_proxy(pilot, "p0", "a", lines)
     pilot.run(3000)
     sotw = SotwProxy(pilot, "old", "b", lines)
     sotw.run(2000)
-    order(pilot, lambda tables: [tables.set_weight(0, 3, 17.0), tables.set_admission(0, [0, 1], 12.5, 1)])
+    apply_update(pilot, lambda tables: [tables.set_weight(0, 3, 17.0), tables.set_admission(0, [0, 1], 12.5, 1)])
     sotw.run(600)
-    pilot.roster("partial", [2], "terminating")
+    pilot.receive_endpoint_list("partial", [2], "terminating")
     sotw.run(1500)
-    proxy.refuses = True
-    order(pilot, lambda tables: tables.set_weight(0, 4, 3.0))
+    proxy.rejects = True
+    apply_update(pilot, lambda tables: tables.set_weight(0, 4, 3.0))
     sotw.run(300)
-    proxy.refuses = False
-    order(pilot, lambda tables: tables.set_weight(0, 4, 5.0))
+    proxy.rejects = False
+    apply_update(pilot, lambda tables: tables.set_weight(0, 4, 5.0))
     sotw.run(1500)
     held = {url: dict(versions) for url, versions in proxy.versions.items()}
     proxy.leave()
-    order(pilot, lambda tables: [tables.set_weight(0, 1, 0.0), tables.set_weight(0, 5, 8.0)])
+    apply_update(pilot, lambda tables: [tables.set_weight(0, 1, 0.0), tables.set_weight(0, 5, 8.0)])
     sotw.run(400)
     recording_proxy(pilot, "p0", "a", lines, held)
     sotw.run(3000)
@@ -296,7 +296,7 @@
     rows.update({("line", 0, at): ("127.0.0.1", 9000 + at, float(at)) for at in range(1, 30)})
     rows.update({("line", 1, at): ("127.0.0.1", 9000 + at, 2.0) for at in range(3, 9)})
     rows["out", 9] = ("127.0.0.1", 9009, "draining")
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     files = GenerationEncoder(pilot.encoder, form, 4).files(
         {key: make_resource(key, what) for key, what in rows.items()}
     )
--- a/tests/files/test_disk.py
+++ b/tests/files/test_disk.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from file_generations import contents, packed
-from memory_fleet import MemoryPilot, pilot_record
+from memory_fleet import MemoryController, controller_settings
 
 from quillstep.config.controller import FileSettings
 from quillstep.files.disk import STEPS, Disk, UnusableFileError, read_ack, safe_name
@@ -19,7 +19,7 @@
 WRITER = """
 import os, signal, sys
 sys.path.insert(0, "tests")
-from memory_fleet import MemoryPilot
+from memory_fleet import MemoryController
 from file_generations import packed
 from quillstep.files.disk import Disk
 
@@ -29,7 +29,7 @@
 
 armed = False
 disk = Disk(sys.argv[1], step=step)
-pilot = MemoryPilot()
+pilot = MemoryController()
 os.makedirs(sys.argv[1] + "/p", exist_ok=True)
 disk.swap("p", 1, *packed(pilot, 1, 5.0), set())
 armed = True
@@ -44,7 +44,7 @@
     assert done.returncode == -signal.SIGKILL
     told, files = read_generation(root / "p")
     found = read_resources(files)
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     swapped = STEPS.index(step) >= STEPS.index("swapped")
     assert told.generation == (2 if swapped else 1)
     assert {k: c.version for k, c in found.items()} == {
@@ -62,7 +62,7 @@
 
 
 def test_one_changed_weight_writes_one_small_file_and_links_the_rest(tmp_path):
-    pilot, disk = MemoryPilot(), Disk(str(tmp_path))
+    pilot, disk = MemoryController(), Disk(str(tmp_path))
     (tmp_path / "p").mkdir()
     disk.swap("p", 1, *packed(pilot, 1, 5.0), set())
     before = set(os.listdir(tmp_path / ".objects"))
@@ -77,7 +77,7 @@
 
 
 def test_a_reader_in_the_middle_of_swaps_never_sees_a_torn_or_mixed_set(tmp_path):
-    pilot, disk = MemoryPilot(), Disk(str(tmp_path), fsync=False)
+    pilot, disk = MemoryController(), Disk(str(tmp_path), fsync=False)
     (tmp_path / "p").mkdir()
     disk.swap("p", 1, *packed(pilot, 1, 1.0), set())
     number, outcomes = 1, {"whole": 0, "cleared": 0}
@@ -113,7 +113,7 @@
 
 def test_a_controller_on_a_root_in_use_ends_with_a_clear_error(tmp_path):
     disk = Disk(str(tmp_path / "root"))
-    record = pilot_record(files=FileSettings(root=str(tmp_path / "root")))
+    record = controller_settings(files=FileSettings(root=str(tmp_path / "root")))
     path = tmp_path / "p.cue"
     path.write_bytes(msgspec.json.encode(record.model_dump()))
     command = [sys.executable, "-m", "quillstep.cli", "controller", "--settings", str(path)]
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("lay", [lay_link, lay_wide, lay_file, lay_inner_link])
 def test_paths_placed_by_others_are_rejected(tmp_path, lay):
-    pilot, disk = MemoryPilot(), Disk(str(tmp_path))
+    pilot, disk = MemoryController(), Disk(str(tmp_path))
     lay(tmp_path)
     with pytest.raises(UnusableFileError):
         disk.swap("p", 1, *packed(pilot, 1, 1.0), set())
--- a/tests/files/test_front.py
+++ b/tests/files/test_front.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from memory_fleet import MemoryPilot, order, pilot_record
+from memory_fleet import MemoryController, apply_update, controller_settings
 
 from quillstep.config.controller import FileSettings
 from quillstep.files.disk import Disk, safe_name
@@ -25,10 +25,10 @@
     """A file front on a core with a disk, its news taken in by hand."""
 
     def __init__(self, root, step=lambda name: None):
-        record = pilot_record(
+        record = controller_settings(
             files=FileSettings(root=str(root), poll_interval_ms=5.0, idle_timeout_ms=60000.0, retry_backoff_ms=10.0)
         )
-        self.pilot = MemoryPilot(record=record)
+        self.pilot = MemoryController(settings=record)
         self.news, self.ready = [], threading.Condition()
         self.taps = []
         core = self.pilot.core
@@ -110,7 +110,7 @@
     failing.append(True)
     stream = fronted.pilot.join("s/1")  # a proxy on a stream beside it
     fronted.until(lambda: fronted.pilot.core.tables.proxies[stream.number].assignments)
-    order(fronted.pilot, lambda tables: tables.set_ejected(4, True, "draining"))
+    apply_update(fronted.pilot, lambda tables: tables.set_ejected(4, True, "draining"))
     fronted.until(lambda: next(iter(fronted.front.generations.values())).failures >= 2)
     assert current(here) == 1 and read_generation(here)[0].generation == 1
     catch_up(stream)  # its neighbour's drain does not wait for the disk
@@ -165,7 +165,7 @@
     again.until(lambda: again.front.generations and again.pilot.core.tables.proxies[0].assignments)
     ledger = again.pilot.core.tables.proxies[0]
     assert ledger.acknowledged and not ledger.in_flight_updates
-    order(again.pilot, lambda tables: tables.set_weight(0, 3, 77.0))
+    apply_update(again.pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     again.until(lambda: current(here) > number)
     sent = [fields for what, fields in again.taps if what == "send"]
     assert not sent or sent[0]["lines"] <= 2
--- a/tests/files/test_proxy_generations.py
+++ b/tests/files/test_proxy_generations.py
@@ -1,7 +1,7 @@
 """One proxy's generations: acknowledged, rejected, failed to write."""
 
 import pytest
-from memory_fleet import MemoryPilot, order
+from memory_fleet import MemoryController, apply_update
 
 from quillstep.files.proxy_generations import ProxyGenerations
 from quillstep.routing.resources import CLUSTER, EJECTED, ROUTES, WEIGHT
@@ -27,19 +27,19 @@
 
 
 def test_the_first_generation_is_complete_and_the_next_counts_the_change_alone():
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     generations, step = generations_of(pilot)
     first = step()
     assert {(CLUSTER, 0), (ROUTES,)} <= first.resources.keys()
     assert sum(key[0] == WEIGHT for key in first.resources) == 6
     assert generations.handle_ack(pilot.core.tables, first.number, "", pilot.now).acknowledged
-    order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
+    apply_update(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     second = step()
     assert (second.updated, second.removed) == (1, 0) and len(second.resources) == len(first.resources)
 
 
 def test_a_rejected_generation_is_not_written_again_and_its_drain_goes_without_the_rest():
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     generations, step = generations_of(pilot)
     tables = pilot.core.tables
     generations.handle_ack(tables, step().number, "", pilot.now)
@@ -48,7 +48,7 @@
         tables.set_ejected(4, True, "draining")
         tables.set_weight(0, 3, 77.0)
 
-    order(pilot, write)
+    apply_update(pilot, write)
     refused = step()
     assert generations.handle_ack(tables, refused.number, "bad line", pilot.now).nack
     drain = step()
@@ -61,13 +61,13 @@
 
 
 def test_a_resource_that_returns_is_held_by_its_own_generations_acknowledgement_alone():
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     generations, step = generations_of(pilot)
     tables = pilot.core.tables
     generations.handle_ack(tables, step().number, "", pilot.now)
     made = []
     for weight in (55.0, 66.0, 55.0):
-        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
+        apply_update(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
         made.append(step())
     ledger = tables.proxies[generations.proxy]
     assert made[0].resources[WEIGHT, 0, 3] == made[2].resources[WEIGHT, 0, 3] and made[0].number < made[2].number
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("number", [-1, 99, 7])
 def test_an_acknowledgement_of_an_unknown_generation_is_ignored(number):
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     generations, step = generations_of(pilot)
     step()
     word = generations.handle_ack(pilot.core.tables, number, "", pilot.now)
@@ -88,13 +88,13 @@
 
 
 def test_what_could_not_be_written_is_written_next_with_later_changes():
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     generations, step = generations_of(pilot)
     tables = pilot.core.tables
     generations.handle_ack(tables, step().number, "", pilot.now)
-    order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
+    apply_update(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     made = generations.next(tables, pilot.now)
-    order(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
+    apply_update(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
     assert generations.next(tables, pilot.now) is None  # one at a time
     generations.mark_failed(tables.proxies[generations.proxy], made.number, pilot.now, 200.0)
     assert generations.next(tables, pilot.now) is None  # and not at once after a failure
@@ -103,13 +103,13 @@
 
 
 def test_an_endpoint_ejected_while_a_generation_is_written_goes_with_the_next_at_once():
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     generations, step = generations_of(pilot)
     tables = pilot.core.tables
     generations.handle_ack(tables, step().number, "", pilot.now)
-    order(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
+    apply_update(pilot, lambda tables: tables.set_weight(0, 3, 77.0))
     assert generations.next(tables, pilot.now)
-    order(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
+    apply_update(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
     generations.mark_written()
     after = generations.next(tables, pilot.now)
     assert (EJECTED, 4) in after.resources and after.updated == 1
@@ -118,7 +118,7 @@
 
 
 def test_a_proxy_that_comes_from_a_stream_loses_nothing_on_its_first_generation():
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     stream = pilot.join("p1")
     pilot.run(3000)
     held = dict(pilot.core.tables.proxies[stream.number].acknowledged)
@@ -129,7 +129,7 @@
     while made is None:
         pilot.now += 10.0
         pilot.core.step(pilot.now)
-        order(pilot, lambda tables: tables.set_ejected(5, True, "lost"))
+        apply_update(pilot, lambda tables: tables.set_ejected(5, True, "lost"))
         made = generations.next(pilot.core.tables, pilot.now)
     assert held.keys() <= made.resources.keys() and (EJECTED, 5) in made.resources
     assert sum(made.resources[key].version != version for key, version in held.items()) <= made.updated
--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -12,7 +12,7 @@
 import pytest
 from envoy.service.discovery.v3 import discovery_pb2
 from load_report_builders import endpoint_row, load_report
-from memory_fleet import MemoryPilot, pilot_record, small_day
+from memory_fleet import MemoryController, controller_settings, small_scenario
 
 from quillstep.bench.load_reports import measure
 from quillstep.config.controller import LoadReportSettings
@@ -31,7 +31,7 @@
 
 def test_the_core_publishes_a_drain_while_reports_wait():
     """News goes first: with more reports than the budget allows, a drain is ordered in the round that follows it."""
-    pilot = MemoryPilot(record=pilot_record(reports=LoadReportSettings(rows_per_s=500.0)))
+    pilot = MemoryController(settings=controller_settings(reports=LoadReportSettings(rows_per_s=500.0)))
     proxies = [pilot.join(f"p{at}") for at in range(6)]
     pilot.run(3000.0)
     chance = random.Random(4)
@@ -40,7 +40,7 @@
             row = load_report(number, [endpoint_row(1 + chance.randrange(6))], end_ms=pilot.now, sent_ms=pilot.now)
             pilot.core.add_load_report(proxy.number, row)
     began = pilot.now
-    pilot.roster("partial", [3], "terminating")
+    pilot.receive_endpoint_list("partial", [3], "terminating")
     while not any("withdrawn/3" in name for proxy in proxies for _, names, _ in proxy.log for name in names):
         pilot.run(10.0)
         assert pilot.now - began < 200.0
@@ -75,7 +75,7 @@
 def test_a_zone_reconnects_with_old_reports_while_a_reader_dies_and_an_endpoint_drains(tmp_path, by):
     """Heavy reports, a third of them late, a zone's proxies cut off and back, readers killed: the rules hold."""
     listen = ["127.0.0.1:0", "127.0.0.1:0"] if by == "processes" else []
-    day = small_day(
+    day = small_scenario(
         seconds=7.0, proxies=12, pilots=1, capture=True, reports={"by": by, "listen": listen, "work_per_s": 4000.0},
         troubles=[
             {"at_s": 0.2, "for_s": 7.0, "what": "reports_heavy", "count": 12},
@@ -113,7 +113,7 @@
     ],
 )
 def test_a_drain_is_kept_while_a_controller_dies_or_reports_are_too_large(tmp_path, pilots, more, trouble):
-    day = small_day(
+    day = small_scenario(
         seconds=6.0, proxies=12, pilots=pilots, endpoints=[{"each_zone": 8}],
         reports={"by": "processes", "listen": ["127.0.0.1:0"], **more},
         troubles=[
@@ -128,7 +128,7 @@
 
 
 def test_a_report_that_is_too_large_ends_its_stream_and_nothing_else(tmp_path):
-    day = small_day(pilots=1, reports={"message_most_bytes": 4096})
+    day = small_scenario(pilots=1, reports={"message_most_bytes": 4096})
     arm = Arm(day, plan_scenario(day), "learnt", tmp_path / "learnt")
     try:
         arm.start_endpoints()
--- a/tests/load_reports/readers/test_session.py
+++ b/tests/load_reports/readers/test_session.py
@@ -3,7 +3,7 @@
 import pytest
 from envoy.service.load_stats.v3 import lrs_pb2
 from load_report_builders import USUAL, attempts, message, new_aggregator, open_session_stream
-from memory_fleet import pilot_record
+from memory_fleet import controller_settings
 
 from quillstep.load_reports.collector import ReportCollector
 from quillstep.load_reports.messages import ReportRequest
@@ -117,7 +117,7 @@
         and found.latencies == [ClassLatency(0, 2, 140.0)]
         and found.has_arrivals
     )
-    collector = ReportCollector(pilot_record())
+    collector = ReportCollector(controller_settings())
     collector.add_summary(ReportSummary(latencies=[LatencyRow("a", 0, 70.0, 99), LatencyRow("b", 0, 900.0, 1)]), 0.0)
     assert collector.statistics(["lookup"])["lookup"][0] == pytest.approx(70, rel=0.02)
 
--- a/tests/load_reports/test_collector.py
+++ b/tests/load_reports/test_collector.py
@@ -1,7 +1,7 @@
 """Summaries of several readers become the planner's statistics."""
 
 import pytest
-from memory_fleet import pilot_record
+from memory_fleet import controller_settings
 
 from quillstep.config.controller import LoadReportSettings
 from quillstep.load_reports.collector import ReportCollector
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize(("proxies", "kept"), [(MIN_BOUNDED_PROXIES + 8, True), (4, False)])
 def test_one_of_many_proxies_moves_the_demand_by_a_third_at_most(proxies, kept):
-    made = ReportCollector(pilot_record())
+    made = ReportCollector(controller_settings())
     for second in range(1, 30):
         end_ms = second * 1000.0
         summary = ReportSummary()
@@ -26,12 +26,12 @@
 
 
 def test_what_was_not_reported_is_left_out_and_not_zero():
-    made = ReportCollector(pilot_record())
+    made = ReportCollector(controller_settings())
     assert made.due_ms() == float("inf") and made.drain(5.0) == ([], [])
 
 
 def test_a_reader_without_spare_budget_brings_the_next_plan_forward():
-    collector = ReportCollector(pilot_record(reports=LoadReportSettings(rows_per_s=3000.0, window_ms=100.0)))
+    collector = ReportCollector(controller_settings(reports=LoadReportSettings(rows_per_s=3000.0, window_ms=100.0)))
     for proxy in range(40):
         collector.add_proxy(proxy, 0.0)
     collector.plan_requests(collector.plan_due_ms())
--- a/tests/memory_fleet.py
+++ b/tests/memory_fleet.py
@@ -1,4 +1,4 @@
-"""A pilot's core with proxies that speak its streams in memory, and a fleet to run it on; no sockets, own clock."""
+"""A controller core with in-memory delta streams to test proxies, and a small fleet; no sockets, simulated clock."""
 
 from envoy.service.discovery.v3 import discovery_pb2
 
@@ -19,35 +19,35 @@
 ]
 
 
-def fleet(**other):
-    return FleetSettings(**{"zones": ["a", "b"], "classes": CLASSES, **other})
+def fleet(**overrides):
+    return FleetSettings(**{"zones": ["a", "b"], "classes": CLASSES, **overrides})
 
 
-def pilot_record(**other):
+def controller_settings(**overrides):
     base = {"name": "pilot-0", "seed": 7, "roster": "127.0.0.1:1", "fleet": fleet()}
-    return ControllerSettings(**{**base, **other})
+    return ControllerSettings(**{**base, **overrides})
 
 
 class MemoryProxy:
-    """A proxy at the far end of a delta stream; `read` answers what waits, as its switches say."""
+    """The proxy's side of a delta stream; `read` acknowledges unread responses, or rejects them if `rejects` is set."""
 
-    def __init__(self, pilot, name, zone="a", held=None):
-        self.pilot, self.name, self.zone = pilot, name, zone
+    def __init__(self, controller, name, zone="a", held=None):
+        self.controller, self.name, self.zone = controller, name, zone
         self.versions = {} if held is None else held
-        self.lines, self.refuses, self.waits = {}, False, []
-        self.line_ms = self.free_ms = 0.0  # what a line takes to apply; when the last one was
-        self.log, self.last = [], ""
-        core, record = pilot.core, pilot.core.settings
-        self.stream = DeltaStream(core.tables, pilot.encoder, record.limits, "e", core.ordered_ms)
+        self.lines, self.rejects, self.unread = {}, False, []
+        self.line_ms = self.busy_until_ms = 0.0  # time to apply a line; end of the last apply
+        self.log, self.last_nonce = [], ""
+        core, settings = controller.core, controller.core.settings
+        self.stream = DeltaStream(core.tables, controller.encoder, settings.limits, "e", core.ordered_ms)
         first = self.request(CDS)
         first.node.id = name
-        told = self.stream.initial_versions(first)
-        self.stream.proxy = self.number = core.add_proxy(name, zone, 5.0, told, not told)
-        self.say(first)
-        self.say(self.request(LEDS, EJECTED_COLLECTION, *(f"{resources.COLLECTION}{t}/*" for t in self.held(CDS))))
-        self.say(self.request(LDS))
-        self.say(self.request(RDS, "exchanges"))
-        self.say(self.request(EDS, *self.held(CDS)))
+        reported = self.stream.initial_versions(first)
+        self.stream.proxy = self.number = core.add_proxy(name, zone, 5.0, reported, not reported)
+        self.send(first)
+        self.send(self.request(LEDS, EJECTED_COLLECTION, *(f"{resources.COLLECTION}{t}/*" for t in self.held(CDS))))
+        self.send(self.request(LDS))
+        self.send(self.request(RDS, "exchanges"))
+        self.send(self.request(EDS, *self.held(CDS)))
 
     def held(self, url):
         return self.versions.setdefault(url, {})
@@ -57,65 +57,65 @@
         request.initial_resource_versions.update(self.held(url))
         return request
 
-    def say(self, request):
-        return self.stream.handle_request(request, self.pilot.now)
+    def send(self, request):
+        return self.stream.handle_request(request, self.controller.now)
 
     def pump(self):
-        for response in self.stream.pump(self.pilot.now):
-            self.waits.append(discovery_pb2.DeltaDiscoveryResponse.FromString(response.message))
-            if len(self.waits) == 1:
-                self.free_ms = self.pilot.now
+        for response in self.stream.pump(self.controller.now):
+            self.unread.append(discovery_pb2.DeltaDiscoveryResponse.FromString(response.message))
+            if len(self.unread) == 1:
+                self.busy_until_ms = self.controller.now
 
     def read(self, most=1000):
-        """Apply and acknowledge, or refuse, what waits; returns how many."""
+        """Applies and acknowledges, or rejects, up to `most` unread responses; returns how many."""
         done = 0
-        while self.waits and done < most:
-            response = self.waits[0]
-            self.free_ms += self.line_ms * (len(response.resources) + len(response.removed_resources))
-            if self.free_ms > self.pilot.now:
-                self.free_ms -= self.line_ms * (len(response.resources) + len(response.removed_resources))
+        while self.unread and done < most:
+            response = self.unread[0]
+            self.busy_until_ms += self.line_ms * (len(response.resources) + len(response.removed_resources))
+            if self.busy_until_ms > self.controller.now:
+                self.busy_until_ms -= self.line_ms * (len(response.resources) + len(response.removed_resources))
                 break
-            self.waits.pop(0)
+            self.unread.pop(0)
             done += 1
-            word = discovery_pb2.DeltaDiscoveryRequest(type_url=response.type_url, response_nonce=response.nonce)
+            reply = discovery_pb2.DeltaDiscoveryRequest(type_url=response.type_url, response_nonce=response.nonce)
             names = [resource.name for resource in response.resources]
             self.log.append((response.type_url, names, list(response.removed_resources)))
-            follow = []
-            if self.refuses(response) if callable(self.refuses) else self.refuses:
-                word.error_detail.code, word.error_detail.message = 3, "no"
+            subscriptions = []
+            if self.rejects(response) if callable(self.rejects) else self.rejects:
+                reply.error_detail.code, reply.error_detail.message = 3, "no"
             else:
                 for resource in response.resources:
-                    fresh = resource.name not in self.held(response.type_url)
+                    is_new = resource.name not in self.held(response.type_url)
                     self.held(response.type_url)[resource.name] = resource.version
-                    if response.type_url == CDS and fresh:
-                        follow.append((EDS, resource.name))
-                    if response.type_url == EDS and fresh:
-                        follow.append((LEDS, f"{resources.COLLECTION}{resource.name}/*"))
+                    if response.type_url == CDS and is_new:
+                        subscriptions.append((EDS, resource.name))
+                    if response.type_url == EDS and is_new:
+                        subscriptions.append((LEDS, f"{resources.COLLECTION}{resource.name}/*"))
                 for name in response.removed_resources:
                     self.held(response.type_url).pop(name, None)
-            self.last = response.nonce
-            self.say(word)
-            for url, name in follow:
-                self.say(discovery_pb2.DeltaDiscoveryRequest(type_url=url, resource_names_subscribe=[name]))
+            self.last_nonce = response.nonce
+            self.send(reply)
+            for url, name in subscriptions:
+                self.send(discovery_pb2.DeltaDiscoveryRequest(type_url=url, resource_names_subscribe=[name]))
             self.pump()
         return done
 
     def leave(self):
-        self.pilot.core.remove_proxy(self.number)
-        self.pilot.proxies.pop(self.name, None)
+        self.controller.core.remove_proxy(self.number)
+        self.controller.proxies.pop(self.name, None)
 
 
-class MemoryPilot:
-    """A core on a clock of its own."""
+class MemoryController:
+    """A controller core on a simulated clock."""
 
-    def __init__(self, endpoints=6, record=None, **limits):
-        self.core = ControllerCore(record or pilot_record(limits=LimitSettings(**limits)))
+    def __init__(self, endpoints=6, settings=None, **limits):
+        self.core = ControllerCore(settings or controller_settings(limits=LimitSettings(**limits)))
         self.encoder = Encoder(self.core.settings.fleet.classes, 0.8)
         self.now, self.proxies = 1000.0, {}
         self.core.now_ms = self.now
-        self.roster("complete", range(1, endpoints + 1))
+        self.receive_endpoint_list("complete", range(1, endpoints + 1))
 
-    def roster(self, kind, numbers, state="in_service", started=0.0):
+    def receive_endpoint_list(self, kind, numbers, state="in_service", started=0.0):
         zones = self.core.settings.fleet.zones
         entries = [EndpointEntry(n, zones[n % len(zones)], state, 1.0, started) for n in numbers]
         addresses = {n: ("127.0.0.1", 9000 + n) for n in numbers}
@@ -127,7 +127,7 @@
         return self.proxies[name]
 
     def run(self, ms, step=10.0, read=True):
-        """Let time pass; proxies read unless told not to."""
+        """Advances the clock in steps; proxies read their responses unless `read` is False."""
         until = self.now + ms
         while self.now < until:
             self.now += step
@@ -139,41 +139,41 @@
             self.core.health_check_requests.clear()
         return self
 
-    def waiting(self):
+    def queued_lines(self):
         return self.core.channel.queued_lines
 
 
 def settled(proxies=1, **limits):
-    """A pilot whose proxies hold what they should."""
-    pilot = MemoryPilot(**limits)
+    """Returns a controller whose proxies hold the desired state."""
+    controller = MemoryController(**limits)
     for at in range(proxies):
-        pilot.join(f"p{at}", "ab"[at % 2])
-    return pilot.run(3000)
+        controller.join(f"p{at}", "ab"[at % 2])
+    return controller.run(3000)
 
 
-def order(pilot, write):
-    """One order by hand, past the module, sent at once."""
-    tables = pilot.core.tables
+def apply_update(controller, write):
+    """Writes one update without the planner and releases it at once; returns each proxy's part."""
+    tables = controller.core.tables
     tables.begin()
     write(tables)
-    pushes = tables.commit()
-    for push in pushes:
-        tables.release(push.proxy, push.revision)
-    return pushes
+    updates = tables.commit()
+    for update in updates:
+        tables.release(update.proxy, update.revision)
+    return updates
 
 
-def small_day(**other):
-    """A day of a small fleet for tests on sockets."""
-    knobs = {"report_every_ms": 300.0, "dial_ms": 100.0, "standing": 2, "base_tries": 0}
+def small_scenario(**overrides):
+    """Returns a scenario with a small fleet, for tests with sockets."""
+    proxy_settings = {"report_every_ms": 300.0, "dial_ms": 100.0, "standing": 2, "base_tries": 0}
     base = {
         "name": "small",
         "seconds": 4.0,
         "warm_up_s": 1.5,
-        "fleet": {"zones": ["a", "b"], "classes": [row.model_dump() for row in CLASSES], "proxies": knobs},
+        "fleet": {"zones": ["a", "b"], "classes": [row.model_dump() for row in CLASSES], "proxies": proxy_settings},
         "endpoints": [{"each_zone": 2}],
         "proxies": 4,
         "exchanges_per_s": 60.0,
         "roster_late_ms": 100.0,
         "baselines": [],
     }
-    return ScenarioSettings.model_validate({**base, **other})
+    return ScenarioSettings.model_validate({**base, **overrides})
--- a/tests/model_checking/test_two_controllers.py
+++ b/tests/model_checking/test_two_controllers.py
@@ -7,7 +7,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
-from memory_fleet import MemoryPilot, order, pilot_record, settled
+from memory_fleet import MemoryController, apply_update, controller_settings, settled
 
 from quillstep.config.controller import LimitSettings
 from quillstep.routing.resources import CLUSTER, EJECTED, WEIGHT
@@ -21,7 +21,7 @@
     @initialize()
     def start(self):
         limits = LimitSettings(max_in_flight=4)
-        self.pilots = [MemoryPilot(record=pilot_record(seed=at, limits=limits)) for at in (1, 2)]
+        self.pilots = [MemoryController(settings=controller_settings(seed=at, limits=limits)) for at in (1, 2)]
         self.held, self.refuses, self.at = {}, {}, {}
         self.messages = {}
         for name in ("p0", "p1", "p2"):
@@ -32,7 +32,7 @@
     def dial(self, name, pilot):
         """Its old pilot has not noticed: there its stream stands, and nobody reads it."""
         proxy = self.pilots[pilot].join(name, "ab"[int(name[1]) % 2], self.held[name])
-        proxy.refuses = lambda response, name=name: self.refuses[name]
+        proxy.rejects = lambda response, name=name: self.refuses[name]
         self.at[name] = pilot
         self.messages[name] = deque()
 
@@ -44,9 +44,9 @@
                 pilot.core.health_check_requests.clear()
                 pilot.core.tables.pending_proxies.clear()
                 for name, proxy in list(pilot.proxies.items()):
-                    before = len(proxy.waits)
+                    before = len(proxy.unread)
                     proxy.pump()
-                    fresh = proxy.waits[before:]
+                    fresh = proxy.unread[before:]
                     if self.at[name] == at:
                         for response in fresh:
                             if response.resources or response.removed_resources:
@@ -71,7 +71,7 @@
     @rule(endpoint=st.integers(1, 6), state=st.sampled_from(["in_service", "terminating", "terminated"]))
     def roster(self, endpoint, state):
         for pilot in self.pilots:
-            pilot.roster("partial", [endpoint], state)
+            pilot.receive_endpoint_list("partial", [endpoint], state)
 
     @rule(name=st.sampled_from(["p0", "p1", "p2"]), on=st.booleans())
     def refuse(self, name, on):
@@ -89,13 +89,13 @@
             self.pilots[pilot].proxies[name].leave()
         self.dial(name, pilot)
 
-    @precondition(lambda self: any(self.pilots[at].proxies[name].waits for name, at in self.at.items()))
+    @precondition(lambda self: any(self.pilots[at].proxies[name].unread for name, at in self.at.items()))
     @rule()
     def lose(self):
         for name, at in self.at.items():
             proxy = self.pilots[at].proxies[name]
-            if proxy.waits:
-                proxy.waits.pop(0)
+            if proxy.unread:
+                proxy.unread.pop(0)
                 return
 
     @invariant()
@@ -114,7 +114,7 @@
         self.refuses, self.stalled = dict.fromkeys(self.refuses, False), set()
         self.run(3000.0)  # a lost one is asked after, withdrawals are tried again
         for pilot in self.pilots:
-            pilot.roster("partial", [5, 6])
+            pilot.receive_endpoint_list("partial", [5, 6])
         self.run(16000.0)
         for name, at in self.at.items():
             proxy = self.pilots[at].proxies[name]
@@ -140,20 +140,20 @@
 def test_one_bad_weight_among_many_is_isolated_and_all_others_are_acknowledged():
     pilot = settled()
     proxy, state = pilot.proxies["p0"], pilot.core.tables.proxies[0]
-    proxy.refuses = lambda response: any(r.name.endswith("table-0/3") for r in response.resources)
-    order(pilot, lambda tables: [tables.set_weight(0, at, 40.0 + at) for at in range(1, 7)])
+    proxy.rejects = lambda response: any(r.name.endswith("table-0/3") for r in response.resources)
+    apply_update(pilot, lambda tables: [tables.set_weight(0, at, 40.0 + at) for at in range(1, 7)])
     pilot.run(2000.0, step=50.0)
     wanted = {at: pilot.core.tables.shared_resource((WEIGHT, 0, at)).version for at in range(1, 7)}
     assert {at for at, version in wanted.items() if state.acknowledged[WEIGHT, 0, at] == version} == {1, 2, 4, 5, 6}
 
 
 def test_a_cluster_rejected_for_a_while_is_acknowledged_later_with_its_table():
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     proxy = pilot.join("p0")
-    proxy.refuses = lambda response: response.type_url == CDS
+    proxy.rejects = lambda response: response.type_url == CDS
     pilot.run(3000.0, step=50.0)
     assert not proxy.held(CDS) and not proxy.held(RDS)
-    proxy.refuses = False
+    proxy.rejects = False
     pilot.run(9000.0, step=50.0)
     assert proxy.held(CDS) and proxy.held(RDS) and (CLUSTER, 0) in pilot.core.tables.proxies[0].acknowledged
 
@@ -161,13 +161,13 @@
 def test_acks_of_an_older_stream_on_the_newer_one_count_for_nothing():
     pilot = settled()
     proxy = pilot.proxies["p0"]
-    order(pilot, lambda tables: tables.set_weight(0, 3, 55.0))
+    apply_update(pilot, lambda tables: tables.set_weight(0, 3, 55.0))
     proxy.pump()
-    old = proxy.waits.pop(0)
+    old = proxy.unread.pop(0)
     held = {url: dict(row) for url, row in proxy.versions.items()}
     proxy.leave()
     again = pilot.join("p0", "a", held)
-    again.say(discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, response_nonce=f"x{old.nonce}"))
+    again.send(discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, response_nonce=f"x{old.nonce}"))
     state = pilot.core.tables.proxies[again.number]
     assert state.acknowledged[WEIGHT, 0, 3] != pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
     pilot.run(3000.0)
@@ -176,7 +176,7 @@
 
 def test_reported_versions_with_other_contents_are_not_taken_for_ours():
     """A pilot that counted versions handed out 1, 2, 3 before this one started over."""
-    pilot = MemoryPilot()
+    pilot = MemoryController()
     counted = {
         CDS: {"table-0": "1"}, EDS: {"table-0": "2"}, RDS: {"exchanges": "3"},
         LEDS: {resources.name((WEIGHT, 0, at)): str(at) for at in range(1, 7)},
@@ -196,7 +196,7 @@
     pilot = settled()
     proxy, state = pilot.proxies["p0"], pilot.core.tables.proxies[0]
     for weight in (55.0, 66.0, 55.0):
-        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
+        apply_update(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
         proxy.pump()
     wanted = pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
     if late:
--- a/tests/recording/test_recording.py
+++ b/tests/recording/test_recording.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from memory_fleet import small_day
+from memory_fleet import small_scenario
 
 from quillstep.recording import (
     CorruptBlockError,
@@ -154,7 +154,7 @@
         {"at_s": 1.8, "for_s": 1.0, "what": "proxy_moves", "count": 2},
         {"at_s": 2.0, "for_s": 1.5, "what": "fail", "count": 1},
     ]
-    day = small_day(
+    day = small_scenario(
         seconds=4.0, troubles=troubles, endpoints=[{"each_zone": 3}], proxies=6, pilots=2, file_proxies=0.34,
         sotw_proxies=0.17, capture=True,
     )  # fmt: skip
--- a/tests/replay/test_whatif.py
+++ b/tests/replay/test_whatif.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from memory_fleet import CLASSES, fleet, pilot_record, small_day
+from memory_fleet import CLASSES, controller_settings, fleet, small_scenario
 
 from quillstep.config.errors import ConfigError
 from quillstep.config.loading import changed, parse_changes
@@ -41,7 +41,7 @@
 
 def book(seconds=12.0, rate=60.0, tries=lambda at, number: ("ok", 22.0), roster=(), lives=1, late=0.0, **knobs):
     """A captured day made by hand: one exchange after another over six endpoints, tried as `tries` says."""
-    record = pilot_record(fleet=fleet(proxies={"standing": 2, "ejects": 3, **knobs}))
+    record = controller_settings(fleet=fleet(proxies={"standing": 2, "ejects": 3, **knobs}))
     proxies = {
         f"p{at}": {"zone": "ab"[at % 2], "usual": rate / 4, "standing": [["127.0.0.1", 9001 + at]]} for at in range(4)
     }
@@ -230,12 +230,12 @@
 )  # fmt: skip
 def test_a_change_that_does_not_check_is_refused(text, said):
     with pytest.raises(ConfigError, match=said):
-        changed(pilot_record(), parse_changes([text]))
+        changed(controller_settings(), parse_changes([text]))
 
 
 def test_a_captured_day_on_sockets_compares_from_the_command_line_alike_under_any_hash_seed(tmp_path):
     troubles = [{"at_s": 1.0, "for_s": 1.0, "what": "fail", "count": 1, "factor": 10.0}]
-    day = small_day(seconds=3.0, troubles=troubles, capture=True, pilots=2)
+    day = small_scenario(seconds=3.0, troubles=troubles, capture=True, pilots=2)
     arm = play_arm(day, tmp_path / "learnt")
     assert len(read_recorded_scenario(arm.folder).requests) > 50
     command = [sys.executable, "-m", "quillstep.cli", "replay", "compare", str(arm.folder), "--seeds", "2"]
--- a/tests/routing/test_message_quota.py
+++ b/tests/routing/test_message_quota.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from memory_fleet import MemoryPilot, fleet, order, pilot_record
+from memory_fleet import MemoryController, apply_update, controller_settings, fleet
 
 from quillstep.config.fleet import ChannelSettings
 from quillstep.routing.message_quota import EJECTION_RESERVE, MessageQuota
@@ -17,35 +17,35 @@
     st.sampled_from([(5, 1000.0), (20, 10000.0)]),
 )
 def test_no_more_messages_are_allowed_than_the_limit(steps, limit):
-    quota, now, left = MessageQuota(*limit), 0.0, deque()
-    for number, (wait, urgent) in enumerate(steps):
+    quota, now, sent = MessageQuota(*limit), 0.0, deque()
+    for revision, (wait, urgent) in enumerate(steps):
         now += wait
-        room = quota.remaining(number, now)
-        if room > (0 if urgent else EJECTION_RESERVE):
-            quota.count(number, now)
-            quota.count(number, now)  # further responses of one order are one message
-            left.append(now)
+        remaining = quota.remaining(revision, now)
+        if remaining > (0 if urgent else EJECTION_RESERVE):
+            quota.count(revision, now)
+            quota.count(revision, now)  # a second response of the same revision is not counted
+            sent.append(now)
         elif not urgent:
             assert quota.next_expiry_ms() > now
-        while left and left[0] <= now - limit[1]:
-            left.popleft()
-        assert len(left) <= limit[0]
+        while sent and sent[0] <= now - limit[1]:
+            sent.popleft()
+        assert len(sent) <= limit[0]
 
 
 def test_a_proxy_gets_no_message_beyond_its_limit_and_ejections_have_a_reserve():
-    record = pilot_record(fleet=fleet(channel=ChannelSettings(max_messages=6, message_window_ms=4000.0)))
-    pilot = MemoryPilot(record=record)
-    proxy = pilot.join("p0")
-    pilot.run(6000)
-    tables, sent = pilot.core.tables, []
+    settings = controller_settings(fleet=fleet(channel=ChannelSettings(max_messages=6, message_window_ms=4000.0)))
+    controller = MemoryController(settings=settings)
+    proxy = controller.join("p0")
+    controller.run(6000)
+    tables, sent = controller.core.tables, []
     for weight in range(30, 50):
         proxy.log.clear()
-        order(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, float(weight)))
-        pilot.run(50.0)
-        sent += [pilot.now] * any(names for _, names, _ in proxy.log)
-    assert len(sent) <= 4, "of six, two are kept for drains"
-    order(pilot, lambda tables: tables.set_ejected(4, True, "draining"))
-    pilot.run(30.0)
-    assert any("withdrawn/4" in each for each in proxy.held(LEDS))
-    pilot.run(4200.0)
+        apply_update(controller, lambda tables, weight=weight: tables.set_weight(0, 3, float(weight)))
+        controller.run(50.0)
+        sent += [controller.now] * any(names for _, names, _ in proxy.log)
+    assert len(sent) <= 4, "two of the six messages are reserved for ejections"
+    apply_update(controller, lambda tables: tables.set_ejected(4, True, "draining"))
+    controller.run(30.0)
+    assert any("withdrawn/4" in name for name in proxy.held(LEDS))
+    controller.run(4200.0)
     assert tables.proxies[0].acknowledged[WEIGHT, 0, 3] == tables.shared_resource((WEIGHT, 0, 3)).version
--- a/tests/routing/test_retry_policies.py
+++ b/tests/routing/test_retry_policies.py
@@ -1,32 +1,32 @@
-"""Retry policies in effect: higher ones from their sending, lower ones from the last request's end."""
+"""Retry policies in effect: higher ones from when they are sent, lower ones from the end of the last request."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from memory_fleet import small_day
+from memory_fleet import small_scenario
 
 from quillstep.invariants import Rule, check_invariants
 from quillstep.routing.retry_policies import MAX_RETRY_POLICY, RetryPolicies, max_retry_policy
 from quillstep.testbed.scenarios.runner import play_arm
 
-SAFE, KEYED, UNSAFE = (max_retry_policy(each) for each in ("safe", "keyed", "unsafe"))
+SAFE, KEYED, UNSAFE = (max_retry_policy(semantics) for semantics in ("safe", "keyed", "unsafe"))
 
 
 def exceeding_proxies(policies, now):
     return {row.class_index: row.proxies for row in policies.excesses(now)}
 
 
-def test_a_lower_policy_is_in_effect_when_acknowledged_and_the_last_request_is_over():
+def test_a_lower_policy_is_in_effect_once_acknowledged_and_the_last_request_has_ended():
     policies = RetryPolicies([UNSAFE], [1000.0])
     policies.add_proxy(1, True, 0)
     policies.allowed = [2]
     policies.record_sent(1, "a", {0: 2})
     policies.record_ack(1, "a", 100.0)
-    policies.allowed = [UNSAFE]  # as new settings would have it
+    policies.allowed = [UNSAFE]  # as after a change of the settings
     policies.has_changed = True
     assert exceeding_proxies(policies, 200.0) == {0: [1]}
     policies.record_sent(1, "b", {0: 1})
-    assert exceeding_proxies(policies, 300.0) == {0: [1]}  # sent is not held
+    assert exceeding_proxies(policies, 300.0) == {0: [1]}  # sent but not acknowledged
     policies.record_ack(1, "b", 400.0)
     assert [(change.exceeding, change.compliant) for change in policies.changes(1350.0)] == [([1], [])]
     assert exceeding_proxies(policies, 1399.0) == {0: [1]} and exceeding_proxies(policies, 1401.0) == {}
@@ -34,58 +34,58 @@
     assert [(change.exceeding, change.compliant) for change in policies.changes(1400.1)] == [([], [1])]
 
 
-@pytest.mark.parametrize("steps", [["refuse"], ["rejoin"], ["leave"], ["unknown"]])
-def test_a_policy_that_is_not_known_counts_as_the_highest(steps):
+@pytest.mark.parametrize("steps", [["nack"], ["reconnect"], ["leave"], ["unknown"]])
+def test_an_unknown_policy_counts_as_the_highest(steps):
     policies = RetryPolicies([UNSAFE], [1000.0])
     policies.add_proxy(1, "unknown" not in steps, 0)
     policies.record_sent(1, "a", {0: 2})
-    if "refuse" in steps:
+    if "nack" in steps:
         policies.record_ack(1, "a", 0.0)
         policies.record_sent(1, "b", {0: 1})
         policies.record_nack(1, "b")
-    if "rejoin" in steps:  # it may have applied what its old stream brought
+    if "reconnect" in steps:  # the proxy may have applied routes sent on its old stream
         policies.record_sent(1, "b", {0: 1})
         policies.add_proxy(1, False, 0)
     assert exceeding_proxies(policies, 5000.0) == {0: [1]}
 
 
-def test_a_higher_policy_counts_from_its_sending_on():
+def test_a_higher_policy_counts_from_when_it_is_sent():
     policies = RetryPolicies([KEYED], [1000.0])
     policies.add_proxy(1, True, 0)
     policies.record_sent(1, "a", {0: MAX_RETRY_POLICY})
     assert policies.highest_in_effect(1, 0, 0.0) == MAX_RETRY_POLICY
     policies.record_sent(1, "b", {0: 1})
-    policies.record_ack(1, "b", 10.0)  # the first was overtaken: it may have been held for a while
+    policies.record_ack(1, "b", 10.0)  # the first was superseded, but may have been in effect for a while
     assert policies.highest_in_effect(1, 0, 20.0) == MAX_RETRY_POLICY and policies.highest_in_effect(1, 0, 1011.0) == 1
 
 
-@given(st.lists(st.sampled_from(["loosen", "tighten", "ack", "nack", "apply", "begin", "rejoin", "wait"]), max_size=30))
-def test_no_request_is_retried_by_a_policy_that_is_not_counted(steps):
-    """A proxy on its own side of the stream: whatever it goes by, the pilot has counted."""
+@given(st.lists(st.sampled_from(["raise", "lower", "ack", "nack", "apply", "begin", "reconnect", "wait"]), max_size=30))
+def test_no_request_is_retried_under_a_policy_that_is_not_counted(steps):
+    """Simulates a proxy: the controller must count every policy that the proxy may use."""
     policies, now, nonce = RetryPolicies([UNSAFE], [100.0]), 0.0, 0
     policies.add_proxy(1, True, 0)
-    holds, waits, words, running = 0, [], [], []
+    applied, unread, replies, running = 0, [], [], []
     for step in steps:
         now += 30.0
-        if step in ("loosen", "tighten"):
+        if step in ("raise", "lower"):
             nonce += 1
-            policies.record_sent(1, str(nonce), {0: 2 if step == "loosen" else 1})
-            waits.append((str(nonce), 2 if step == "loosen" else 1))
-        elif step == "apply" and waits:
-            name, holds = waits.pop(0)
-            words.append((name, True))
-        elif step == "nack" and waits:
-            words.append((waits.pop(0)[0], False))
-        elif step == "ack" and words:
-            name, good = words.pop(0)
-            policies.record_ack(1, name, now) if good else policies.record_nack(1, name)
-        elif step == "rejoin":
-            waits, words = [], []
+            policies.record_sent(1, str(nonce), {0: 2 if step == "raise" else 1})
+            unread.append((str(nonce), 2 if step == "raise" else 1))
+        elif step == "apply" and unread:
+            name, applied = unread.pop(0)
+            replies.append((name, True))
+        elif step == "nack" and unread:
+            replies.append((unread.pop(0)[0], False))
+        elif step == "ack" and replies:
+            name, accepted = replies.pop(0)
+            policies.record_ack(1, name, now) if accepted else policies.record_nack(1, name)
+        elif step == "reconnect":
+            unread, replies = [], []
             policies.add_proxy(1, False, 0)
         elif step == "begin":
-            running.append((holds, now + 100.0))
-        running = [row for row in running if row[1] > now]
-        assert policies.highest_in_effect(1, 0, now) >= max([holds, *(way for way, _ in running)])
+            running.append((applied, now + 100.0))
+        running = [request for request in running if request[1] > now]
+        assert policies.highest_in_effect(1, 0, now) >= max([applied, *(policy for policy, _ in running)])
 
 
 TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "work_ms": 20.0}
@@ -99,11 +99,11 @@
 
 
 def restricted_scenario():
-    """A class becomes unsafe while answers are lost; one proxy is cut off, one answers late, two lose a response."""
-    knobs = {"report_every_ms": 300.0, "dial_ms": 100.0, "standing": 2, "base_tries": 0}
-    return small_day(
+    """A class becomes unsafe while answers are lost; proxies are disconnected, acknowledge late or lose a response."""
+    proxy_settings = {"report_every_ms": 300.0, "dial_ms": 100.0, "standing": 2, "base_tries": 0}
+    return small_scenario(
         seconds=15.0, warm_up_s=7.0, proxies=8, pilots=2, exchanges_per_s=90.0, file_proxies=0.13, sotw_proxies=0.13,
-        fleet={"zones": ["a", "b"], "classes": CLASSES, "proxies": knobs},
+        fleet={"zones": ["a", "b"], "classes": CLASSES, "proxies": proxy_settings},
         troubles=[
             {"at_s": 0.5, "for_s": 14.0, "what": "lose_answers", "count": 2, "factor": 1.5},
             {"at_s": 1.5, "for_s": 4.0, "what": "proxy_cut", "count": 2},
@@ -117,14 +117,14 @@
 def test_no_retry_is_executed_twice_where_endpoints_forget_keys_once_the_lower_policy_is_in_effect(tmp_path):
     evidence = play_arm(restricted_scenario(), tmp_path / "learnt").evidence()
     assert check_invariants(evidence) == []
-    forgot = [row for row in evidence.commands if row["do"] == "tighten"]
-    assert forgot, "the pilots said so in time"
+    commands = [row for row in evidence.commands if row["do"] == "tighten"]
+    assert commands, "expected the controllers to report the lower policy in time"
     assert {row["kind"] for row in evidence.retry_policy_changes} >= {"save", "issue"}
     repeated = [
         row["tries"] for row in evidence.requests
         if row["class"] == "save" and len(row["tries"]) > 1 and row["tries"][0][3] != "no connection"
     ]  # fmt: skip
-    assert repeated, "the older way was gone by"
-    for row in forgot:  # the broken twin: endpoints that forget before they are told
+    assert repeated, "expected retries under the former policy"
+    for row in commands:  # negative check: endpoints that forget keys before the lower policy is in effect
         row["at"] = repeated[-1][1][1] - 1.0
     assert {found.rule for found in check_invariants(evidence)} == {Rule.DUPLICATE_EFFECT}
--- a/tests/routing/test_rollout_gate.py
+++ b/tests/routing/test_rollout_gate.py
@@ -1,4 +1,4 @@
-"""The rollout gate: what passes, what is withheld and by which rule."""
+"""The rollout gate: which changes pass, which are withheld, and by which rule."""
 
 import pytest
 from hypothesis import given
@@ -16,8 +16,8 @@
 NAN = float("nan")
 
 
-def endpoint_states(ready=range(1, 11), **part):
-    return EndpointStates(set(ready), {int(each[1:]): value for each, value in part.items()})
+def endpoint_states(in_service=range(1, 11), **capacity_shares):
+    return EndpointStates(set(in_service), {int(name[1:]): share for name, share in capacity_shares.items()})
 
 
 TEN_WEIGHTS = dict.fromkeys(range(1, 11), 10.0)
@@ -27,23 +27,23 @@
     ("wanted", "endpoints", "passed", "rules"),
     [
         ({1: 15.0}, endpoint_states(), {1: 15.0}, []),
-        ({1: 15.0}, endpoint_states(range(2, 11)), {}, [NOT_IN_SERVICE]),  # it drains
+        ({1: 15.0}, endpoint_states(range(2, 11)), {}, [NOT_IN_SERVICE]),  # draining
         ({11: 10.0}, endpoint_states(range(1, 12), e11=0.2), {}, [WARMING_UP]),
         ({11: 3.0}, endpoint_states(range(1, 12), e11=0.2), {11: 3.0}, []),
-        ({11: 1.0}, endpoint_states(range(1, 12), e11=0.001), {11: 1.0}, []),  # one slot is the least there is
-        ({1: 0.0}, endpoint_states(), {1: 0.0}, []),  # what takes out is never held
+        ({11: 1.0}, endpoint_states(range(1, 12), e11=0.001), {11: 1.0}, []),  # one slot, the minimum
+        ({1: 0.0}, endpoint_states(), {1: 0.0}, []),  # removals are never withheld
         ({1: 60.0, 2: 30.0}, endpoint_states(), {1: 60.0}, [MOVED_SHARE]),  # 0.5 of the traffic, then 0.2 more of 0.6
         ({1: 90.0}, endpoint_states(), {}, [MOVED_SHARE]),
         ({1: NAN}, endpoint_states(), {}, [MOVED_SHARE]),
         (dict.fromkeys(range(1, 11), 0.0), endpoint_states(), {}, [NO_WARM_ENDPOINT]),
         (dict.fromkeys(range(1, 10), 0.0), endpoint_states(), dict.fromkeys(range(1, 10), 0.0), []),
-        (dict.fromkeys(range(1, 11), 0.0), endpoint_states(()), dict.fromkeys(range(1, 11), 0.0), []),  # all have died
-        ({1: 5.0}, endpoint_states(e1=0.5), {1: 5.0}, []),  # a cold one's fall
+        (dict.fromkeys(range(1, 11), 0.0), endpoint_states(()), dict.fromkeys(range(1, 11), 0.0), []),  # all are down
+        ({1: 5.0}, endpoint_states(e1=0.5), {1: 5.0}, []),  # a reduction of a warming endpoint
     ],
 )
 def test_the_gate_passes_allowed_weights_and_names_the_rule_of_withheld_ones(wanted, endpoints, passed, rules):
-    found, held = RolloutGate(0.6, 2000.0, [1]).filter_weights(0, TEN_WEIGHTS, wanted, endpoints, 0.0)
-    assert found == passed and [each.rule for each in held] == rules
+    found, withheld = RolloutGate(0.6, 2000.0, [1]).filter_weights(0, TEN_WEIGHTS, wanted, endpoints, 0.0)
+    assert found == passed and [change.rule for change in withheld] == rules
 
 
 def test_moved_traffic_is_counted_within_the_window_and_removals_are_not():
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    ("limit", "retry_policy", "good"),
+    ("limit", "retry_policy", "allowed"),
     [
         (5.0, 1, True),
         (1e6, 0, True),
@@ -67,18 +67,18 @@
         (5.0, -1, False),
     ],  # fmt: skip
 )
-def test_admission_limits_and_retry_policies_stay_within_bounds(limit, retry_policy, good):
-    assert (RolloutGate(0.6, 2000.0, [1]).check_admission(0, 0, limit, retry_policy) is None) is good
+def test_admission_limits_and_retry_policies_stay_within_bounds(limit, retry_policy, allowed):
+    assert (RolloutGate(0.6, 2000.0, [1]).check_admission(0, 0, limit, retry_policy) is None) is allowed
 
 
 NUMBERS = st.integers(1, 12)
 
 
 @given(st.dictionaries(NUMBERS, st.floats(0.0, 100.0)), st.sets(NUMBERS), st.sets(NUMBERS))
-def test_no_table_loses_its_last_warm_endpoint_nor_gains_one_that_is_gone(wanted, ready, warming):
-    endpoints = EndpointStates(ready, dict.fromkeys(warming, 0.3))
+def test_no_table_loses_its_last_warm_endpoint_nor_gains_one_not_in_service(wanted, in_service, warming):
+    endpoints = EndpointStates(in_service, dict.fromkeys(warming, 0.3))
     passed, _ = RolloutGate(0.6, 2000.0, [1]).filter_weights(0, TEN_WEIGHTS, wanted, endpoints, 0.0)
     after = {**TEN_WEIGHTS, **passed}
     warm = [e for e in TEN_WEIGHTS if endpoints.is_warm(e)]
     assert not warm or any(after[e] > 0 for e in after if endpoints.is_warm(e))
-    assert not [e for e, w in passed.items() if w > TEN_WEIGHTS.get(e, 0.0) and e not in ready]
+    assert not [e for e, w in passed.items() if w > TEN_WEIGHTS.get(e, 0.0) and e not in in_service]
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store on disk: rows, schemas, damaged pages, exports, kills at every write point."""
+"""The store on disk: rows, schemas, damaged pages, exports, and kills at every write point."""
 
 import pytest
 from click.testing import CliRunner
@@ -29,16 +29,16 @@
     number_key,
     pack,
 )
-from quillstep.store.store import SCHEMA_KEY, set_aside
+from quillstep.store.store import SCHEMA_KEY, rename_corrupt_store
 from quillstep.store.writer import open_store
 
 
 def row(number, table=0, weight=10.0, wall_ms=1000.0):
-    lines, levels = [(1, weight)], [(0, 5.0, 1)]
-    return VersionRow(f"v{number}", table, f"v{number - 1}", "module", "", wall_ms, "e", number, lines, levels)
+    weights, admission = [(1, weight)], [(0, 5.0, 1)]
+    return VersionRow(f"v{number}", table, f"v{number - 1}", "module", "", wall_ms, "e", number, weights, admission)
 
 
-def test_rows_read_back_as_written_and_numbers_go_on(tmp_path):
+def test_rows_are_read_as_written_and_numbering_continues(tmp_path):
     store = Store(tmp_path / "s")
     entries = [Entry(VERSIONS, number_key(table, n), row(n, table)) for table in (0, 7) for n in range(1, 4)]
     store.write([*entries, Entry(PINS, number_key(7), PinRow(7, "v2", "op", 5.0, "rollback"))])
@@ -63,8 +63,8 @@
     assert again.rows(PINS)[0][1].cause == "pin" and again.rows(META)[0][1] == SCHEMA
 
 
-def spoilt(folder):
-    """A byte changed in a value's page."""
+def corrupt_value(folder):
+    """Changes one byte of a stored value."""
     data = bytearray((folder / "data.mdb").read_bytes())
     at = data.find(b"rollback-here")
     assert at > 0
@@ -72,20 +72,20 @@
     (folder / "data.mdb").write_bytes(data)
 
 
-def test_a_damaged_page_is_found_and_the_store_set_aside_with_a_log_line(tmp_path):
+def test_a_damaged_page_is_detected_and_the_corrupt_store_renamed(tmp_path):
     folder = tmp_path / "s"
     store = Store(folder)
     store.write([Entry(PINS, number_key(0), PinRow(0, "v1", "rollback-here", 5.0))])
     store.close()
-    spoilt(folder)
+    corrupt_value(folder)
     assert "checksum" in Store(folder, write=False).check()["bad"][0]
-    record = StoreSettings(folder=str(folder))
-    fresh = open_store(record)
-    assert fresh.rows(PINS) == [] and len(list(tmp_path.glob("s.aside-*"))) == 1
+    settings = StoreSettings(folder=str(folder))
+    replacement = open_store(settings)
+    assert replacement.rows(PINS) == [] and len(list(tmp_path.glob("s.aside-*"))) == 1
 
 
 @pytest.mark.parametrize(
-    ("kind", "error"),
+    ("reason", "error"),
     [
         ("newer", StoreSchemaTooNewError),
         ("read-only", StoreReadOnlyError),
@@ -95,34 +95,34 @@
     ],
     ids=["newer", "read-only", "full", "bad", "broken"],
 )
-def test_a_store_that_cannot_be_used_raises_the_error_that_says_why(tmp_path, kind, error):
+def test_an_unusable_store_raises_the_error_of_its_cause(tmp_path, reason, error):
     folder = tmp_path / "s"
-    if kind == "newer":
+    if reason == "newer":
         Store(folder).write([Entry(META, SCHEMA_KEY, SCHEMA + 1)])
-    elif kind == "full":
+    elif reason == "full":
         Store(folder, 2**20).close()
-    elif kind == "read-only":
+    elif reason == "read-only":
         Store(folder).close()
-    elif kind == "bad":
+    elif reason == "bad":
         folder.mkdir()
-        (folder / "data.mdb").write_bytes(b"nothing like it" * 1000)
+        (folder / "data.mdb").write_bytes(b"not an LMDB file" * 1000)
     else:
         folder.write_text("a file where a folder should be")
     with pytest.raises(StoreError) as found:
-        store = Store(folder, 2**20, write=kind != "read-only")
+        store = Store(folder, 2**20, write=reason != "read-only")
         store.write([Entry(JOURNAL, number_key(n), ["e", n, 0.0, ["x" * 2000]]) for n in range(2000)])
-    assert found.value.reason == kind and type(found.value) is error
+    assert found.value.reason == reason and type(found.value) is error
 
 
-def test_a_store_of_a_newer_schema_is_neither_opened_nor_set_aside(tmp_path):
+def test_a_store_of_a_newer_schema_is_neither_opened_nor_renamed(tmp_path):
     Store(tmp_path / "s").write([Entry(META, SCHEMA_KEY, SCHEMA + 1)])
-    with pytest.raises(StoreError, match=f"schema {SCHEMA + 1}"):
+    with pytest.raises(StoreError, match=f"expected schema {SCHEMA} or older, got {SCHEMA + 1}"):
         open_store(StoreSettings(folder=str(tmp_path / "s")))
     assert not list(tmp_path.glob("s.aside-*"))
-    assert set_aside(tmp_path / "s").exists() and not (tmp_path / "s").exists()
+    assert rename_corrupt_store(tmp_path / "s").exists() and not (tmp_path / "s").exists()
 
 
-def test_an_export_imports_as_the_same_store_and_a_truncated_one_not_at_all(tmp_path):
+def test_an_export_is_imported_as_an_equal_store_and_a_truncated_one_is_rejected(tmp_path):
     run = CliRunner().invoke
     store = Store(tmp_path / "a")
     store.write([Entry(VERSIONS, number_key(0, n), row(n)) for n in range(1, 50)])
@@ -147,22 +147,22 @@
     assert found["fault"] == "" and found["kills"] == 250 and found["commits"] > 400
 
 
-@pytest.mark.parametrize("twin", ["two commits", "told too early"])
-def test_a_writer_that_breaks_a_promise_is_found(tmp_path, monkeypatch, twin):
-    """Broken twins: a commit in two pieces; what is told durable before it is."""
-    whole = Store.write
+@pytest.mark.parametrize("mutant", ["two commits", "reported too early"])
+def test_a_writer_that_violates_its_guarantees_is_detected(tmp_path, monkeypatch, mutant):
+    """Mutants: a commit in two parts; a commit that is reported durable before it is written."""
+    original_write = Store.write
 
     def write(self, entries):
-        if len(entries) == crash.ROWS_PER_COMMIT and twin == "two commits":
-            whole(self, entries[:1])
-            whole(self, entries[1:])
+        if len(entries) == crash.ROWS_PER_COMMIT and mutant == "two commits":
+            original_write(self, entries[:1])
+            original_write(self, entries[1:])
         elif len(entries) == crash.ROWS_PER_COMMIT and self.late:
-            whole(self, self.late.pop())
+            original_write(self, self.late.pop())
             self.late.append(entries)
         elif len(entries) == crash.ROWS_PER_COMMIT:
             self.late.append(entries)
         else:
-            whole(self, entries)
+            original_write(self, entries)
 
     monkeypatch.setattr(Store, "late", property(lambda self: self.__dict__.setdefault("kept", [])), raising=False)
     monkeypatch.setattr(Store, "write", write)
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from memory_fleet import CLASSES, TIMES, small_day
+from memory_fleet import CLASSES, TIMES, small_scenario
 from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
 from quillstep.controller.health_checker import parse_load_report
@@ -37,9 +37,9 @@
 
 @pytest.fixture(scope="module")
 def many_faults(tmp_path_factory):
-    fleet = small_day().fleet.model_dump()
+    fleet = small_scenario().fleet.model_dump()
     fleet["classes"].append({**KEYED, "window_ms": 3000.0})
-    scenario = small_day(
+    scenario = small_scenario(
         seconds=8.0,
         fleet=fleet,
         troubles=MANY_FAULTS,
@@ -122,7 +122,7 @@
         {"at_s": 4.0, "for_s": 1.5, "what": "drain", "zone": "b", "count": 1},
     ]
     rows = {"endpoints": [{"each_zone": 3}], "proxies": 6, "pilots": 2, "file_proxies": 0.5}
-    arm, evidence = play(small_day(seconds=6.0, troubles=troubles, **rows), tmp_path)
+    arm, evidence = play(small_scenario(seconds=6.0, troubles=troubles, **rows), tmp_path)
     assert check_invariants(evidence) == []
     by_files = {row["proxy"] for row in evidence.applied_updates if row["type"] == "files"}
     by_streams = {row["proxy"] for row in evidence.applied_updates if row["type"] != "files"}
@@ -136,7 +136,7 @@
 
 
 def test_controllers_and_proxies_of_a_scenario_write_the_spans_that_it_asks_for(tmp_path):
-    arm, evidence = play(small_day(seconds=2.0, spans=1.0), tmp_path)
+    arm, evidence = play(small_scenario(seconds=2.0, spans=1.0), tmp_path)
     names = {path.stem: {span["name"] for span in read_spans(path)} for path in sorted(arm.folder.glob("spans-*.json"))}
     assert len(evidence.requests) > 50 and check_invariants(evidence) == []
     assert {name.rpartition("-")[0] for name in names} == {"spans-pilot", "spans-proxies"}
@@ -150,7 +150,7 @@
         host.send(
             endpoints=[{"id": 1, "zone": "a", "cores": 1, "speed": 1.0, "connections_most": 9, "waiting_most": 9,
                         "connect_work_ms": 0.0, "probe_work_ms": 0.0}],
-            rules=small_day().fleet.rules.model_dump(), classes=rows, answers_tell=True,
+            rules=small_scenario().fleet.rules.model_dump(), classes=rows, answers_tell=True,
             record=str(tmp_path / "endpoints-0.jsonl"),
         )  # fmt: skip
         port = host.wait_for("ready")["1"]
@@ -168,7 +168,7 @@
 
 
 def test_the_command_plays_a_scenario_and_prints_the_result(tmp_path):
-    scenario = small_day(seconds=2.5)
+    scenario = small_scenario(seconds=2.5)
     script = tmp_path / "small.cue"
     script.write_bytes(msgspec.json.encode(scenario.model_dump()))
     command = [sys.executable, "-m", "quillstep.cli", "scenario", str(script), "--record", str(tmp_path / "out")]
@@ -218,7 +218,7 @@
 
 
 def test_the_plan_of_a_scenario_follows_from_its_seed():
-    scenario = small_day(troubles=MANY_FAULTS)
+    scenario = small_scenario(troubles=MANY_FAULTS)
     assert plan_scenario(scenario) == plan_scenario(scenario)
     assert plan_scenario(scenario) != plan_scenario(scenario.model_copy(update={"seed": 2}))
 
@@ -234,7 +234,7 @@
     ],
 )
 def test_service_is_the_priority_weight_earned_over_the_weight_offered(took, outcome, earned):
-    fleet = small_day().fleet
+    fleet = small_scenario().fleet
     late = [row.model_copy(update={"late_priority_weight": 0.2}) for row in CLASSES]
     fleet = fleet.model_copy(update={"classes": late})
     row = {"at": 0.0, "end": took, "class": "issue", "outcome": outcome, "tries": []}
--- a/tests/tracing/test_report.py
+++ b/tests/tracing/test_report.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from memory_fleet import small_day
+from memory_fleet import small_scenario
 
 from quillstep.cli.main import cli
 from quillstep.invariants import check_invariants
@@ -17,7 +17,7 @@
 @pytest.fixture(scope="module")
 def faulty_arm(tmp_path_factory):
     """Two controllers, one killed; streams of both kinds and files; rejected updates, migrations, new limits."""
-    day = small_day(
+    day = small_scenario(
         seconds=8.0, proxies=10, pilots=2, capture=True, sotw_proxies=0.2, file_proxies=0.3, exchanges_per_s=120.0,
         phases=[{"at_s": 2.0, "for_s": 3.0, "times": 3.0}],
         troubles=[
--- a/tests/xds/test_streams.py
+++ b/tests/xds/test_streams.py
@@ -12,7 +12,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
 from hyperframe.frame import ContinuationFrame, DataFrame, HeadersFrame, PingFrame, SettingsFrame
-from memory_fleet import small_day
+from memory_fleet import small_scenario
 
 from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.plan import plan_scenario
@@ -27,7 +27,7 @@
 @pytest.fixture(scope="module")
 def arm(tmp_path_factory):
     """Four endpoints, a roster and one pilot, without proxies of ours."""
-    day = small_day(limits=LIMITS, pilots=1)
+    day = small_scenario(limits=LIMITS, pilots=1)
     made = Arm(day, plan_scenario(day), "learnt", tmp_path_factory.mktemp("streams") / "learnt")
     try:
         made.start_endpoints()
