--- a/quillstep/routing/rollout_gate.py
+++ b/quillstep/routing/rollout_gate.py
@@ -1,11 +1,11 @@
 """The rollout gate: decides which changes of a table may take effect now.
 
-The planner decides the content of tables; the gate withholds changes and reports them.  Ejections and weights of 0
-always pass.  Other changes are checked against the table in effect.  Withheld are: weights of endpoints that are not in
-service, weights of warming endpoints above their share, moves of more traffic at a time than configured, admission
-limits and retry policies out of bounds, and changes that leave a table without a warm endpoint.  A withheld change
-waits and is checked again with the wanted state at that time.  Performs no I/O and reads no clock; times are
-milliseconds.
+The planner decides the content of tables; the gate withholds changes and reports them.  Ejections always pass, and so
+do weights of 0 unless they would remove the last warm endpoint.  Other changes are checked against the table in effect.
+Withheld are: weights of endpoints that are not in service, weights of warming endpoints above their share, moves of
+more traffic at a time than configured, admission limits and retry policies out of bounds, and changes that leave a
+table without a warm endpoint.  A withheld change waits and is checked again with the wanted state at that time.
+Performs no I/O and reads no clock; times are milliseconds.
 """
 
 import math
@@ -50,7 +50,7 @@
 
 
 class RolloutGate:
-    """Decides which changes may take effect.
+    """Allows or withholds changes of tables.
 
     Attributes:
         max_moved_share: The share of a table's traffic that may be moved within `window_ms`; 0: no limit.
@@ -98,7 +98,7 @@
             before = current.get(endpoint, 0.0)
             if weight == before:
                 continue
-            # Removals, and reductions for an endpoint that is warming up or not in service, are never withheld.
+            # Removals, and reductions for an endpoint that is warming up or not in service, do not count as moves.
             is_urgent = weight < before and (weight <= 0.0 or not endpoints.is_warm(endpoint))
             if not weight < before and (change := self.check_weight(table, endpoint, weight, mean, endpoints)):
                 withheld.append(change)
