--- a/quillstep/routing/rollout_gate.py
+++ b/quillstep/routing/rollout_gate.py
@@ -98,7 +98,7 @@
             before = current.get(endpoint, 0.0)
             if weight == before:
                 continue
-            # Removals, and reductions for an endpoint that is warming up or not in service, do not count as moves.
+            # Removals, and reductions for an endpoint that is warming up or not in service, are exempt from the limit.
             is_urgent = weight < before and (weight <= 0.0 or not endpoints.is_warm(endpoint))
             if not weight < before and (change := self.check_weight(table, endpoint, weight, mean, endpoints)):
                 withheld.append(change)
