--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -12,7 +12,7 @@
 import pytest
 from envoy.service.discovery.v3 import discovery_pb2
 from load_report_builders import endpoint_row, load_report
-from memory_fleet import MemoryPilot, pilot_record, small_day
+from memory_fleet import MemoryController, controller_settings, small_scenario
 
 from quillstep.bench.load_reports import measure
 from quillstep.config.controller import LoadReportSettings
@@ -31,7 +31,7 @@
 
 def test_the_core_publishes_a_drain_while_reports_are_pending():
     """Discovery events take precedence: with reports over the budget, a drain is published in the next interval."""
-    controller = MemoryPilot(record=pilot_record(reports=LoadReportSettings(rows_per_s=500.0)))
+    controller = MemoryController(settings=controller_settings(reports=LoadReportSettings(rows_per_s=500.0)))
     proxies = [controller.join(f"p{index}") for index in range(6)]
     controller.run(3000.0)
     rng = random.Random(4)
@@ -42,7 +42,7 @@
             )
             controller.core.add_load_report(proxy.number, report)
     started_ms = controller.now
-    controller.roster("partial", [3], "terminating")
+    controller.receive_endpoint_list("partial", [3], "terminating")
     while not any("withdrawn/3" in name for proxy in proxies for _, names, _ in proxy.log for name in names):
         controller.run(10.0)
         assert controller.now - started_ms < 200.0
@@ -77,7 +77,7 @@
 def test_a_zone_reconnects_with_old_reports_while_readers_are_killed_and_an_endpoint_drains(tmp_path, by):
     """Checks the invariants under large reports, a third of them late, a disconnected zone and killed readers."""
     listen = ["127.0.0.1:0", "127.0.0.1:0"] if by == "processes" else []
-    day = small_day(
+    day = small_scenario(
         seconds=7.0, proxies=12, pilots=1, capture=True, reports={"by": by, "listen": listen, "work_per_s": 4000.0},
         troubles=[
             {"at_s": 0.2, "for_s": 7.0, "what": "reports_heavy", "count": 12},
@@ -119,7 +119,7 @@
 def test_a_drain_is_respected_while_a_controller_is_killed_or_reports_are_too_large(
     tmp_path, controllers, reports, faults
 ):
-    day = small_day(
+    day = small_scenario(
         seconds=6.0, proxies=12, pilots=controllers, endpoints=[{"each_zone": 8}],
         reports={"by": "processes", "listen": ["127.0.0.1:0"], **reports},
         troubles=[
@@ -134,7 +134,7 @@
 
 
 def test_a_report_that_is_too_large_ends_only_its_own_stream(tmp_path):
-    day = small_day(pilots=1, reports={"message_most_bytes": 4096})
+    day = small_scenario(pilots=1, reports={"message_most_bytes": 4096})
     arm = Arm(day, plan_scenario(day), "learnt", tmp_path / "learnt")
     try:
         arm.start_endpoints()
--- a/tests/load_reports/test_collector.py
+++ b/tests/load_reports/test_collector.py
@@ -1,7 +1,7 @@
 """Merging of the readers' summaries into statistics for the planner."""
 
 import pytest
-from memory_fleet import pilot_record
+from memory_fleet import controller_settings
 
 from quillstep.config.controller import LoadReportSettings
 from quillstep.load_reports.collector import ReportCollector
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize(("proxies", "is_bounded"), [(MIN_BOUNDED_PROXIES + 8, True), (4, False)])
 def test_one_of_many_proxies_changes_the_demand_by_at_most_a_third(proxies, is_bounded):
-    collector = ReportCollector(pilot_record())
+    collector = ReportCollector(controller_settings())
     for second in range(1, 30):
         end_ms = second * 1000.0
         summary = ReportSummary()
@@ -26,12 +26,12 @@
 
 
 def test_unreported_endpoints_and_classes_are_omitted_from_the_statistics():
-    collector = ReportCollector(pilot_record())
+    collector = ReportCollector(controller_settings())
     assert collector.due_ms() == float("inf") and collector.drain(5.0) == ([], [])
 
 
 def test_a_reader_that_used_up_its_budget_brings_the_next_plan_forward():
-    collector = ReportCollector(pilot_record(reports=LoadReportSettings(rows_per_s=3000.0, window_ms=100.0)))
+    collector = ReportCollector(controller_settings(reports=LoadReportSettings(rows_per_s=3000.0, window_ms=100.0)))
     for proxy in range(40):
         collector.add_proxy(proxy, 0.0)
     collector.plan_requests(collector.plan_due_ms())
