--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -31,7 +31,7 @@
 from quillstep.routing.rollout_gate import RolloutGate
 from quillstep.routing.versioned_tables import VersionedTables
 from quillstep.routing.versions import TableVersion
-from quillstep.store.events import OperatorRequest, StoreEvent, StoreLost, StoreOpened, UpdatesStored
+from quillstep.store.events import OperatorRequest, StoreEvent, StoreOpened, StoreUnavailable, UpdatesStored
 
 PLANNERS: dict[str, Callable[..., Any]] = {"learnt": Planner, "even": EvenPlanner, "listed": ListedPlanner}
 MAX_REMEMBERED_REVISIONS = 4096  # whose times are known
@@ -92,7 +92,7 @@
             channel.lines_per_message,
             retry_policies=self.retry_policies,
             max_ack_delay_ms=channel.max_ack_delay_ms,
-            stall_ms=stall_ms,
+            max_stall_ms=stall_ms,
             max_messages=channel.max_messages,
             message_window_ms=channel.message_window_ms,
         )
@@ -194,7 +194,7 @@
         match event:
             case UpdatesStored(revision):
                 self.release.record_durable(revision)
-            case StoreLost():
+            case StoreUnavailable():
                 self.release.record_store_lost()
             case StoreOpened():
                 self.operations.recover(event, self.now_ms)
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -194,7 +194,7 @@
             self._stop_requested = True
             return
         if isinstance(event, ReportsSummarized):
-            self.status.reader_cpu_s[f"reader {event.reader}"] = event.summary.take_cpu_s()
+            self.status.reader_cpu_s[f"reader {event.reader}"] = event.summary.pop_cpu_s()
         now = now_ms()
         if self.recording:
             self.recording.put(self.encoder.encode(event, arrived_ms, now))
@@ -230,4 +230,4 @@
         """Logs figures of control intervals, load reports and the store, since the start."""
         self.log.info("status", **self.status.fields(self.core))
         if self.store_writer:
-            self.log.info("store status", late=self.core.release.late_count, **self.store_writer.figures())
+            self.log.info("store status", late=self.core.release.late_count, **self.store_writer.commit_stats())
