--- a/quillstep/net/__init__.py
+++ b/quillstep/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: one thread that polls many connections, framing by length, and HTTP/1.1 as a client."""
+"""Networking: a poller that serves many connections in one thread, length-prefixed framing, and an HTTP/1.1 client."""
--- a/quillstep/net/codec.py
+++ b/quillstep/net/codec.py
@@ -1,4 +1,4 @@
-"""What `Connection` and `Poller` need of a protocol: a state machine without I/O, one for each connection."""
+"""The interface of a protocol for `Connection` and `Poller`: one state machine without I/O for each connection."""
 
 from typing import Protocol, TypeVar
 
@@ -8,20 +8,25 @@
 
 
 class ProtocolError(QuillstepError):
-    """The peer broke the protocol and the connection can't go on; the text is for the log."""
+    """The peer violated the protocol and the connection must be closed; the message is for the log."""
 
 
 class Codec(Protocol[EventT]):
-    """One connection's protocol.  Not safe for threads: its `Connection` calls it under a lock."""
+    """The protocol state of one connection.  Not thread-safe: its `Connection` calls it under a lock.
 
-    is_registered: bool  # the peer has said who it is, or opened a stream; until then it may be evicted
+    Attributes:
+        is_registered: Whether the peer has identified itself or opened a stream; until then it may be evicted.
+        unsent_bytes: Size of the queued messages.
+    """
+
+    is_registered: bool
     unsent_bytes: int
 
     def receive(self, data: bytes) -> list[EventT]:
         """Return the events that these bytes complete.
 
         Raises:
-            ProtocolError: The peer broke the protocol.
+            ProtocolError: The peer violated the protocol.
         """
 
     def send(self, stream: int, message: bytes) -> None:
@@ -31,7 +36,7 @@
         """Remove and return the bytes that may be written now."""
 
     def ping(self) -> None:
-        """Queue a ping, where the protocol has one."""
+        """Queue a ping, if the protocol has one."""
 
-    def goodbye(self) -> bytes:
-        """Return what is to be said to a peer that broke the protocol."""
+    def closing_bytes(self) -> bytes:
+        """Return the last bytes for a peer that violated the protocol; empty if the protocol has no such message."""
--- a/quillstep/net/connection.py
+++ b/quillstep/net/connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection: its socket, its protocol's codec, and what it has used of its limits."""
+"""One accepted connection: its socket, its protocol's codec, and its use of the limits."""
 
 import select
 import socket
@@ -13,106 +13,106 @@
 
 
 class Limits(Protocol):
-    """What one connection may cost, and how many there may be."""
+    """Limits on connections and on their number."""
 
     @property
     def max_unsent_bytes(self) -> int:
-        """Bytes that may wait for a peer that reads slowly."""
+        """Maximum number of bytes that wait for a peer that reads slowly."""
 
     @property
     def max_connections(self) -> int:
-        """Connections, registered or not."""
+        """Maximum number of connections, registered or not."""
 
     @property
     def max_unregistered(self) -> int:
-        """Connections that have not registered yet."""
+        """Maximum number of connections that have not registered."""
 
     @property
     def messages_per_s(self) -> float:
-        """Events that are read from one connection, and the burst on top."""
+        """Rate at which events are read from one connection; also the size of a burst."""
 
     @property
     def handshake_timeout_ms(self) -> float:
-        """How long a connection may stay unregistered."""
+        """Time in which a connection must register."""
 
     @property
     def write_timeout_ms(self) -> float:
-        """How long a peer may take no bytes while some wait for it."""
+        """Time without progress after which a write to a peer is given up."""
 
     @property
     def idle_timeout_ms(self) -> float:
-        """How long a registered peer may be silent."""
+        """Time after which an idle registered peer is disconnected."""
 
     @property
     def ping_interval_ms(self) -> float:
-        """How long a registered peer may be silent before it is pinged."""
+        """Time after which an idle registered peer is pinged."""
 
 
 class Scheduler(Protocol):
-    """The poller, as its connections see it."""
+    """What a connection needs of its poller."""
 
     limits: Limits
 
     def schedule(self, connection: Any, /) -> None:
-        """Have the poller's thread write, pause or close this connection as it now stands."""
+        """Have the poller's thread apply this connection's state: write its output, pause it, or close it."""
 
 
 class Connection(Generic[CodecT]):
-    """One accepted connection.
+    """One accepted connection of a poller.
 
-    `send`, `with_codec`, `unsent_bytes`, `set_paused` and `close` may be called from any thread and never block; the
-    rest belongs to the poller's thread.  `lock` guards the codec and `is_closed`.
+    `send`, `with_codec`, `unsent_bytes`, `set_paused` and `close` may be called from any thread and never block;
+    everything else is used by the poller's thread alone.  `lock` guards the codec and `is_closed`.
     """
 
     def __init__(self, poller: Scheduler, sock: socket.socket, codec: CodecT, accept_number: int) -> None:
         self.poller, self.sock, self.codec = poller, sock, codec
-        self.accept_number = accept_number  # of two connections, the higher one was accepted later
+        self.accept_number = accept_number  # increases in the order in which connections were accepted
         self.lock = threading.Lock()
-        self.send_buffer = bytearray()  # what the socket has not taken yet; the poller's thread alone touches it
+        self.send_buffer = bytearray()  # bytes not written yet; used by the poller's thread alone
         self.accepted_ms = self.last_received_ms = self.last_ping_ms = self.last_written_ms = now_ms()
         self.message_budget, self.budget_updated_ms = poller.limits.messages_per_s, self.accepted_ms
         self.poll_mask = select.POLLIN
-        self.is_paused = False  # it is not read while this stands
-        self.is_scheduled = False  # it waits for the poller's thread to look at it
-        self.close_reason = ""  # why it is to be closed; empty while it is not
+        self.is_paused = False  # while True, the connection is not read
+        self.is_scheduled = False  # queued for an update by the poller's thread
+        self.close_reason = ""  # set once the connection is to be closed
         self.is_closed = False
 
     @property
     def is_registered(self) -> bool:
-        """Whether the peer has said who it is, or opened a stream."""
+        """Whether the peer has identified itself or opened a stream."""
         return self.codec.is_registered
 
     def unsent_bytes(self) -> int:
-        """Return how many bytes wait for the peer."""
+        """Return the number of bytes that wait for the peer."""
         return self.codec.unsent_bytes + len(self.send_buffer)
 
     def send(self, stream: int, message: bytes) -> bool:
-        """Queue a message; return False if the connection is closed, or is to be since too much waits for its peer."""
+        """Queue a message; return False if the connection is closed or now closes because too many bytes are unsent."""
         with self.lock:
             if self.close_reason or self.is_closed:
                 return False
             self.codec.send(stream, message)
-            is_over = self.unsent_bytes() > self.poller.limits.max_unsent_bytes + 2 * len(message)
-        if is_over:
+            is_over_limit = self.unsent_bytes() > self.poller.limits.max_unsent_bytes + 2 * len(message)
+        if is_over_limit:
             self.close("it reads more slowly than its bound allows")
         self.poller.schedule(self)
-        return not is_over
+        return not is_over_limit
 
     def with_codec(self, action: Callable[[CodecT], None]) -> None:
-        """Call `action` with the codec under the lock; the poller then writes what it made."""
+        """Call `action` with the codec under the lock; the poller then writes the output."""
         with self.lock:
             if not self.is_closed:
                 action(self.codec)
         self.poller.schedule(self)
 
     def set_paused(self, is_paused: bool) -> None:
-        """Stop reading from the peer, or go on."""
+        """Stop or resume reading from the peer."""
         if self.is_paused != is_paused:
             self.is_paused = is_paused
             self.poller.schedule(self)
 
     def close(self, reason: str) -> None:
-        """Have the poller close the connection, after what can be sent at once."""
+        """Have the poller close the connection, after it has written what the socket accepts without blocking."""
         if not self.close_reason:
             self.close_reason = reason
         self.poller.schedule(self)
--- a/quillstep/net/framing.py
+++ b/quillstep/net/framing.py
@@ -1,4 +1,4 @@
-"""Bodies behind a length of four bytes, most significant first.  Without I/O; what is in them is the caller's."""
+"""Length-prefixed framing: a four-byte big-endian length, then the body.  Performs no I/O; bodies are opaque."""
 
 import struct
 from collections.abc import Callable, Iterator
@@ -7,17 +7,17 @@
 
 
 def add_length(body: bytes) -> bytes:
-    """Return the body behind its length."""
+    """Return the body with its length prefix."""
     return LENGTH.pack(len(body)) + body
 
 
 def remove_bodies(buffer: bytearray, check: Callable[[int, bytes], None]) -> Iterator[bytes]:
-    """Remove complete bodies from the head of the buffer.
+    """Remove and yield the complete bodies at the start of the buffer.
 
     Args:
-        buffer: The bytes received so far; what is left in it is incomplete.
-        check: Is given each length and the first byte of its body, empty if it has not arrived, ahead of the rest, so
-            that a body is judged before it is buffered.  What it raises ends the iteration.
+        buffer: The bytes received so far; an incomplete body stays in it.
+        check: Called with each length and the first byte of the body (empty if not received yet) before the body is
+            complete, so that an invalid body is rejected before it is buffered.  Its exceptions end the iteration.
 
     Yields:
         Each complete body.
--- a/quillstep/net/http.py
+++ b/quillstep/net/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as a client within a deadline: h11 on a blocking socket.
+"""An HTTP/1.1 client with deadlines: h11 on a blocking socket.
 
-Each wait is bounded by what is left until one deadline, in seconds on the monotonic clock, so that a server that
-sends a byte now and then can't keep a thread beyond it.
+Every wait is bounded by the time left until one deadline, in seconds on the monotonic clock, so that a server that
+sends a byte at a time can't block a thread beyond it.
 """
 
 import socket
@@ -26,11 +26,11 @@
     """Return the seconds until a deadline.
 
     Raises:
-        TimeoutError: It has passed.
+        TimeoutError: The deadline has passed.
     """
     remaining = deadline_s - time.monotonic()
     if remaining <= 0:
-        raise TimeoutError("the deadline has passed")
+        raise TimeoutError("deadline exceeded")
     return remaining
 
 
@@ -38,7 +38,7 @@
     """Connect to an address.
 
     Raises:
-        OSError: It can't be reached, or not in time.
+        OSError: The address can't be reached, or not before the deadline.
     """
     return socket.create_connection(address, remaining_s(deadline_s))
 
@@ -49,7 +49,7 @@
     """Send a GET request without a body.
 
     Raises:
-        OSError: The connection broke, or the deadline passed.
+        OSError: The connection failed, or the deadline passed.
     """
     request = h11.Request(method="GET", target=target, headers=[("Host", host), *headers])
     sock.settimeout(remaining_s(deadline_s))
@@ -57,11 +57,11 @@
 
 
 def next_event(sock: socket.socket, http: h11.Connection, deadline_s: float) -> ResponseEvent:
-    """Return the next event of a response; interim responses are left out.
+    """Return the next event of a response; interim responses are skipped.
 
     Raises:
-        OSError: The connection broke, or the deadline passed.
-        h11.ProtocolError: What was received is no HTTP.
+        OSError: The connection failed, or the deadline passed.
+        h11.ProtocolError: The server sent invalid HTTP.
     """
     while True:
         event = http.next_event()
@@ -73,11 +73,11 @@
 
 
 def get(address: tuple[str, int], target: str, deadline_s: float, max_body_bytes: int) -> Response:
-    """Send one request on a connection of its own, and return the complete response.
+    """Send one GET request on a new connection, and return the complete response.
 
     Raises:
-        OSError: The connection can't be made or broke, or the deadline passed.
-        h11.ProtocolError: What was received is no HTTP, or its body is too large.
+        OSError: The connection can't be opened or failed, or the deadline passed.
+        h11.ProtocolError: The server sent invalid HTTP, or the body is longer than `max_body_bytes`.
     """
     http = h11.Connection(h11.CLIENT)
     status, headers, body = 0, {}, bytearray()
@@ -90,6 +90,6 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > max_body_bytes:
-                    raise h11.RemoteProtocolError("an answer beyond its bound")
+                    raise h11.RemoteProtocolError("response body over the size limit")
             else:
                 return Response(status, headers, bytes(body))
--- a/quillstep/net/listener.py
+++ b/quillstep/net/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepts connections, and stays out of the poll while no descriptor is left."""
+"""The listening socket: accepts connections, and is not polled while no file descriptor is available."""
 
 import errno
 import select
@@ -9,33 +9,33 @@
 
 from quillstep.net.clock import now_ms
 
-MAX_ACCEPTED_PER_PASS = 64  # the other connections are served between two such batches
+MAX_ACCEPTED_PER_PASS = 64  # so that other connections are served between batches
 REJECTION_LOG_INTERVAL_MS = 1000.0
 DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE)
 
 
 class Listener:
-    """A listening socket that `poll` watches; all methods belong to the thread that polls."""
+    """A listening socket registered with `poll`; all methods are called by the polling thread."""
 
     def __init__(self, listen: str, poll: select.poll) -> None:
         host, _, port = listen.rpartition(":")
         self.sock = socket.create_server((host.strip("[]"), int(port)), backlog=1024)
         self.address = "{}:{}".format(*self.sock.getsockname()[:2])
-        self.sock.settimeout(0)  # several wait at once; the accepted ones block
+        self.sock.settimeout(0)  # `accept` is called until none is pending; accepted sockets block
         self.poll = poll
-        self.is_accepting = True  # False: no descriptor is left, the socket is not polled until the next maintenance
+        self.is_accepting = True  # False after running out of file descriptors, until the next maintenance
         self.last_rejection_log_ms = float("-inf")
         self.log = structlog.get_logger("net")
 
     def accept(
         self, add: Callable[[socket.socket], None], evict: Callable[[], bool], log_rejection: Callable[[str], None]
     ) -> None:
-        """Accept what waits, up to a bound; the rest is accepted in the next pass.
+        """Accept pending connections, at most `MAX_ACCEPTED_PER_PASS`; the rest are accepted in the next pass.
 
         Args:
-            add: Is given each accepted socket.
+            add: Called with each accepted socket.
             evict: Closes a connection to free its descriptor; returns False if there is none to close.
-            log_rejection: Is given the reason where no descriptor is left.
+            log_rejection: Called with the reason if no file descriptor is available.
         """
         for _ in range(MAX_ACCEPTED_PER_PASS):
             try:
@@ -44,19 +44,19 @@
                 return
             except OSError as error:
                 if error.errno in DESCRIPTORS_EXHAUSTED and not evict():
-                    log_rejection("no descriptor is left")
+                    log_rejection("no file descriptor available")
                     self.set_accepting(False)
                 return
             add(sock)
 
     def set_accepting(self, is_accepting: bool) -> None:
-        """Poll the socket or not: a connection that can't be accepted would wake the poller all the time."""
+        """Poll the socket or not: a pending connection that can't be accepted would wake the poller constantly."""
         if self.is_accepting != is_accepting:
             self.is_accepting = is_accepting
             self.poll.modify(self.sock, select.POLLIN if is_accepting else 0)
 
     def log_rejection(self, reason: str, connections: int) -> None:
-        """Log that a connection was rejected, at most once in the interval."""
+        """Log that a connection was rejected, at most once per `REJECTION_LOG_INTERVAL_MS`."""
         if now_ms() - self.last_rejection_log_ms > REJECTION_LOG_INTERVAL_MS:
             self.last_rejection_log_ms = now_ms()
             self.log.warning("connection rejected", reason=reason, connections=connections)
--- a/quillstep/net/poller.py
+++ b/quillstep/net/poller.py
@@ -1,9 +1,9 @@
-"""Many connections served by one thread: blocking sockets, and a poll that tells which of them are ready.
+"""Serves many connections in one thread, which polls their sockets for readiness.
 
-A thread or two for each of a thousand connections would spend more on contention for the interpreter than on reading
-(figures in docs/reports.md).  One thread reads what has arrived, passes each event on, and writes what there is room
-for.  A peer that reads slowly, stalls, floods or breaks the protocol costs its own connection alone: it is read no
-further than its message budget, and what waits for it is bounded in bytes and time.
+With one or two threads for each of a thousand connections, contention for the interpreter lock would cost more than
+reading (figures in docs/reports.md).  One thread reads the available data, passes each event on, and writes what the
+sockets accept.  A peer that reads slowly, stalls, floods or violates the protocol affects only its own connection: it
+is read no faster than its message budget allows, and output that waits for it is limited in bytes and time.
 """
 
 import contextlib
@@ -29,13 +29,13 @@
 MAX_POLL_MS = 500.0
 MAINTENANCE_INTERVAL_MS = 250.0
 READ, WRITE = select.POLLIN, select.POLLOUT
-ENDED = select.POLLHUP | select.POLLERR | select.POLLNVAL
+HANGUP = select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 class Poller(Generic[CodecT, EventT]):
     """A listening socket and all connections that it accepted.
 
-    `schedule` and `stop` may be called from any thread; all else belongs to the thread that `run` is called in.
+    `schedule` and `stop` may be called from any thread; everything else is used only by the thread that calls `run`.
     """
 
     def __init__(
@@ -49,17 +49,17 @@
         idle_timeout_ms: float,
         after_pass: Callable[[], float] | None = None,
     ) -> None:
-        """Bind the socket; nothing is accepted until `run`.
+        """Bind the socket; connections are accepted once `run` is called.
 
         Args:
             listen: Host and port, separated by a colon.
-            limits: What a connection may cost.
-            make_codec: Called for each connection.
+            limits: Limits on connections.
+            make_codec: Returns a new codec for each connection.
             on_event: Called with each event, in the poller's thread.
             on_closed: Called with the reason after a connection was closed, in the poller's thread.
-            idle_timeout_ms: How long a registered peer that is not paused may be silent.
-            after_pass: Called after each pass; returns when on the monotonic clock, in milliseconds, the next pass is
-                due at the latest.
+            idle_timeout_ms: Time after which an idle registered peer is disconnected, unless it is paused.
+            after_pass: Called after each pass; returns the latest time of the next pass, on the monotonic clock in
+                milliseconds.
 
         Raises:
             OSError: The address can't be bound.
@@ -69,8 +69,8 @@
         self.poll = select.poll()
         self.listener = Listener(listen, self.poll)
         self.address = self.listener.address
-        self.connections: dict[int, Connection[CodecT]] = {}  # by descriptor
-        self.unregistered: dict[int, Connection[CodecT]] = {}  # those of them that have not registered, oldest first
+        self.connections: dict[int, Connection[CodecT]] = {}  # all connections, by descriptor
+        self.unregistered: dict[int, Connection[CodecT]] = {}  # connections that have not registered, oldest first
         self.inputs: dict[int, Callable[[], bool]] = {}  # other descriptors and their handlers
         self.scheduled: deque[Connection[CodecT]] = deque()
         self.wakeup = Wakeup()
@@ -85,32 +85,32 @@
         self.inputs[descriptor] = handler
 
     def schedule(self, connection: Connection[CodecT]) -> None:
-        """Have the poller's thread write, pause or close this connection as it now stands."""
+        """Have the poller's thread apply this connection's state: write its output, pause it, or close it."""
         if not connection.is_scheduled:
             connection.is_scheduled = True
             self.scheduled.append(connection)
             self.wakeup.notify()
 
     def stop(self) -> None:
-        """Have `run` close all connections, after what can be sent at once, and return."""
+        """Have `run` write what sockets accept without blocking, close all connections, and return."""
         self.stopping.set()
         self.wakeup.is_pending = False
         self.wakeup.notify()
 
     def run(self) -> None:
-        """Serve until `stop` is called or an input ends."""
+        """Serve connections until `stop` is called or the handler of an input returns False."""
         for descriptor in (self.listener.sock.fileno(), self.wakeup.descriptor, *self.inputs):
             self.poll.register(descriptor, READ)
         due_ms = float("inf")
         while not self.stopping.is_set():
             ready = self.poll.poll(min(MAX_POLL_MS, max(0.0, due_ms - now_ms())))
-            begun_s = time.thread_time()
+            started_s = time.thread_time()
             for descriptor, events in ready:
                 self._serve(descriptor, events)
             self.update_scheduled()
             if now_ms() - self.last_maintenance_ms > MAINTENANCE_INTERVAL_MS:
                 self.run_maintenance()
-            self.io_cpu_s += time.thread_time() - begun_s
+            self.io_cpu_s += time.thread_time() - started_s
             due_ms = self.after_pass() if self.after_pass else float("inf")
             self.update_scheduled()
         self._shut_down()
@@ -136,7 +136,7 @@
     # Accepting
 
     def accept(self) -> None:
-        """Accept the connections that wait."""
+        """Accept pending connections."""
         self.listener.accept(self._add, self.evict_oldest_unregistered, self._log_rejection)
 
     def _add(self, sock: socket.socket) -> None:
@@ -158,10 +158,10 @@
         self.listener.log_rejection(reason, len(self.connections))
 
     def evict_oldest_unregistered(self) -> bool:
-        """Close the oldest connection that has not registered, so that silent ones can't exhaust the descriptors.
+        """Close the oldest unregistered connection, so that idle ones can't exhaust the file descriptors.
 
-        Its bytes are read first, since they may register it.  A peer that registers late while many connect at once
-        may lose its connection, and connects again.  Returns False if every connection has registered.
+        Pending bytes are read first, because they may register the connection.  While many peers connect at once, one
+        that registers late may be disconnected and must reconnect.  Returns False if every connection has registered.
         """
         while self.unregistered:
             if self.evict_unregistered(next(iter(self.unregistered.values())), "too many unregistered connections"):
@@ -169,9 +169,9 @@
         return False
 
     def evict_unregistered(self, connection: Connection[CodecT], reason: str) -> bool:
-        """Close a connection unless what it has sent registers it; return whether it is closed.
+        """Close a connection unless its pending bytes register it; return whether it is closed.
 
-        Guards against a pause of the process in which its time passes while its registration waits to be read.
+        After a pause of the process, the handshake timeout may have passed while the registration waits to be read.
         """
         self.handle_ready(connection, READ)
         self._update_registration(connection)
@@ -189,8 +189,8 @@
     # Reading and writing
 
     def handle_ready(self, connection: Connection[CodecT], events: int) -> None:
-        """Read what has arrived, pass it on, and write what there is room for."""
-        if events & (READ | ENDED):
+        """Read available data, pass its events on, and write what the socket accepts."""
+        if events & (READ | HANGUP):
             try:
                 data = connection.sock.recv(RECEIVE_BYTES, socket.MSG_DONTWAIT)
                 if not data:
@@ -200,20 +200,20 @@
             except BlockingIOError:
                 pass
             except ProtocolError as error:
-                self._send_goodbye(connection)
+                self._send_closing_bytes(connection)
                 self.close_now(connection, str(error))
                 return
             except OSError as error:
                 self.close_now(connection, connection.close_reason or type(error).__name__)
                 return
             except Exception as error:
-                self._close_after_fault(connection, error)
+                self._close_after_error(connection, error)
                 return
         if not connection.is_closed:
             self.update(connection)
 
-    def _close_after_fault(self, connection: Connection[CodecT], error: Exception) -> None:
-        """A fault of the program while it served a connection ends that one, with its traceback, not the thread."""
+    def _close_after_error(self, connection: Connection[CodecT], error: Exception) -> None:
+        """Log an internal error with its traceback and close only the connection that was being served."""
         self.log.error("connection handler failed", exc_info=error)
         self.close_now(connection, f"{type(error).__name__}: {error}")
 
@@ -228,7 +228,7 @@
             self._update_registration(connection)
 
     def update_scheduled(self) -> None:
-        """Update all connections that were scheduled."""
+        """Update all scheduled connections."""
         while self.scheduled:
             connection = self.scheduled.popleft()
             connection.is_scheduled = False
@@ -236,7 +236,7 @@
                 self.update(connection)
 
     def update(self, connection: Connection[CodecT]) -> None:
-        """Write what there is room for, poll for what the connection may do, and close it if it is to be closed."""
+        """Write what the socket accepts, update the poll mask, and close the connection if it is to be closed."""
         try:
             with connection.lock:
                 connection.send_buffer += connection.codec.pump()
@@ -246,12 +246,12 @@
             self.close_now(connection, connection.close_reason or "the connection broke")
             return
         except Exception as error:
-            self._close_after_fault(connection, error)
+            self._close_after_error(connection, error)
             return
         if connection.close_reason:
             self.close_now(connection, connection.close_reason)
             return
-        # A peer that asks for more answers than it reads is read no further, until the write timeout is over.
+        # A peer that requests more than it reads is not read until it catches up or the write timeout closes it.
         is_blocked = (
             connection.is_paused
             or connection.message_budget < 0
@@ -275,12 +275,12 @@
             pass
 
     @staticmethod
-    def _send_goodbye(connection: Connection[CodecT]) -> None:
+    def _send_closing_bytes(connection: Connection[CodecT]) -> None:
         with connection.lock, contextlib.suppress(OSError):
-            connection.sock.send(connection.codec.goodbye(), socket.MSG_DONTWAIT)
+            connection.sock.send(connection.codec.closing_bytes(), socket.MSG_DONTWAIT)
 
     def close_now(self, connection: Connection[CodecT], reason: str) -> None:
-        """Close a connection and report it, once."""
+        """Close a connection and call `on_closed`; do nothing if it is already closed."""
         with connection.lock:
             if connection.is_closed:
                 return
@@ -297,7 +297,7 @@
     # Timeouts
 
     def run_maintenance(self) -> None:
-        """Enforce timeouts, send pings, refill message budgets, and poll the listener again."""
+        """Enforce timeouts, send pings, refill message budgets, and resume polling the listener."""
         now = self.last_maintenance_ms = now_ms()
         self.listener.set_accepting(True)
         for connection in list(self.connections.values()):
@@ -310,14 +310,14 @@
         refill = (now - connection.budget_updated_ms) * limits.messages_per_s / 1000.0
         connection.message_budget = min(limits.messages_per_s, connection.message_budget + refill)
         connection.budget_updated_ms = now
-        silent_ms = now - connection.last_received_ms
+        idle_ms = now - connection.last_received_ms
         if not connection.is_registered and now - connection.accepted_ms > limits.handshake_timeout_ms:
             self.evict_unregistered(connection, "it did not register in time")
         elif connection.send_buffer and now - connection.last_written_ms > limits.write_timeout_ms:
             self.close_now(connection, "it takes no bytes")
-        elif connection.is_registered and not connection.is_paused and silent_ms > self.idle_timeout_ms:
+        elif connection.is_registered and not connection.is_paused and idle_ms > self.idle_timeout_ms:
             self.close_now(connection, "it was silent for too long")
-        elif connection.is_registered and min(silent_ms, now - connection.last_ping_ms) > limits.ping_interval_ms:
+        elif connection.is_registered and min(idle_ms, now - connection.last_ping_ms) > limits.ping_interval_ms:
             connection.last_ping_ms = now
             with connection.lock:
                 connection.codec.ping()
--- a/quillstep/platform/protocol/codec.py
+++ b/quillstep/platform/protocol/codec.py
@@ -93,6 +93,6 @@
     def ping(self) -> None:
         """Do nothing: the protocol has no ping that a controller may send."""
 
-    def goodbye(self) -> bytes:
+    def closing_bytes(self) -> bytes:
         """Return nothing: the protocol has no message for a peer that broke it."""
         return b""
--- a/quillstep/xds/http2.py
+++ b/quillstep/xds/http2.py
@@ -257,7 +257,7 @@
         """Queues a ping."""
         self.h2.ping(PING_DATA)
 
-    def goodbye(self) -> bytes:
+    def closing_bytes(self) -> bytes:
         """What the protocol has to say to a peer that broke it."""
         return self.pending_output()[:MAX_GOODBYE_BYTES]
 
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -13,15 +13,15 @@
 
 
 class EndlessInterimResponses(LoopbackServer):
-    """Sends interim responses, each a complete event, for much longer than the deadlines of the tests."""
+    """Sends interim responses, each a complete event, for 2 s, much longer than the deadlines in the test."""
 
     def answer(self, sock, path):
-        until = time.monotonic() + 2.0
-        while time.monotonic() < until:
+        end_s = time.monotonic() + 2.0
+        while time.monotonic() < end_s:
             sock.sendall(b"HTTP/1.1 102 Processing\r\n\r\n")
 
 
-def test_bytes_that_arrive_one_by_one_do_not_extend_the_deadline():
+def test_interim_responses_do_not_extend_the_deadline():
     endpoint = EndlessInterimResponses()
     try:
         with pytest.raises(TimeoutError):
@@ -31,11 +31,11 @@
         endpoint.close()
 
 
-def test_bytes_that_wait_to_be_read_are_not_read_after_the_deadline():
-    ours, theirs = socket.socketpair()
-    with ours, theirs:
+def test_pending_bytes_are_not_read_after_the_deadline():
+    client, server = socket.socketpair()
+    with client, server:
         http = h11.Connection(h11.CLIENT)
-        send_request(ours, http, "x", "/health", time.monotonic() + WAIT_S)
-        theirs.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
+        send_request(client, http, "x", "/health", time.monotonic() + WAIT_S)
+        server.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
         with pytest.raises(TimeoutError):
-            next_event(ours, http, time.monotonic() - 0.001)
+            next_event(client, http, time.monotonic() - 0.001)
