--- a/quillstep/controller/__init__.py
+++ b/quillstep/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One pilot: gathers news, calls the module once a round, keeps the order channel, feeds its fronts."""
+"""The controller: collects events, runs the planner once a control interval, and sends its updates to proxies."""
--- a/quillstep/controller/core.py
+++ b/quillstep/controller/core.py
@@ -1,6 +1,6 @@
-"""The controller without I/O: events in, control intervals of the planner, its output into tables and update channel.
+"""The controller without I/O: handles events, runs control intervals, and passes updates to tables and update channel.
 
-Time is an argument: the same core runs on sockets in real time, and in a replay on virtual time.
+Time is an argument, so the same core runs in real time on sockets and in virtual time in a replay.
 """
 
 from collections.abc import Callable, Mapping
@@ -10,7 +10,7 @@
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.config.planner_config import planner_config
-from quillstep.controller.baselines import EvenPlanner, ListedPlanner
+from quillstep.controller.baselines import EvenPlanner, ListedWeightPlanner
 from quillstep.controller.control_intervals import ControlIntervals
 from quillstep.controller.endpoint_directory import EndpointDirectory
 from quillstep.controller.events import EndpointListReceived
@@ -33,29 +33,29 @@
 from quillstep.routing.versions import TableVersion
 from quillstep.store.events import OperatorRequest, StoreEvent, StoreLost, StoreOpened, UpdatesStored
 
-PLANNERS: dict[str, Callable[..., Any]] = {"learnt": Planner, "even": EvenPlanner, "listed": ListedPlanner}
-MAX_REMEMBERED_REVISIONS = 4096  # whose times are known
-MIN_CATCH_UP_INTERVAL_MS = 200.0  # between two updates of versions alone, where messages have no limit
-CATCH_UP_SHARE = 0.5  # of the channel's limit that these may fill
+PLANNERS: dict[str, Callable[..., Any]] = {"learnt": Planner, "even": EvenPlanner, "listed": ListedWeightPlanner}
+MAX_REVISION_TIMES = 4096
+MIN_CATCH_UP_INTERVAL_MS = 200.0  # minimum time between catch-up updates where the message rate has no limit
+CATCH_UP_SHARE = 0.5  # catch-up updates may fill the channel's queue up to this share of its limit
 
 
 class ControllerCore:
-    """Passes observations to the planner once a control interval, and its output on to the proxies' tables.
+    """Runs the planner on the observations of each control interval, and applies its output to the proxies' tables.
 
     Attributes:
         settings: The controller's settings.
-        planner: The planner, or a baseline in its place.
-        tables: What each proxy should hold, is sent, and has acknowledged.
-        versioned_tables: The tables' versions, between the planner and `tables`.
-        channel: Updates that wait to be sent.
-        release: Updates that have left the channel and wait to be durable.
-        reports: Load reports.
+        planner: The planner, or a baseline that replaces it.
+        tables: For each proxy, the tables that it should hold, that it was sent, and that it has acknowledged.
+        versioned_tables: Versions of the tables; the planner writes to these, and they update `tables`.
+        channel: Updates queued for sending.
+        release: Updates that have left the channel and wait until they are durable.
+        reports: Load reports of proxies.
         operations: Recovery, pins and rollbacks.
-        endpoints: Listed endpoints.
+        endpoints: Endpoints that discovery lists.
         proxies: Joined proxies.
-        new_versions: Versions in force since they were last stored.
+        new_versions: Versions that took effect since the last submission to the store.
         health_check_requests: Endpoints to check, each with its address.
-        recorded_output: What the planner wrote in the last control interval; None where nobody records it.
+        recorded_output: The planner's output in the last control interval; None if it is not recorded.
     """
 
     def __init__(self, settings: ControllerSettings) -> None:
@@ -109,25 +109,25 @@
 
     @property
     def pending(self) -> Observations:
-        """What the next control interval will be given."""
+        """Observations for the next control interval."""
         return self.control_intervals.pending
 
     @property
     def completed_intervals(self) -> int:
-        """Control intervals since the start."""
+        """Number of control intervals since the start."""
         return self.control_intervals.completed
 
     @property
     def endpoint_numbers(self) -> Mapping[tuple[str, int], int]:
-        """Listed endpoints by address."""
+        """Numbers of the listed endpoints, by address."""
         return self.endpoints.numbers
 
     def record_arrival(self, now_ms: float) -> None:
-        """Has a control interval follow within the batch window."""
+        """Makes a control interval due at the end of the batch window."""
         self.control_intervals.record_arrival(now_ms)
 
     def handle_endpoint_list(self, event: EndpointListReceived) -> None:
-        """Takes in an answer of endpoint discovery."""
+        """Applies an endpoint list that discovery sent."""
         self.endpoints.apply(event)
         if event.addresses:
             self.reports.add_endpoints(self.endpoints.numbers, event.addresses)
@@ -143,16 +143,16 @@
         front: ProxyFrontInterface | None = None,
         incarnation: str = "",
     ) -> int:
-        """Takes in a proxy that has joined by this front, and returns its number.
+        """Adds a proxy that has joined through a front, and returns its number.
 
         Args:
             node: The proxy's name.
             zone: Its zone.
-            expected_requests_per_s: What it usually receives.
-            held: Versions of what it holds.
-            is_fresh: It holds nothing from earlier updates.
-            front: What carries to it; another front that did is told to drop it.
-            incarnation: Its own word for one run of its process, if it has one.
+            expected_requests_per_s: The request rate that it usually receives.
+            held: Versions of the resources that it holds.
+            is_fresh: Whether it holds nothing from earlier updates.
+            front: The front that serves it; a different front that served it before drops it.
+            incarnation: The identifier that the proxy gave for this run of its process, if any.
         """
         proxy = self.proxies.add(node, zone, front, self.now_ms)
         self.tables.add_proxy(proxy, zone, held)
@@ -164,7 +164,7 @@
         return proxy
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left."""
+        """Removes a proxy that has left."""
         self.proxies.remove(proxy)
         self.tables.remove_proxy(proxy)
         self.channel.remove_proxy(proxy)
@@ -173,24 +173,24 @@
         self.record_arrival(self.now_ms)
 
     def joined_number(self, node: str) -> int | None:
-        """The number of a proxy that is joined."""
+        """Returns the number of a joined proxy, or None."""
         return self.proxies.joined_number(node)
 
     def add_load_report(self, proxy: int, report: LoadReport) -> None:
-        """Takes in a load report of a joined proxy."""
+        """Adds a load report of a joined proxy."""
         self.reports.add_report(proxy, self.proxies.zones[proxy], report, self.now_ms)
 
     def add_report_summary(self, summary: ReportSummary) -> None:
-        """Takes in what a reader's window of load reports came to."""
+        """Adds a reader's summary of the load reports in one window."""
         self.reports.add_summary(summary, self.now_ms)
 
     def add_health_check(self, result: HealthCheckResult) -> None:
-        """Takes in the outcome of a health check."""
+        """Adds the result of a health check to the observations."""
         self.pending.health_checks.append(result)
         self.record_arrival(self.now_ms)
 
     def handle_store_event(self, event: StoreEvent) -> None:
-        """Takes in what the store has kept, what is durable, what operators request, or that the store is lost."""
+        """Handles an event of the store: its opening, newly durable updates, an operator's request, or its failure."""
         match event:
             case UpdatesStored(revision):
                 self.release.record_durable(revision)
@@ -199,20 +199,20 @@
             case StoreOpened():
                 self.operations.recover(event, self.now_ms)
             case OperatorRequest():
-                self.operations.carry_out(event)
+                self.operations.execute(event)
                 self._next_catch_up_ms = 0.0
 
     # Time
 
     def step(self, now_ms: float) -> None:
-        """Releases updates, and runs a control interval if one is due; the caller then has its fronts send."""
+        """Releases updates, and runs a control interval if one is due; the caller then lets the fronts send."""
         self.now_ms = now_ms
         self.release.release_due(self.channel, self.tables, now_ms)
         self.reports.update(now_ms, self.log)
         if acks := self.tables.completed_acks():
             self.pending.acks += acks
             self.record_arrival(now_ms)
-        if self.endpoints.is_known and self.due_ms() <= now_ms:
+        if self.endpoints.has_list and self.due_ms() <= now_ms:
             self._run_interval(now_ms)
         if self.versioned_tables.recovery_expires_ms() <= now_ms:
             self.update_endpoint_states(now_ms)
@@ -228,7 +228,7 @@
         self.update_endpoint_states(now_ms)
         self.endpoints.update_addresses(self.tables)
         self._revision_times_ms[self.tables.revision] = now_ms
-        self._revision_times_ms.pop(self.tables.revision - MAX_REMEMBERED_REVISIONS, None)
+        self._revision_times_ms.pop(self.tables.revision - MAX_REVISION_TIMES, None)
         if self.recorded_output is None:
             self.control_intervals.run(observations, CoreOutput(self))
         else:
@@ -239,7 +239,7 @@
         self.operations.log_withheld(now_ms)
 
     def _catch_up(self, now_ms: float) -> None:
-        """Moves on what operators or the rollout gate held apart, as the channel has room."""
+        """Sends changes that the rollout gate or an operator's command delayed, as far as the channel has room."""
         channel = self.settings.fleet.channel
         message_gap_ms = channel.message_window_ms / channel.max_messages if channel.max_messages else 0.0
         self._next_catch_up_ms = now_ms + max(MIN_CATCH_UP_INTERVAL_MS, message_gap_ms)
@@ -252,27 +252,27 @@
         self.operations.log_withheld(now_ms)
 
     def update_endpoint_states(self, now_ms: float) -> None:
-        """Gives the tables and the rollout gate the endpoints' states as they are now."""
+        """Passes the endpoints' current states to the tables and the rollout gate."""
         self.endpoints.update_states(self.tables, self.versioned_tables, now_ms)
 
     def due_ms(self) -> float:
-        """When the next control interval is due."""
-        if not self.endpoints.is_known:
+        """Returns when the next control interval is due; infinity before the first endpoint list."""
+        if not self.endpoints.has_list:
             return float("inf")
         return min(self.control_intervals.due_ms(), self.reports.stats_due_ms())
 
     def next_ms(self) -> float:
-        """When `step` has something to do next."""
+        """Returns when `step` must be called next."""
         due_ms = min(self.due_ms(), self.channel.next_ms(), self.reports.next_ms(), self.release.due_ms())
         due_ms = min(due_ms, self.versioned_tables.recovery_expires_ms())
         if self.versioned_tables.is_behind():
             due_ms = min(due_ms, self._next_catch_up_ms)
         return due_ms
 
-    def ordered_ms(self, revision: int) -> float:
-        """When a revision of the tables was decided."""
+    def revision_time_ms(self, revision: int) -> float:
+        """Returns when a revision of the tables was decided; the current time for one that is no longer known."""
         return self._revision_times_ms.get(revision, self.now_ms)
 
 
 def _ignore_version(version: TableVersion) -> None:
-    """Without a store, versions are not kept."""
+    """Discards a version: without a store, versions are not recorded."""
--- a/quillstep/controller/decision_loop.py
+++ b/quillstep/controller/decision_loop.py
@@ -1,7 +1,7 @@
-"""The deciding thread's work without its thread: events in, one pass, updates and responses out.  Time is an argument.
+"""The work of the deciding thread, without the thread: handles events, and sends updates and responses in passes.
 
-The running controller calls this with its clock and sockets; a replay calls it with a recording's.  Which events came
-before which pass, and which connections were full at its end, are all that decide what comes out.
+Time is an argument: the running controller passes its own clock, a replay the times of a recording.  The output
+depends only on which events came before which pass, and on which connections were full at the end of each pass.
 """
 
 from collections.abc import Callable
@@ -24,11 +24,11 @@
 
 ControllerEvent = StreamEvent | FileEvent | StoreEvent | EndpointListReceived | HealthCheckResult | ReportsSummarized
 
-MAX_NAMED_PROXIES = 8  # in one log line
+MAX_LOGGED_PROXIES = 8  # names in one log line
 
 
 class DecisionLoop:
-    """Core and fronts of one controller."""
+    """The core and the fronts of one controller."""
 
     def __init__(
         self,
@@ -42,13 +42,13 @@
 
         Args:
             settings: The controller's settings.
-            epoch: The name of this run of its process.
-            tap: Is given each row of the sockets' record.
-            publish: Takes events of the file front's threads.
-            disk: The file front's disk; a replay gives one that touches no files.
+            epoch: The name of the controller's incarnation.
+            tap: Called with each row of the socket record.
+            publish: Called with the events of the file front's threads.
+            disk: The file front's disk; a replay passes one that accesses no files.
         """
         self.core = ControllerCore(settings)
-        context = FrontContext(settings, self.core.tables, self.core, epoch, self.core.ordered_ms, tap)
+        context = FrontContext(settings, self.core.tables, self.core, epoch, self.core.revision_time_ms, tap)
         self.streams = XdsFront(context)
         self.fronts: list[Any] = [self.streams]
         self.tap = tap
@@ -67,22 +67,22 @@
         }
 
     def handle(self, event: ControllerEvent, now_ms: float) -> None:
-        """Take in one event."""
+        """Handles one event."""
         self.core.now_ms = now_ms
         self.handlers[type(event)](event, now_ms)
 
     def handle_endpoint_list(self, event: EndpointListReceived, now_ms: float) -> None:
-        """Take in an answer of endpoint discovery; the next control interval includes it."""
+        """Applies an endpoint list; the next control interval includes it."""
         self.core.handle_endpoint_list(event)
         self.core.record_arrival(now_ms)
 
     def handle_file_event(self, event: FileEvent, now_ms: float) -> None:
-        """Pass an event on to the file front, where this controller has one."""
+        """Passes an event to the file front, if this controller has one."""
         if self.files:
             self.files.handle_event(event, now_ms)
 
     def run_pass(self, now_ms: float) -> None:
-        """Releases updates, decides if a control interval is due, and has the fronts send."""
+        """Releases updates, runs a control interval if one is due, and lets the fronts send."""
         self.core.step(now_ms)
         pending, self.core.tables.pending_proxies = self.core.tables.pending_proxies, set()
         for front in self.fronts:
@@ -90,9 +90,9 @@
         self._report_retry_policies(now_ms)
 
     def _report_retry_policies(self, now_ms: float) -> None:
-        """Reports where a retry policy beyond what its class allows may be in effect, and since when it no longer can.
+        """Reports which proxies may still use a retry policy looser than their class allows, and which no longer can.
 
-        Until then the endpoints must go on recognising repeated keys.
+        While any proxy may, the endpoints must keep recognizing repeated idempotency keys.
         """
         changes = self.core.retry_policies.changes(now_ms)
         nodes = {number: node for node, number in self.core.proxies.numbers.items()} if changes else {}
@@ -101,20 +101,20 @@
             for exceeds, proxies in ((True, change.exceeding), (False, change.compliant)):
                 for proxy in proxies:
                     self.tap("way", now_ms, kind=class_name, proxy=nodes[proxy], loose=exceeds)
-            known = len(self.core.retry_policies.proxies)
+            proxy_count = len(self.core.retry_policies.proxies)
             if not change.count_exceeding:
-                self.log.info("retry policy in effect", class_name=class_name, proxies=known)
-            elif change.count_exceeding == len(change.exceeding):  # the first of them
-                first = [nodes[proxy] for proxy in change.exceeding[:MAX_NAMED_PROXIES]]
+                self.log.info("retry policy in effect", class_name=class_name, proxies=proxy_count)
+            elif change.count_exceeding == len(change.exceeding):  # none exceeded it before these changes
+                names = [nodes[proxy] for proxy in change.exceeding[:MAX_LOGGED_PROXIES]]
                 self.log.info(
                     "looser retry policy still in effect",
                     class_name=class_name,
                     retry_policy=change.retry_policy,
-                    proxies=first,
-                    of=known,
+                    proxies=names,
+                    of=proxy_count,
                 )
 
     def next_ms(self) -> float:
-        """When a pass has something to do without any event."""
-        waits = [front.next_ms() for front in self.fronts]
-        return min([self.core.next_ms(), self.core.retry_policies.next_expiry_ms, *waits])
+        """Returns when the next pass is due if no event arrives."""
+        due_times_ms = [front.next_ms() for front in self.fronts]
+        return min([self.core.next_ms(), self.core.retry_policies.next_expiry_ms, *due_times_ms])
--- a/quillstep/controller/discovery_client.py
+++ b/quillstep/controller/discovery_client.py
@@ -1,4 +1,4 @@
-"""Follows endpoint discovery over xDS (a collection of `LbEndpoint`s), with the controller as its client."""
+"""The xDS client for endpoint discovery: subscribes to a collection of `LbEndpoint` resources."""
 
 import threading
 import time
@@ -24,19 +24,21 @@
 
 
 def parse_endpoint(
-    line: endpoint_components_pb2.LbEndpoint, clock_offset_ms: float
+    lb_endpoint: endpoint_components_pb2.LbEndpoint, clock_offset_ms: float
 ) -> tuple[EndpointEntry, tuple[str, int]]:
-    """Returns a resource as an entry, and the endpoint's address.
+    """Returns a resource's entry for the endpoint list, and the endpoint's address.
 
-    Metadata under `quillstep` gives `id` and `zone`, and `started_ms` (wall clock; absent: long ago).
-    `clock_offset_ms` turns wall-clock milliseconds into the controller's.
+    The metadata namespace `quillstep` holds `id`, `zone` and optionally `started_ms` (wall clock; absent if the
+    endpoint started long ago).  `clock_offset_ms` is added to wall-clock milliseconds to get the controller's clock.
     """
-    fields = line.metadata.filter_metadata[METADATA_NAMESPACE].fields
+    fields = lb_endpoint.metadata.filter_metadata[METADATA_NAMESPACE].fields
     started = fields["started_ms"].number_value if "started_ms" in fields else 0.0
-    is_draining = line.health_status == health_check_pb2.DRAINING
-    state = STATES.get(line.health_status, "terminating" if is_draining else "terminated")
-    weight = float(line.load_balancing_weight.value) / 100.0 if line.HasField("load_balancing_weight") else 1.0
-    address = line.endpoint.address.socket_address
+    is_draining = lb_endpoint.health_status == health_check_pb2.DRAINING
+    state = STATES.get(lb_endpoint.health_status, "terminating" if is_draining else "terminated")
+    weight = (
+        float(lb_endpoint.load_balancing_weight.value) / 100.0 if lb_endpoint.HasField("load_balancing_weight") else 1.0
+    )
+    address = lb_endpoint.endpoint.address.socket_address
     entry = EndpointEntry(
         int(fields["id"].number_value),
         fields["zone"].string_value,
@@ -48,9 +50,9 @@
 
 
 class DiscoveryClient:
-    """Keeps a stream to discovery, in a thread of its own; `publish` is given its answers.
+    """Keeps a stream to the discovery server open, in its own thread, and calls `publish` with each endpoint list.
 
-    The thread is a daemon and ends with the process: it may wait for discovery.
+    The thread is a daemon and is not joined, because it may block while it waits for the server.
     """
 
     def __init__(
@@ -63,7 +65,7 @@
     ) -> None:
         self.address, self.name, self.zone = address, name, zone
         self.clock_offset_ms, self.publish = clock_offset_ms, publish
-        self.known: dict[str, EndpointEntry] = {}  # resource name to its newest entry
+        self.entries: dict[str, EndpointEntry] = {}  # newest entry by resource name
         self.versions: dict[str, str] = {}
         self.log = structlog.get_logger("discovery")
         threading.Thread(target=self._run, name="discovery-client", daemon=True).start()
@@ -71,18 +73,18 @@
     def _run(self) -> None:
         while True:
             try:
-                self._follow()
+                self._run_stream()
             except (OSError, ValueError) as error:
-                self.log.warning("discovery lost", address=self.address, reason=str(error))
-            if self.known:
+                self.log.warning("discovery unavailable", address=self.address, reason=str(error))
+            if self.entries:
                 self.publish(EndpointListReceived("error", [], {}))
             time.sleep(RECONNECT_DELAY_MS / 1000.0)
 
-    def _follow(self) -> None:
-        """Follows one stream to its end.
+    def _run_stream(self) -> None:
+        """Runs one stream until it closes.
 
         Raises:
-            OSError: The stream or the connection has ended.
+            OSError: The stream or the connection was closed.
         """
         client = GrpcClient(self.address, CONNECT_TIMEOUT_MS)
         try:
@@ -101,26 +103,26 @@
                     ack = discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, response_nonce=response.nonce)
                     client.send(stream, ack.SerializeToString())
                 elif isinstance(event, StreamEnded):
-                    raise OSError(f"discovery ended the stream: {event.reason}")
+                    raise OSError(f"stream closed by the server: {event.reason}")
             raise OSError(client.reason)
         finally:
             client.close()
 
     def _handle_response(self, response: discovery_pb2.DeltaDiscoveryResponse) -> None:
-        is_first = not self.known
+        is_first = not self.entries
         entries, addresses = [], {}
         for resource in response.resources:
-            line = endpoint_components_pb2.LbEndpoint()
-            if not resource.resource.Unpack(line):
+            lb_endpoint = endpoint_components_pb2.LbEndpoint()
+            if not resource.resource.Unpack(lb_endpoint):
                 continue
-            entry, address = parse_endpoint(line, self.clock_offset_ms)
-            self.known[resource.name] = entry
+            entry, address = parse_endpoint(lb_endpoint, self.clock_offset_ms)
+            self.entries[resource.name] = entry
             self.versions[resource.name] = resource.version
             entries.append(entry)
             addresses[entry.endpoint] = address
         for name in response.removed_resources:
             self.versions.pop(name, None)
-            if name in self.known:
-                entry = self.known.pop(name)
+            if name in self.entries:
+                entry = self.entries.pop(name)
                 entries.append(entry._replace(state="terminated"))
         self.publish(EndpointListReceived("complete" if is_first else "partial", entries, addresses))
--- a/quillstep/controller/endpoint_directory.py
+++ b/quillstep/controller/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""What a controller knows of listed endpoints beside its planner: addresses, states, starts.  Without I/O."""
+"""Addresses, states and start times of the endpoints that discovery lists.  Performs no I/O."""
 
 from quillstep.controller.events import EndpointListReceived
 from quillstep.routing import Tables
@@ -9,10 +9,10 @@
     """Listed endpoints by number.
 
     Attributes:
-        numbers: Endpoints by address.
-        states: The state that discovery gives each.
-        started_ms: When each started, on the controller's clock; 0 means long ago.
-        is_known: Whether discovery has answered.
+        numbers: Endpoint numbers by address.
+        states: The state of each endpoint in the endpoint list.
+        started_ms: When each started, on the controller's clock; 0 if long ago.
+        has_list: Whether an endpoint list has been received.
     """
 
     def __init__(self, initial_capacity: float, warm_up_ms: float) -> None:
@@ -20,26 +20,26 @@
         self.numbers: dict[tuple[str, int], int] = {}
         self.states: dict[int, str] = {}
         self.started_ms: dict[int, float] = {}
-        self.is_known = False
-        self._moved: list[tuple[int, str, int]] = []  # addresses that the tables have not been given yet
+        self.has_list = False
+        self._new_addresses: list[tuple[int, str, int]] = []  # not yet passed to the tables
 
     def apply(self, event: EndpointListReceived) -> None:
-        """Takes in an answer of discovery."""
+        """Applies an endpoint list; one of kind `error` holds no entries."""
         for endpoint, (host, port) in event.addresses.items():
             self.numbers[host, port] = endpoint
-            self._moved.append((endpoint, host, port))
+            self._new_addresses.append((endpoint, host, port))
         for entry in event.entries:
             self.states[entry.endpoint], self.started_ms[entry.endpoint] = entry.state, entry.started_ms
-        self.is_known = self.is_known or event.kind != "error"
+        self.has_list = self.has_list or event.kind != "error"
 
     def update_addresses(self, tables: Tables) -> None:
-        """Gives the tables what addresses have changed since the last call."""
-        for endpoint, host, port in self._moved:
+        """Passes the addresses received since the last call to the tables."""
+        for endpoint, host, port in self._new_addresses:
             tables.set_address(endpoint, host, port)
-        self._moved = []
+        self._new_addresses = []
 
     def update_states(self, tables: Tables, versioned_tables: VersionedTables, now_ms: float) -> None:
-        """Gives tables, versions and rollout gate what they go by: which endpoints serve, and which are warming up."""
+        """Passes to tables, versions and rollout gate which endpoints are in service and which are warming up."""
         warming_up = {
             endpoint: started_ms
             for endpoint, started_ms in self.started_ms.items()
--- a/quillstep/controller/event_codec.py
+++ b/quillstep/controller/event_codec.py
@@ -1,6 +1,6 @@
-"""Events as records of a recording, and back: one place for both, so that what is written is what is replayed.
+"""Encodes events as records of a recording and decodes them; kept in one module so that the two always match.
 
-Recordings name kinds and order fields as their first version did; those names are known here alone.
+Record kinds and the order of fields are those of the first version of the format, whatever the events are named now.
 """
 
 from collections.abc import Callable
@@ -30,12 +30,12 @@
 from quillstep.xds.events import StreamEnded, StreamOpened, StreamRequest
 from quillstep.xds.server import REQUESTS, Peer
 
-# Kinds of records that hold no event.
-STEP, ORDERS, SENT = "step", "orders", "sent"
+# Kinds of the records that are not events: a pass, the planner's output, and rows of the socket record.
+STEP, OUTPUT, SENT = "step", "orders", "sent"
 
 
 class EventEncoder:
-    """Writes events as records; peers are numbered in the order in which they appear."""
+    """Encodes events as records; peers are numbered in the order of their first appearance."""
 
     def __init__(self) -> None:
         self._peer_numbers: dict[Peer, int] = {}
@@ -44,55 +44,55 @@
             StreamRequest: self._stream_request,
             StreamEnded: self._stream_ended,
             EndpointListReceived: _endpoint_list,
-            HealthCheckResult: lambda event, arrived, taken: ["probe", arrived, taken, *event],
-            ReportsSummarized: lambda event, arrived, taken: ["reports", arrived, taken, *event],
+            HealthCheckResult: lambda event, arrived, handled: ["probe", arrived, handled, *event],
+            ReportsSummarized: lambda event, arrived, handled: ["reports", arrived, handled, *event],
             RegistrationRead: _registration,
-            AcknowledgementRead: lambda event, arrived, taken: ["files", arrived, taken, "ack", *event],
-            LoadReportRead: lambda event, arrived, taken: ["files", arrived, taken, "load", *event, 0.0],
+            AcknowledgementRead: lambda event, arrived, handled: ["files", arrived, handled, "ack", *event],
+            LoadReportRead: lambda event, arrived, handled: ["files", arrived, handled, "load", *event, 0.0],
             GenerationWritten: _generation_written,
             StoreOpened: _store_opened,
-            UpdatesStored: lambda event, arrived, taken: ["store", arrived, taken, "stored", event.number, []],
-            StoreLost: lambda event, arrived, taken: ["store", arrived, taken, "lost", event.reason, []],
+            UpdatesStored: lambda event, arrived, handled: ["store", arrived, handled, "stored", event.number, []],
+            StoreLost: lambda event, arrived, handled: ["store", arrived, handled, "lost", event.reason, []],
             OperatorRequest: _operator_request,
         }
 
     def peer_number(self, peer: Peer) -> int:
-        """The number that stands for a peer in this recording."""
+        """Returns the number that identifies a peer in this recording."""
         return self._peer_numbers.setdefault(peer, len(self._peer_numbers))
 
-    def encode(self, event: ControllerEvent, arrived_ms: float, taken_ms: float) -> Record:
-        """An event as a record: its kind, both times, its fields."""
-        return self._encoders[type(event)](event, arrived_ms, taken_ms)
+    def encode(self, event: ControllerEvent, arrived_ms: float, handled_ms: float) -> Record:
+        """Returns an event as a record: its kind, when it arrived and was handled, and its fields."""
+        return self._encoders[type(event)](event, arrived_ms, handled_ms)
 
-    def _stream_opened(self, event: StreamOpened, arrived: float, taken: float) -> Record:
-        return ["open", arrived, taken, self.peer_number(event.peer), event.stream, event.method]
+    def _stream_opened(self, event: StreamOpened, arrived: float, handled: float) -> Record:
+        return ["open", arrived, handled, self.peer_number(event.peer), event.stream, event.method]
 
-    def _stream_request(self, event: StreamRequest, arrived: float, taken: float) -> Record:
-        return ["request", arrived, taken, self.peer_number(event.peer), event.stream, "", event.data]
+    def _stream_request(self, event: StreamRequest, arrived: float, handled: float) -> Record:
+        return ["request", arrived, handled, self.peer_number(event.peer), event.stream, "", event.data]
 
-    def _stream_ended(self, event: StreamEnded, arrived: float, taken: float) -> Record:
-        return ["end", arrived, taken, self.peer_number(event.peer), event.stream, event.reason]
+    def _stream_ended(self, event: StreamEnded, arrived: float, handled: float) -> Record:
+        return ["end", arrived, handled, self.peer_number(event.peer), event.stream, event.reason]
 
 
-def _endpoint_list(event: EndpointListReceived, arrived: float, taken: float) -> Record:
+def _endpoint_list(event: EndpointListReceived, arrived: float, handled: float) -> Record:
     addresses = [[endpoint, host, port] for endpoint, (host, port) in event.addresses.items()]
-    return ["roster", arrived, taken, event.kind, [list(entry) for entry in event.entries], addresses]
+    return ["roster", arrived, handled, event.kind, [list(entry) for entry in event.entries], addresses]
 
 
-def _registration(event: RegistrationRead, arrived: float, taken: float) -> Record:
+def _registration(event: RegistrationRead, arrived: float, handled: float) -> Record:
     content: Any = event.content
     if isinstance(content, RegisteredProxy):
         resources = [[list(key), resource.version, [*resource.content]] for key, resource in content.resources.items()]
         content = [msgspec.to_builtins(content.registration), content.newest, content.held, resources]
-    return ["files", arrived, taken, "hello", event.directory, content, event.age_ms]
+    return ["files", arrived, handled, "hello", event.directory, content, event.age_ms]
 
 
-def _generation_written(event: GenerationWritten, arrived: float, taken: float) -> Record:
+def _generation_written(event: GenerationWritten, arrived: float, handled: float) -> Record:
     pending = event.pending
     return [
         "files",
         arrived,
-        taken,
+        handled,
         "written",
         pending.directory,
         [pending.generation.number, event.written_ms],
@@ -100,15 +100,15 @@
     ]
 
 
-def _store_opened(event: StoreOpened, arrived: float, taken: float) -> Record:
-    return ["store", arrived, taken, "opened", [event.wall_ms, event.versions], [list(pin) for pin in event.pins]]
+def _store_opened(event: StoreOpened, arrived: float, handled: float) -> Record:
+    return ["store", arrived, handled, "opened", [event.wall_ms, event.versions], [list(pin) for pin in event.pins]]
 
 
-def _operator_request(event: OperatorRequest, arrived: float, taken: float) -> Record:
+def _operator_request(event: OperatorRequest, arrived: float, handled: float) -> Record:
     return [
         "store",
         arrived,
-        taken,
+        handled,
         "wish",
         event.key,
         [event.kind, [list(target) for target in event.targets], event.operator],
@@ -116,10 +116,10 @@
 
 
 class EventDecoder:
-    """Reads records as events.
+    """Decodes records to events.
 
-    `peer` gives the peer that stands for a number; `take_generation` gives the generation of a directory and number, or
-    None where the replay has submitted no such generation.
+    `peer` returns the peer with a number; `take_generation` removes and returns the pending generation of a directory
+    with a number, or None if the replay has submitted no such generation.
     """
 
     def __init__(
@@ -139,7 +139,7 @@
         }
 
     def decode(self, record: Record) -> ControllerEvent | None:
-        """The event that a record holds, or None where it has no meaning in this replay."""
+        """Returns the event in a record, or None if it is not an event or does not apply to this replay."""
         decoder = self._decoders.get(record[0])
         return decoder(*record[3:]) if decoder else None
 
@@ -154,16 +154,16 @@
     def _stream_ended(self, peer: int, stream: int, reason: str) -> StreamEnded:
         return StreamEnded(self._peer(peer), stream, reason)
 
-    def _file_event(self, kind: str, directory: str, content: Any, more: Any) -> FileEvent | None:
+    def _file_event(self, kind: str, directory: str, content: Any, detail: Any) -> FileEvent | None:
         match kind:
             case "written":
                 number, written_ms = content
                 pending = self._take_generation(directory, number)
-                return GenerationWritten(pending, written_ms, more) if pending else None
+                return GenerationWritten(pending, written_ms, detail) if pending else None
             case "hello":
-                return RegistrationRead(directory, _decode_registration(content), more)
+                return RegistrationRead(directory, _decode_registration(content), detail)
             case "ack":
-                return AcknowledgementRead(directory, content, more)
+                return AcknowledgementRead(directory, content, detail)
             case _:
                 return LoadReportRead(directory, content)
 
@@ -180,20 +180,20 @@
 def _decode_registration(content: list[Any] | str) -> RegisteredProxy | str:
     if isinstance(content, str):
         return content
-    hello, newest, holds, resources = content
-    contents = {tuple(key): Resource(version, tuple(what)) for key, version, what in resources}
-    return RegisteredProxy(msgspec.convert(hello, Registration), newest, holds, contents)
+    registration, newest, held, resources = content
+    held_resources = {tuple(key): Resource(version, tuple(fields)) for key, version, fields in resources}
+    return RegisteredProxy(msgspec.convert(registration, Registration), newest, held, held_resources)
 
 
-def _decode_store_event(kind: str, content: Any, more: list[Any]) -> StoreEvent:
+def _decode_store_event(kind: str, content: Any, detail: list[Any]) -> StoreEvent:
     match kind:
         case "opened":
             wall_ms, versions = content
-            return StoreOpened(wall_ms, versions, [PinnedVersion(*pin) for pin in more])
+            return StoreOpened(wall_ms, versions, [PinnedVersion(*pin) for pin in detail])
         case "stored":
             return UpdatesStored(content)
         case "lost":
             return StoreLost(content)
         case _:
-            command, targets, operator = more
+            command, targets, operator = detail
             return OperatorRequest(content, command, [OperatorTarget(*target) for target in targets], operator)
--- a/quillstep/controller/event_queue.py
+++ b/quillstep/controller/event_queue.py
@@ -1,7 +1,7 @@
-"""The queue between the threads that receive events and the deciding thread: two bounded deques, events and statistics.
+"""The queue between the threads that receive events and the deciding thread: bounded deques of events and statistics.
 
-Events always go first.  A producer that may block waits in its own thread while its deque is full; one that must not
-block has its statistics merged into one entry for each key instead.
+Events are drained before statistics.  A producer that may block waits while its deque is full; for one that must not
+block, events with the same key are merged into one entry instead.
 """
 
 import threading
@@ -16,7 +16,7 @@
 class EventQueue(Generic[EventT]):
     """A bounded queue with many producers and one consumer; every method may be called from any thread.
 
-    `lock` guards all fields.  An entry is the time of its arrival in milliseconds and the event.
+    `lock` guards all fields.  An entry is its arrival time in milliseconds and the event.
     """
 
     def __init__(self, max_events: int, max_stats: int) -> None:
@@ -26,14 +26,14 @@
         self.max_events, self.max_stats = max_events, max_stats
         self.events: deque[tuple[float, EventT]] = deque()
         self.stats: deque[tuple[float, EventT]] = deque()
-        self.merged: dict[Hashable, tuple[float, EventT]] = {}  # what came while `events` was full, by key
+        self.merged: dict[Hashable, tuple[float, EventT]] = {}  # events merged by key while `events` was full
 
     def put(self, arrived_ms: float, event: EventT) -> None:
-        """Queue an event; block while there is no room."""
+        """Queue an event; block while the queue is full."""
         self._put_blocking(self.events, self.max_events, (arrived_ms, event))
 
     def put_stats(self, arrived_ms: float, event: EventT) -> None:
-        """Queue statistics, which are drained after all events; block while there is no room."""
+        """Queue statistics, which are drained after all events; block while their queue is full."""
         self._put_blocking(self.stats, self.max_stats, (arrived_ms, event))
 
     def put_nowait(
@@ -43,14 +43,14 @@
         key: Hashable = None,
         merge: Callable[[EventT, EventT], EventT] | None = None,
     ) -> None:
-        """Queue an event without ever blocking.
+        """Queue an event without blocking.
 
         Args:
-            arrived_ms: When it arrived.
-            event: The event; without `merge` it is queued even where there is no room.
-            key: Which events may be merged with each other.
-            merge: Makes one event of an older and a newer one of the same key, where there is no room.  The arrival
-                of the oldest stands.
+            arrived_ms: When the event arrived.
+            event: The event; without `merge` it is queued even if the queue is full.
+            key: Events with the same key may be merged.
+            merge: Returns one event for an older and a newer one with the same key, used while the queue is full.
+                The merged event keeps the arrival time of the oldest.
         """
         with self.lock:
             if merge is None or len(self.events) < self.max_events:
@@ -63,7 +63,7 @@
             self.not_empty.notify()
 
     def wait(self, timeout_s: float) -> None:
-        """Block until any entry is queued, or the timeout is over."""
+        """Block until an entry is queued or the timeout expires."""
         deadline_s = time.monotonic() + timeout_s
         with self.lock:
             while not self.events and not self.stats and not self.merged:
@@ -72,7 +72,7 @@
                     return
 
     def drain(self, max_events: int) -> list[tuple[float, EventT]]:
-        """Remove up to `max_events` events and, once no event is left, what was merged and one entry of statistics."""
+        """Remove and return up to `max_events` events; if none is left, also merged events and one statistics entry."""
         with self.lock:
             drained = [self.events.popleft() for _ in range(min(max_events, len(self.events)))]
             if self.merged and not self.events:
--- a/quillstep/controller/events.py
+++ b/quillstep/controller/events.py
@@ -1,6 +1,6 @@
-"""Events of the controller's own parts for the deciding thread.
+"""Events that the controller package itself sends to the deciding thread.
 
-Events of other packages stand beside their producers; `quillstep.controller.decision_loop` names them all.
+Other packages define their own events; `quillstep.controller.decision_loop.ControllerEvent` lists all of them.
 """
 
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class EndpointListReceived(NamedTuple):
-    """An answer of endpoint discovery: `complete`, `partial` or `error`, with the addresses of what it lists."""
+    """An endpoint list from discovery, of kind `complete`, `partial` or `error`, and the addresses of its endpoints."""
 
     kind: str
     entries: list[EndpointEntry]
@@ -17,4 +17,4 @@
 
 
 class StopRequested(NamedTuple):
-    """The deciding thread is to end."""
+    """Asks the deciding thread to stop."""
--- a/quillstep/controller/health_checker.py
+++ b/quillstep/controller/health_checker.py
@@ -1,4 +1,4 @@
-"""Active health checks: HTTP/1.1 on blocking sockets in a few threads, with the load report that an answer carries."""
+"""Active health checks over HTTP/1.1, on blocking sockets in worker threads; responses may carry a load report."""
 
 import base64
 import math
@@ -17,14 +17,15 @@
 LOAD_HEADER = "endpoint-load-metrics"
 MAX_BODY_BYTES = 16 * 1024
 MAX_QUEUED_CHECKS = 1024
-# Metrics of the published load report (ORCA) by the names that the planner reads.
+# The planner's names for metrics of ORCA load reports.
 METRIC_NAMES = {"cpu_utilization": "util", "rps_fractional": "qps", "rps": "qps", "eps": "eps"}
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """Return the metrics of a load report by the planner's names; what can't be read is left out.
+    """Return a load report's metrics under the planner's names; a malformed report has none.
 
-    Reads the published forms of ORCA's header: `TEXT name=value, ...`, `JSON {...}`, `BIN base64`, and pairs alone.
+    Accepts the formats of ORCA's header, `TEXT name=value, ...`, `JSON {...}` and `BIN base64`, and pairs without a
+    prefix.  Values that are not finite numbers are omitted.
     """
     form, _, body = text.strip().partition(" ")
     metrics: dict[str, float] = {}
@@ -53,7 +54,7 @@
 
 
 def _parse_binary(data: bytes) -> dict[str, float]:
-    # Imported here: only a deployment that sends this form needs the library.
+    # Imported here because only deployments whose endpoints send the binary form need the library.
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3 import orca_load_report_pb2
 
@@ -76,10 +77,9 @@
 
 
 class HealthChecker:
-    """Checks endpoints on request, each at most once at a time; a request that finds the queue full is dropped.
+    """Checks endpoints on request, with at most one check of each in progress; drops requests while its queue is full.
 
-    The worker threads are daemons that end with the process: a check may hold one up to its timeout, and a stop must
-    not wait for it.
+    The worker threads are daemons and are not joined: a check may take up to its timeout, and shutdown must not wait.
     """
 
     def __init__(
@@ -94,10 +94,10 @@
             threading.Thread(target=self._work, name=f"health-check-{number}", daemon=True).start()
 
     def request(self, endpoint: EndpointId, host: str, port: int) -> None:
-        """Queue a check, unless one of this endpoint is in progress."""
+        """Queue a check, unless one for this endpoint is in progress."""
         if endpoint in self.in_progress:
             return
-        self.in_progress.add(endpoint)  # first: a worker that is done at once removes it again
+        self.in_progress.add(endpoint)  # before queuing: a worker may finish at once and remove it
         try:
             self.requests.put_nowait((endpoint, host, port))
         except queue.Full:
@@ -106,14 +106,14 @@
     def _work(self) -> None:
         while True:
             endpoint, host, port = self.requests.get()
-            begun_s = time.monotonic()
+            started_s = time.monotonic()
             is_healthy, load = self._check(host, port)
             self.in_progress.discard(endpoint)
-            duration_ms = (time.monotonic() - begun_s) * 1000.0
+            duration_ms = (time.monotonic() - started_s) * 1000.0
             self.publish(HealthCheckResult(endpoint, is_healthy, duration_ms, load))
 
     def _check(self, host: str, port: int) -> tuple[bool, dict[str, float]]:
-        """A fault of the program costs that check, not its worker: without workers nothing would be checked at all."""
+        """Check an endpoint; an internal error fails the check but must not end the worker thread."""
         try:
             return check_endpoint(host, port, self.timeout_ms, self.path)
         except Exception:
--- a/quillstep/controller/output.py
+++ b/quillstep/controller/output.py
@@ -1,4 +1,4 @@
-"""Where the planner writes: into the tables, the requests for health checks, the timers and the log."""
+"""Applies the planner's output to the tables, health check requests, timers and the log."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
@@ -9,7 +9,7 @@
 from quillstep.routing import Tables
 from quillstep.routing.versioned_tables import VersionedTables
 
-# Names of what the planner writes, in recordings and in the store's journal.
+# Names of the planner's calls in recordings and in the store's journal.
 RECORDED_NAMES = {
     "set_weight": "line",
     "set_ejected": "withdraw",
@@ -24,7 +24,7 @@
 
 
 class OutputTarget(Protocol):
-    """The parts of a core that the planner's output goes to."""
+    """The parts of a core that the planner's output is applied to."""
 
     tables: Tables
     versioned_tables: VersionedTables
@@ -43,11 +43,11 @@
         self.core = core
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        """Sets an endpoint's weight in a table's next version; 0 removes it."""
+        """Sets an endpoint's weight in the table's next version; 0 removes the endpoint."""
         self.core.versioned_tables.set_weight(self.core.table_offset + table, endpoint, weight)
 
     def set_ejected(self, endpoint: int, ejected: bool) -> None:
-        """Keeps an endpoint out of all tables, at once, or restores it."""
+        """Ejects an endpoint from all tables immediately, or restores it."""
         core = self.core
         status = "draining" if core.endpoints.states.get(endpoint) == "terminating" else "lost"
         core.tables.set_ejected(endpoint, ejected, status)
@@ -59,37 +59,37 @@
             core.log.info("endpoint restored", endpoint=endpoint, address=address, status="ready")
 
     def assign_table(self, proxy: int, table: int, classes: Iterable[int]) -> None:
-        """Assigns a table, as it stands after this interval's changes so far."""
+        """Assigns a table to a proxy, including the changes made so far in this interval."""
         self.core.versioned_tables.flush(self.core.table_offset + table)
         self.core.tables.assign_table(proxy, self.core.table_offset + table, classes)
 
     def set_admission(self, table: int, classes: Iterable[int], limit: float, retry_policy: int) -> None:
-        """Sets admission limit and retry policy of classes in a table's next version."""
+        """Sets the admission limit and retry policy of classes in the table's next version."""
         self.core.versioned_tables.set_admission(self.core.table_offset + table, classes, limit, retry_policy)
 
     def request_health_check(self, endpoint: int) -> None:
-        """Requests one health check of an endpoint whose address is known."""
+        """Requests one health check of an endpoint; ignored while its address is unknown."""
         if endpoint in self.core.tables.addresses:
             self.core.health_check_requests.append((endpoint, *self.core.tables.addresses[endpoint]))
 
     def request_ack(self, serial: int) -> None:
-        """Asks proxies that this interval's updates reach for an acknowledgement."""
+        """Requests an acknowledgement from the proxies that receive this interval's updates."""
         self.core.tables.request_ack(serial)
 
     def watch_endpoints(self) -> None:
-        """Does nothing: the discovery client reconnects by itself, and is sent what it missed."""
+        """Does nothing: the discovery client reconnects by itself and is then sent the updates that it missed."""
 
     def set_timer(self, token: int, at_ms: float) -> None:
-        """Makes a control interval due at this time."""
+        """Makes a control interval due at `at_ms`."""
         self.core.control_intervals.set_timer(token, at_ms)
 
     def log_note(self, text: str) -> None:
-        """Logs a line of the planner's."""
+        """Logs a message of the planner."""
         self.core.log.info("planner note", note=text)
 
 
 class RecordingOutput:
-    """Keeps each call as a plain list under its recorded name, and passes it on."""
+    """Appends each call to `calls`, as a list of its recorded name and arguments, and applies it."""
 
     def __init__(self, core: OutputTarget, calls: list[list[Any]]) -> None:
         self._output, self._calls = CoreOutput(core), calls
@@ -98,8 +98,8 @@
         method = getattr(self._output, name)
 
         def record(*arguments: Any) -> None:
-            plain = [list(each) if isinstance(each, range | tuple) else each for each in arguments]
-            self._calls.append([RECORDED_NAMES[name], *plain])
+            encodable = [list(each) if isinstance(each, range | tuple) else each for each in arguments]
+            self._calls.append([RECORDED_NAMES[name], *encodable])
             method(*arguments)
 
         return record
--- a/quillstep/controller/plain_stats.py
+++ b/quillstep/controller/plain_stats.py
@@ -1,6 +1,7 @@
-"""Statistics of load reports as they come: the baseline that `reports.by: "inbox"` selects.  Without I/O and clocks.
+"""Unfiltered load report statistics, the baseline selected by `reports.by: "inbox"`.  No I/O; times are arguments.
 
-Reports come with all other events and add up until they are drained; nothing is aged, bounded, sampled or checked.
+Reports arrive in the same queue as all other events and are summed until drained.  They are not aged, bounded, sampled
+or validated.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +12,7 @@
 
 @dataclass(slots=True)
 class UpstreamTotals:
-    """What the proxies of a zone met at one endpoint since the last drain."""
+    """Attempts, failures and load that the proxies of a zone observed at one endpoint since the last drain."""
 
     attempts: int = 0
     failures: int = 0
@@ -20,7 +21,7 @@
 
 
 class PlainStats:
-    """Totals by zone and endpoint, drained once a period; downstream statistics as they come."""
+    """Totals by zone and endpoint, drained once a period, and downstream statistics of each report."""
 
     def __init__(self, period_ms: float) -> None:
         self.period_ms = period_ms
@@ -29,7 +30,7 @@
         self.downstream: list[DownstreamStats] = []
 
     def add_report(self, proxy: int, zone: str, report: LoadReport) -> None:
-        """Adds all of a report, whatever it says."""
+        """Adds a report without validation."""
         for row in report.rows:
             totals = self.upstream.get((zone, row.endpoint))
             if totals is None:
@@ -45,13 +46,13 @@
             self.downstream.append(stats)
 
     def due_ms(self) -> float:
-        """When the totals are to be drained; infinity where there is nothing."""
+        """Returns when the totals are due to be drained; infinity if there are none."""
         if not (self.upstream or self.downstream):
             return float("inf")
         return (self.drained_ms or 0.0) + self.period_ms
 
     def drain(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]]:
-        """Returns the statistics since the last call."""
+        """Returns and resets the upstream and downstream statistics since the last call."""
         window_ms = self.period_ms if self.drained_ms is None else now_ms - self.drained_ms
         upstream = []
         for (_, endpoint), totals in self.upstream.items():
--- a/quillstep/controller/proxy_registry.py
+++ b/quillstep/controller/proxy_registry.py
@@ -1,20 +1,20 @@
-"""Which proxies are joined, by what front.  Without I/O."""
+"""The joined proxies and the front that serves each.  Performs no I/O."""
 
 from typing import Protocol
 
 
 class ProxyFrontInterface(Protocol):
-    """A front, as the registry sees it."""
+    """What the registry needs of a front."""
 
     def drop(self, proxy: int, reason: str, now_ms: float) -> None:
-        """Ends what carries to a proxy."""
+        """Stops serving a proxy, for example by closing its stream."""
 
 
 class ProxyRegistry:
-    """Proxies by number; a number stays with its node name for good.
+    """Proxies by number; a node name keeps its number for the life of the process.
 
     Attributes:
-        numbers: Numbers by node name, of all proxies that ever joined.
+        numbers: Numbers by node name, of all proxies that have ever joined.
         zones: The zone of each joined proxy.
     """
 
@@ -24,16 +24,16 @@
         self._fronts: dict[int, ProxyFrontInterface | None] = {}
 
     def joined_number(self, node: str) -> int | None:
-        """The number of a proxy that is joined."""
+        """Returns the number of a joined proxy, or None."""
         number = self.numbers.get(node)
         return number if number in self.zones else None
 
     def add(self, node: str, zone: str, front: ProxyFrontInterface | None, now_ms: float) -> int:
-        """Registers a proxy; another front that carries to it drops it first."""
+        """Registers a proxy and returns its number; a different front that serves it drops it first."""
         joined = self.joined_number(node)
-        before = self._fronts.get(joined) if joined is not None else None
-        if joined is not None and before is not None and before is not front:
-            before.drop(joined, "it has moved to another front", now_ms)
+        previous = self._fronts.get(joined) if joined is not None else None
+        if joined is not None and previous is not None and previous is not front:
+            previous.drop(joined, "it has moved to another front", now_ms)
         number = self.numbers.setdefault(node, len(self.numbers))
         self.zones[number] = zone
         self._fronts[number] = front
--- a/quillstep/controller/report_intake.py
+++ b/quillstep/controller/report_intake.py
@@ -1,4 +1,4 @@
-"""Load reports on their way to the planner, and what is requested of proxies for them.  Without I/O and clocks."""
+"""Collects load report statistics for the planner, and plans report requests.  No I/O; times are arguments."""
 
 from typing import Any
 
@@ -14,12 +14,12 @@
 
 
 class ReportIntake:
-    """The aggregator of reports that come with events, and the collector of all summaries.
+    """The aggregator of reports that arrive as events, and the collector of all summaries.
 
     Attributes:
-        is_plain: Whether reports are summed up as they come (`reports.by: "inbox"`), past the collector.
-        requests: What proxies are to be asked for, until the reader is notified.
-        membership_changes: Joins, leaves and endpoints, until the readers are notified.
+        is_plain: Whether reports are summed by `PlainStats` (`reports.by: "inbox"`) instead of the collector.
+        requests: Report requests to proxies that the readers have not been notified of.
+        membership_changes: Proxies that joined or left, and new endpoints, that the readers have not been notified of.
     """
 
     def __init__(self, settings: ControllerSettings) -> None:
@@ -32,38 +32,38 @@
         self.membership_changes: list[MembershipChange] = []
 
     def add_endpoints(self, numbers: dict[tuple[str, int], int], added: dict[int, tuple[str, int]]) -> None:
-        """Has reports name these endpoints; `numbers` holds all by address, `added` what has been added."""
+        """Makes endpoints known to the report readers; `numbers` holds all by address, `added` the new addresses."""
         self.aggregator.add_endpoints(numbers)
         rows = [(host, port, number) for number, (host, port) in added.items()]
         self.membership_changes.append(AddEndpoints(rows))
 
     def add_proxy(self, proxy: int, node: str, zone: str, incarnation: str, now_ms: float) -> None:
-        """Takes reports of a proxy that has joined."""
-        usual_ms = self.report_interval_ms
-        self.aggregator.add_proxy(ReportAccount(proxy, zone, incarnation, usual_ms, usual_ms), node)
+        """Accepts reports of a proxy that has joined."""
+        interval_ms = self.report_interval_ms
+        self.aggregator.add_proxy(ReportAccount(proxy, zone, incarnation, interval_ms, interval_ms), node)
         self.collector.add_proxy(proxy, now_ms)
         self.membership_changes.append(ProxyJoined(node, proxy, zone, incarnation))
 
     def remove_proxy(self, proxy: int) -> None:
-        """Takes no more reports of a proxy that has left."""
+        """Accepts no more reports of a proxy that has left."""
         node = self.aggregator.names[proxy]
         self.aggregator.remove_proxy(node)
         self.collector.remove_proxy(proxy)
         self.membership_changes.append(ProxyLeft(node))
 
     def add_report(self, proxy: int, zone: str, report: LoadReport, now_ms: float) -> None:
-        """Adds a report that came with the events."""
+        """Adds a report that arrived as an event."""
         if self.is_plain:
             self.plain_stats.add_report(proxy, zone, report)
         else:
             self.aggregator.add_report(self.aggregator.names[proxy], report, now_ms, now_ms)
 
     def add_summary(self, summary: ReportSummary, now_ms: float) -> None:
-        """Adds what a reader's window came to."""
+        """Adds a reader's summary of one window."""
         self.collector.add_summary(summary, now_ms)
 
     def update(self, now_ms: float, log: Any) -> None:
-        """Collects the aggregator's window when it is over, and plans what proxies are asked for."""
+        """Collects the aggregator's window if it has ended, and plans report requests to proxies."""
         if self.aggregator.due_ms() <= now_ms:
             self._log_invalid_reports(log)
             self.collector.add_summary(self.aggregator.drain(now_ms), now_ms)
@@ -80,7 +80,7 @@
         self.collector.bounded.clear()
 
     def stats_due_ms(self) -> float:
-        """When statistics are to be given to the planner."""
+        """Returns when statistics for the planner are due."""
         return min(self.plain_stats.due_ms(), self.collector.due_ms())
 
     def drain_due(self, now_ms: float) -> tuple[list[UpstreamStats], list[DownstreamStats]] | None:
@@ -89,6 +89,6 @@
         return source.drain(now_ms) if source.due_ms() <= now_ms else None
 
     def next_ms(self) -> float:
-        """When `update` has something to do."""
+        """Returns when `update` must be called next."""
         due_ms = self.aggregator.due_ms()
         return due_ms if self.is_plain else min(due_ms, self.collector.plan_due_ms())
--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -1,9 +1,9 @@
-"""One controller as a process: the deciding thread, and what carries events to it and updates from it.
+"""The controller process: the deciding thread, and the threads that pass events to it and updates from it.
 
-Threads: the deciding thread (which calls `Controller.run`) owns the core, the fronts' state, the recordings' and the
-store's queues.  The server's poller, the discovery client, the health checkers, the readers of load reports, the file
-front and the store writer pass events to it by one `EventQueue`, and block while that is full.  All are started here,
-and stopped at the end of `run`; they are daemons and not joined, since each may wait for a peer or a disk.
+The deciding thread, which calls `Controller.run`, owns the core, the fronts' state, and the queues of the recording and
+the store.  The server's poller, the discovery client, the health checkers, the readers of load reports, the file front
+and the store writer pass events to it through one `EventQueue` and block while it is full.  All are started here and
+stopped at the end of `run`.  They are daemons and not joined, because each may wait for a peer or a disk.
 """
 
 import os
@@ -17,7 +17,7 @@
 from quillstep.config.controller import ControllerSettings
 from quillstep.controller.decision_loop import ControllerEvent, DecisionLoop
 from quillstep.controller.discovery_client import DiscoveryClient
-from quillstep.controller.event_codec import ORDERS, SENT, STEP, EventEncoder
+from quillstep.controller.event_codec import OUTPUT, SENT, STEP, EventEncoder
 from quillstep.controller.event_queue import EventQueue
 from quillstep.controller.events import StopRequested
 from quillstep.controller.health_checker import HealthChecker
@@ -35,24 +35,24 @@
 from quillstep.xds.server import Server
 
 MAX_EVENTS_PER_PASS = 512
-MAX_QUEUED_SUMMARIES = 64  # windows of load reports that may wait for the deciding thread
+MAX_QUEUED_SUMMARIES = 64  # summaries of load reports that may wait for the deciding thread
 MAX_WAIT_S = 0.5
-THREAD_SWITCH_S = 0.001  # how long another thread may hold the interpreter while the deciding one waits for it
+SWITCH_INTERVAL_S = 0.001  # bounds how long another thread may hold the interpreter while the deciding thread waits
 STATUS_INTERVAL_MS = 10000.0
 
 
 class Controller:
-    """Wires core, server, readers, store and recording together; `run` is the deciding thread."""
+    """Connects core, server, readers, store and recording; `run` is the body of the deciding thread."""
 
     def __init__(self, settings: ControllerSettings, store: Store | None = None) -> None:
-        """Binds the server's socket and starts reader processes and health checkers; all else starts with `run`.
+        """Binds the server's socket, and starts reader processes and health checkers; `run` starts everything else.
 
         Raises:
             OSError: An address can't be bound or a file can't be opened.
-            UnusableFileError: The root of the file front can't be used.
+            UnusableFileError: The file front's root directory can't be used.
         """
         threading.stack_size(STACK_BYTES)
-        sys.setswitchinterval(THREAD_SWITCH_S)
+        sys.setswitchinterval(SWITCH_INTERVAL_S)
         self.settings = settings
         self.log = structlog.get_logger("controller")
         self.event_queue: EventQueue[ControllerEvent | StopRequested] = EventQueue(
@@ -72,7 +72,7 @@
         self.health_checker = HealthChecker(checks.max_concurrent, checks.timeout_ms, self.publish)
 
     def _set_up_records(self, store: Store | None) -> None:
-        """Sets up what is written down: the sockets' record, the store, the recording, spans."""
+        """Sets up the socket record, the store, the recording and spans, as far as the settings enable them."""
         settings = self.settings
         self.socket_record = SocketRecord(settings.socket_record)
         self.store_writer = StoreWriter(settings.store, store, self.epoch, self.publish) if store else None
@@ -91,13 +91,13 @@
             self.core.recorded_output = []
         self.spans: Any = None
         if settings.spans.file:
-            from quillstep.tracing.spans import SpanRecorder  # only who wants spans needs the library for them
+            from quillstep.tracing.spans import SpanRecorder  # its library is needed only if spans are enabled
 
             spans = settings.spans
             self.spans = SpanRecorder(spans.file, spans.sampled_share, spans.max_spans_per_s, settings.name)
 
     def _set_up_readers(self) -> None:
-        """Sets up what reads load reports: a thread of this process, or processes."""
+        """Sets up the reader of load reports: a thread of this process, separate processes, or none."""
         self.reader: ReaderThread | None = None
         self.processes: ReaderPool | None = None
         if self.settings.reports.by == "thread":
@@ -109,21 +109,21 @@
     # From any thread
 
     def publish(self, event: ControllerEvent | StopRequested) -> None:
-        """Passes an event to the deciding thread; blocks while its queue is full."""
+        """Queues an event for the deciding thread; blocks while the queue is full."""
         self.event_queue.put(now_ms(), event)
 
     def publish_summary(self, event: ReportsSummarized) -> None:
-        """Passes a summary of load reports; it is taken after all other events."""
+        """Queues a summary of load reports, which is handled after all other events; blocks while the queue is full."""
         self.event_queue.put_stats(now_ms(), event)
 
     def stop(self) -> None:
-        """Has `run` return."""
+        """Makes `run` return."""
         self.publish(StopRequested())
 
     # The deciding thread
 
     def tap(self, what: str, at_ms: float, **fields: Any) -> None:
-        """Records what passed on the sockets, wherever somebody wants it recorded."""
+        """Passes a row to the socket record, the recording, the spans and the store, as far as they are enabled."""
         self.socket_record.tap(what, at_ms, **fields)
         if self.recording:
             self.recording.put([SENT, at_ms, at_ms, what, fields])
@@ -133,7 +133,7 @@
             self.store_submission.tap(what, fields)
 
     def run(self) -> None:
-        """Decides until `stop`; an error of the planner ends the process with its traceback."""
+        """Runs passes until `stop`; an error of the planner ends the process with a traceback."""
         self._start()
         while not self._stop_requested:
             self.run_pass()
@@ -167,7 +167,7 @@
         self.log.info("controller ready", controller=settings.name, address=self.server.address)
 
     def run_pass(self) -> None:
-        """Waits for an event or for what is due next, handles what has arrived, decides, and sends."""
+        """Waits for events or the next due time, handles the events that have arrived, decides, and sends."""
         wait_s = (self.loop.next_ms() - now_ms()) / 1000.0
         if wait_s > 0:
             self.event_queue.wait(min(MAX_WAIT_S, wait_s))
@@ -201,7 +201,7 @@
         self.loop.handle(event, now)
 
     def _record_pass(self, now: float, due_ms: float, ran_interval: bool) -> None:
-        """Hands what this pass did to the store, the recording and the spans."""
+        """Passes the results of this pass to the store, the recording and the spans."""
         core = self.core
         if self.store_submission:
             self.store_submission.submit(core, now)
@@ -209,7 +209,7 @@
             full_peers = [self.encoder.peer_number(peer) for peer in self.loop.streams.full]
             self.recording.put([STEP, now, now, full_peers])
             if ran_interval:
-                output = [ORDERS, now, now, core.completed_intervals, core.recorded_output, core.tables.revision]
+                output = [OUTPUT, now, now, core.completed_intervals, core.recorded_output, core.tables.revision]
                 self.recording.put(output)
             self.recording.flush()
         if self.spans and ran_interval:
@@ -217,7 +217,7 @@
             self.spans.record_interval(self.epoch, core.tables.revision, now, now_ms(), late_ms=late_ms)
 
     def _notify_readers(self) -> None:
-        """Passes on which proxies joined and left, and what proxies are asked for."""
+        """Notifies the readers of membership changes and of report requests to proxies."""
         reports = self.core.reports
         changes, requests = reports.membership_changes, reports.requests
         reports.membership_changes, reports.requests = [], []
@@ -227,7 +227,7 @@
             self.processes.notify(changes, requests, reports.aggregator.names)
 
     def log_status(self) -> None:
-        """Logs figures of control intervals, load reports and the store, since the start."""
+        """Logs statistics of control intervals, load reports and the store since the start."""
         self.log.info("status", **self.status.fields(self.core))
         if self.store_writer:
             self.log.info("store status", late=self.core.release.late_count, **self.store_writer.figures())
--- a/quillstep/controller/status.py
+++ b/quillstep/controller/status.py
@@ -1,4 +1,4 @@
-"""How control intervals and load reports are doing, for a log line once in a while."""
+"""Statistics of control intervals and load reports for the periodic status log line."""
 
 import time
 from typing import Any
@@ -7,24 +7,24 @@
 
 from quillstep.controller.core import ControllerCore
 
-UNITS_PER_MS = 10  # the histogram counts tenths of a millisecond
+UNITS_PER_MS = 10  # resolution of the histogram
 MAX_LATE_UNITS = 600_000
 PERCENTILES = (50.0, 99.0)
 
 
 class ControllerStatus:
-    """Figures since the start; the deciding thread owns them."""
+    """Statistics since the start; only the deciding thread uses them."""
 
     def __init__(self) -> None:
-        self.reader_cpu_s: dict[str, dict[str, float]] = {}  # of readers of load reports, by part
+        self.reader_cpu_s: dict[str, dict[str, float]] = {}  # processor time of each load report reader, by part
         self._late = HdrHistogram(1, MAX_LATE_UNITS, 2)
 
     def record_interval(self, late_ms: float) -> None:
-        """A control interval runs, so much after it was due."""
+        """Records how late a control interval started."""
         self._late.record_value(max(1, min(MAX_LATE_UNITS, round(UNITS_PER_MS * late_ms))))
 
     def fields(self, core: ControllerCore) -> dict[str, Any]:
-        """The fields of the log line."""
+        """Returns the fields of the log line."""
         late_ms = {f"p{part:g}": self._late.get_value_at_percentile(part) / UNITS_PER_MS for part in PERCENTILES}
         late_ms["worst"] = self._late.get_max_value() / UNITS_PER_MS if self._late.get_total_count() else 0.0
         class_names = [row.name for row in core.settings.fleet.classes]
--- a/quillstep/controller/store_submission.py
+++ b/quillstep/controller/store_submission.py
@@ -1,4 +1,4 @@
-"""What the deciding thread submits to the store: versions, pins, outputs, acknowledgements of proxies.  Without I/O."""
+"""Submits versions, pins, planner output and proxies' acknowledgements to the store's queue.  Performs no I/O."""
 
 import time
 from typing import Any
@@ -8,22 +8,22 @@
 from quillstep.store.records import Entry
 from quillstep.store.writer import StoreWriter
 
-MAX_UNANSWERED_RESPONSES = 65536  # whose revisions are remembered; beyond it none will be answered any more
-ACKNOWLEDGED_INTERVAL_MS = 1000.0  # between two submissions of what proxies acknowledged
+MAX_UNANSWERED_RESPONSES = 65536  # beyond this all are dropped, since answers to them are not expected any more
+ACK_SUBMISSION_INTERVAL_MS = 1000.0
 
 
 class StoreSubmission:
-    """Follows responses and acknowledgements, and submits what each pass of the deciding thread changed."""
+    """Tracks responses and acknowledgements, and submits the changes of each pass of the deciding thread."""
 
     def __init__(self, writer: StoreWriter) -> None:
         self.writer = writer
         self._submitted_revision = 0
         self._unanswered: dict[tuple[str, str], int] = {}  # revisions by proxy and nonce
-        self._acknowledged: dict[str, int] = {}  # by proxy, since the last submission of these
+        self._acknowledged: dict[str, int] = {}  # newest revision by proxy, since the last submission
         self._acknowledged_ms = 0.0
 
     def tap(self, what: str, fields: dict[str, Any]) -> None:
-        """Takes note of a row of the sockets' record: responses that were sent, and acknowledgements."""
+        """Tracks sent responses and acknowledgements from a row of the socket record."""
         if what == "send":
             self._unanswered[fields["proxy"], fields["nonce"]] = fields["order"]
             if len(self._unanswered) > MAX_UNANSWERED_RESPONSES:
@@ -34,7 +34,7 @@
                 self._acknowledged[fields["proxy"]] = revision
 
     def submit(self, core: ControllerCore, now_ms: float) -> None:
-        """Submits what has changed since the last call, if anything has."""
+        """Submits the changes since the last call, if there are any."""
         wall_ms = time.time() * 1000.0
         entries = [self.writer.version_entry(version, wall_ms) for version in core.new_versions]
         core.new_versions.clear()
@@ -42,7 +42,7 @@
         revision = core.tables.revision
         if revision != self._submitted_revision:
             entries += self.writer.journal_entries(revision, wall_ms, core.recorded_output or [])
-        if self._acknowledged and now_ms - self._acknowledged_ms > ACKNOWLEDGED_INTERVAL_MS:
+        if self._acknowledged and now_ms - self._acknowledged_ms > ACK_SUBMISSION_INTERVAL_MS:
             self._acknowledged_ms = now_ms
             entries += [
                 self.writer.acknowledged_entry(node, acknowledged, wall_ms)
--- a/quillstep/controller/table_operations.py
+++ b/quillstep/controller/table_operations.py
@@ -1,6 +1,6 @@
-"""Tables beside the planner: recovery after a start, operators' pins and rollbacks, changes withheld by the gate.
+"""Table changes that the planner does not make: recovery after a start, and operators' pins and rollbacks.
 
-Without I/O and clocks; times are milliseconds.
+Also logs the changes that the rollout gate withholds.  No I/O; times are arguments, in milliseconds.
 """
 
 from typing import Any, NamedTuple
@@ -11,12 +11,12 @@
 from quillstep.routing.versions import TableVersion, version_from_row
 from quillstep.store.events import OperatorRequest, StoreOpened
 
-WITHHELD_LOG_INTERVAL_MS = 10000.0  # between two log lines on the same withheld change
+WITHHELD_LOG_INTERVAL_MS = 10000.0  # minimum time between log lines for the same withheld change
 RELEASE = "release"
 
 
 class CompletedCommand(NamedTuple):
-    """An operator's command that was carried out: its key, its kind, and the versions it was about."""
+    """An operator's command that has been executed: its key, its kind, and the versions that it pinned or released."""
 
     key: str
     kind: str
@@ -24,7 +24,7 @@
 
 
 class TableOperations:
-    """Carries out what operators request of the tables; `completed` is for the store, which then drops the commands."""
+    """Executes operators' commands on tables; the store removes those listed in `completed`."""
 
     def __init__(self, versioned_tables: VersionedTables, settings: StoreSettings, table_offset: int, log: Any) -> None:
         self.versioned_tables, self.settings = versioned_tables, settings
@@ -33,7 +33,7 @@
         self._withheld_logged_ms: dict[tuple[int, str, int, int], float] = {}
 
     def recover(self, event: StoreOpened, now_ms: float) -> None:
-        """Starts from the versions and pins of earlier incarnations."""
+        """Restores the versions and pins of earlier incarnations."""
         for row in event.versions:
             self.versioned_tables.add_stored_version(version_from_row(row))
         self.versioned_tables.now_ms = now_ms
@@ -45,8 +45,8 @@
         for row, cause, operator in event.pins:
             self._pin(version_from_row(row)._replace(cause=cause, operator=operator))
 
-    def carry_out(self, request: OperatorRequest) -> None:
-        """Pins tables to versions from now on, or releases them to the planner."""
+    def execute(self, request: OperatorRequest) -> None:
+        """Pins tables to versions, or releases them to the planner."""
         versions = []
         for table, row in request.targets:
             if request.kind == RELEASE:
@@ -70,7 +70,7 @@
         )
 
     def log_withheld(self, now_ms: float) -> None:
-        """Logs what the rollout gate withholds, each change once in a while."""
+        """Logs the changes that the rollout gate withholds, each at most once per `WITHHELD_LOG_INTERVAL_MS`."""
         withheld, self.versioned_tables.withheld = self.versioned_tables.withheld, []
         for each in withheld:
             key = (each.table, each.rule, each.endpoint, each.class_index)
--- a/quillstep/controller/update_channel.py
+++ b/quillstep/controller/update_channel.py
@@ -1,4 +1,4 @@
-"""The update channel: updates leave one by one at the settings' lines a second.  Without I/O and clocks."""
+"""The update channel: releases updates one by one at the configured lines per second.  No I/O; times are arguments."""
 
 from collections import deque
 
@@ -6,11 +6,11 @@
 
 
 class UpdateChannel:
-    """Queued updates, first in first out; times are milliseconds.
+    """A first-in, first-out queue of updates; times are milliseconds.
 
     Attributes:
-        queued_lines: Lines of all queued updates, the one that is being sent included.
-        max_queued_lines: The highest that `queued_lines` has been.
+        queued_lines: Lines of all queued updates, including the one being sent.
+        max_queued_lines: The highest value of `queued_lines` so far.
     """
 
     def __init__(self, lines_per_s: float) -> None:
@@ -18,10 +18,10 @@
         self.queue: deque[ProxyUpdate] = deque()
         self.queued_lines = 0.0
         self.max_queued_lines = 0.0
-        self.head_sent_ms = 0.0  # when the head has been sent in full
+        self.head_sent_ms = 0.0  # when the first update of the queue has been sent in full
 
     def put(self, updates: list[ProxyUpdate], now_ms: float) -> None:
-        """Queues updates behind all others."""
+        """Appends updates to the queue."""
         if not updates:
             return
         if not self.queue:
@@ -30,7 +30,7 @@
         self.queued_lines += sum(update.lines for update in updates)
         self.max_queued_lines = max(self.max_queued_lines, self.queued_lines)
 
-    def take_sent(self, now_ms: float) -> list[ProxyUpdate]:
+    def pop_sent(self, now_ms: float) -> list[ProxyUpdate]:
         """Removes and returns the updates that have been sent in full by now, in order."""
         sent = []
         while self.queue and self.head_sent_ms <= now_ms:
@@ -42,12 +42,12 @@
         return sent
 
     def remove_proxy(self, proxy: int) -> None:
-        """Drops the queued updates of a proxy that has left; one that is being sent still takes its time."""
+        """Drops the queued updates of a proxy that has left, except one being sent, which still uses the channel."""
         head = self.queue[0] if self.queue else None
-        kept = [update for update in self.queue if update.proxy != proxy or update is head]
-        self.queued_lines -= sum(update.lines for update in self.queue) - sum(update.lines for update in kept)
-        self.queue = deque(kept)
+        remaining = [update for update in self.queue if update.proxy != proxy or update is head]
+        self.queued_lines -= sum(update.lines for update in self.queue) - sum(update.lines for update in remaining)
+        self.queue = deque(remaining)
 
     def next_ms(self) -> float:
-        """When the head has been sent in full; infinity where nothing is queued."""
+        """Returns when the first update has been sent in full; infinity if the queue is empty."""
         return self.head_sent_ms if self.queue else float("inf")
--- a/quillstep/controller/update_release.py
+++ b/quillstep/controller/update_release.py
@@ -1,4 +1,4 @@
-"""When updates that have left the channel may be sent: once they are durable, or have waited long enough.  No I/O."""
+"""Holds updates that have left the channel until they are durable or have waited for the maximum time.  No I/O."""
 
 from collections import deque
 
@@ -9,13 +9,13 @@
 
 
 class UpdateRelease:
-    """Releases updates to the fronts, in order of their leaving the channel.
+    """Releases updates to the fronts, in the order in which they left the channel.
 
-    Updates that eject an endpoint wait for no disk, and no update waits longer than `max_wait_ms`.
+    Updates that eject an endpoint don't wait for the store, and no update waits longer than `max_wait_ms`.
 
     Attributes:
         durable_revision: Updates up to this revision are stored.
-        late_count: Updates that were released before they were durable.
+        late_count: Updates released before they were durable, because the maximum wait had expired.
     """
 
     def __init__(self, has_store: bool, max_wait_ms: float) -> None:
@@ -23,23 +23,23 @@
         self.max_wait_ms = max_wait_ms
         self.late_count = 0
         self._urgent_revisions: deque[int] = deque(maxlen=MAX_URGENT_REVISIONS)
-        self._waiting: deque[tuple[ProxyUpdate, float]] = deque()  # and when each left the channel
+        self._waiting: deque[tuple[ProxyUpdate, float]] = deque()  # updates, and when each left the channel
 
     def mark_urgent(self, revision: int) -> None:
-        """Has the updates of a revision wait for no store."""
+        """Releases the updates of a revision without waiting for the store."""
         self._urgent_revisions.append(revision)
 
     def record_durable(self, revision: int) -> None:
-        """All updates up to a revision are stored."""
+        """Records that all updates up to a revision are durable."""
         self.durable_revision = max(self.durable_revision, revision)
 
     def record_store_lost(self) -> None:
-        """No update waits for the store any more."""
+        """Stops waiting for the store, after it failed."""
         self.durable_revision = float("inf")
 
     def release_due(self, channel: UpdateChannel, tables: Tables, now_ms: float) -> None:
-        """Releases what has left the channel by now and need not wait."""
-        self._waiting.extend((update, now_ms) for update in channel.take_sent(now_ms))
+        """Releases the updates that have left the channel by now and need not wait any longer."""
+        self._waiting.extend((update, now_ms) for update in channel.pop_sent(now_ms))
         still_waiting: deque[tuple[ProxyUpdate, float]] = deque()
         while self._waiting:
             update, since_ms = self._waiting.popleft()
@@ -53,5 +53,5 @@
         self._waiting = still_waiting
 
     def due_ms(self) -> float:
-        """When the update that has waited longest is released at the latest; infinity where none waits."""
+        """Returns when the longest wait reaches its maximum; infinity if no update waits."""
         return self._waiting[0][1] + self.max_wait_ms if self._waiting else float("inf")
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -14,7 +14,7 @@
 
 from quillstep.config.controller import ControllerSettings
 from quillstep.controller.decision_loop import DecisionLoop
-from quillstep.controller.event_codec import ORDERS, SENT, STEP, EventDecoder
+from quillstep.controller.event_codec import OUTPUT, SENT, STEP, EventDecoder
 from quillstep.errors import QuillstepError
 from quillstep.files.disk import Disk
 from quillstep.files.events import FileEvent
@@ -132,7 +132,7 @@
         kind, at_ms = record[0], record[2]
         if kind == STEP:
             self._run_interval(at_ms, record[3])
-        elif kind == ORDERS:
+        elif kind == OUTPUT:
             self._compare_output(at_ms, record[3], record[4])
         elif kind != SENT:
             if len(self._recent_events) < MAX_LISTED_EVENTS:
--- a/quillstep/replay/replayed_controller.py
+++ b/quillstep/replay/replayed_controller.py
@@ -117,7 +117,7 @@
         """Records an update as the record of sockets has it."""
         self.sent_rows.append({
             "what": "send", "at": now_ms, "proxy": proxy.name, "order": revision, "lines": lines, "bytes": 0,
-            "ordered": self.core.ordered_ms(revision), "nonce": f"{self.incarnation.epoch}.{revision}",
+            "ordered": self.core.revision_time_ms(revision), "nonce": f"{self.incarnation.epoch}.{revision}",
         })  # fmt: skip
 
     def next_delay_ms(self, proxy: str) -> float:
--- a/tests/controller/test_health_checker.py
+++ b/tests/controller/test_health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks: answers and load reports of any kind, and the workers that outlive them."""
+"""Health checks: responses, load reports in all formats, and worker threads that survive malformed ones."""
 
 import threading
 
@@ -9,7 +9,8 @@
 from quillstep.platform.endpoint_list import parse_address
 
 
-def test_an_endpoint_whose_check_ends_before_the_request_returns_is_checked_again():
+def test_endpoint_is_checked_again_after_a_check_that_ends_before_the_request_returns():
+    """An endpoint marked as in progress only after its check had ended would never be checked again."""
     results, published = [], threading.Event()
     endpoint = Endpoint("s", "a")
 
@@ -18,13 +19,13 @@
         published.set()
 
     checker = HealthChecker(1, 1000.0, publish)
-    real = checker.requests.put_nowait
+    original_put = checker.requests.put_nowait
 
     def put_and_wait(item):
-        """The worker finishes before the request returns."""
-        real(item)
+        """Lets the worker finish the check before the request returns."""
+        original_put(item)
         assert published.wait(WAIT_S)
-        wait_until(lambda: "s" not in checker.in_progress or len(results) > 1, "the worker's end with it", 0.5)
+        wait_until(lambda: "s" not in checker.in_progress or len(results) > 1, "the end of the check", 0.5)
 
     checker.requests.put_nowait = put_and_wait
     try:
@@ -38,7 +39,7 @@
 
 
 class FixedBody(LoopbackServer):
-    """Answers each request with the same body."""
+    """Sends the same body in response to each request."""
 
     def __init__(self, body):
         self.body = body
@@ -56,29 +57,29 @@
 
 
 @pytest.mark.parametrize("text", MALFORMED_LOAD_REPORTS, ids=range(len(MALFORMED_LOAD_REPORTS)))
-def test_a_malformed_load_report_is_an_answer_without_one(text):
+def test_malformed_load_report_has_no_metrics(text):
     assert parse_load_report(text) == {}
 
 
-def test_malformed_answers_and_internal_errors_end_no_worker(monkeypatch):
-    """One worker; each endpoint answers something else that can't be parsed, and an internal error comes between."""
+def test_worker_survives_malformed_responses_and_internal_errors(monkeypatch):
+    """A single worker receives every malformed body, an invalid host name and an internal error, then a valid one."""
     endpoints = [FixedBody(text.encode("latin-1")) for text in MALFORMED_LOAD_REPORTS]
-    good, results = Endpoint("s", "a"), []
+    valid, results = Endpoint("s", "a"), []
     checker = HealthChecker(1, 1000.0, results.append, "/status/load")
     try:
-        for at, endpoint in enumerate(endpoints):
-            checker.request(at, *parse_address(endpoint.address))
-        checker.request("a name that can't be", "a..b", 80)
+        for number, endpoint in enumerate(endpoints):
+            checker.request(number, *parse_address(endpoint.address))
+        checker.request("invalid host name", "a..b", 80)
         monkeypatch.setattr("quillstep.controller.health_checker.parse_load_report", lambda text: 1 / 0)
-        checker.request("an internal error", *parse_address(good.address))
-        wait_until(lambda: len(results) == len(endpoints) + 2, "an answer for each")
+        checker.request("internal error", *parse_address(valid.address))
+        wait_until(lambda: len(results) == len(endpoints) + 2, "a result for each request")
         monkeypatch.undo()
-        checker.request("s", *parse_address(good.address))
-        wait_until(lambda: len(results) == len(endpoints) + 3, "a good answer after them")
+        checker.request("s", *parse_address(valid.address))
+        wait_until(lambda: len(results) == len(endpoints) + 3, "the result of the valid response")
         assert (
             results[-1][1:] == (True, results[-1].duration_ms, {"inflight": 3.0, "util": 0.4})
             and not checker.in_progress
         )
     finally:
-        for endpoint in [*endpoints, good]:
+        for endpoint in [*endpoints, valid]:
             endpoint.close()
