--- a/quillstep/controller/health_checker.py
+++ b/quillstep/controller/health_checker.py
@@ -113,7 +113,10 @@
             self.publish(HealthCheckResult(endpoint, is_healthy, duration_ms, load))
 
     def _check(self, host: str, port: int) -> tuple[bool, dict[str, float]]:
-        """Check an endpoint; an internal error fails the check but must not end the worker thread."""
+        """Check an endpoint; an internal error fails the check but does not end the worker thread.
+
+        Without any workers left, no endpoint would be checked at all.
+        """
         try:
             return check_endpoint(host, port, self.timeout_ms, self.path)
         except Exception:
--- a/quillstep/controller/update_channel.py
+++ b/quillstep/controller/update_channel.py
@@ -18,7 +18,7 @@
         self.queue: deque[ProxyUpdate] = deque()
         self.queued_lines = 0.0
         self.max_queued_lines = 0.0
-        self.head_sent_ms = 0.0  # when the first update of the queue has been sent in full
+        self.head_sent_ms = 0.0  # time at which the first update in the queue has been sent in full
 
     def put(self, updates: list[ProxyUpdate], now_ms: float) -> None:
         """Appends updates to the queue."""
--- a/quillstep/net/listener.py
+++ b/quillstep/net/listener.py
@@ -9,7 +9,7 @@
 
 from quillstep.net.clock import now_ms
 
-MAX_ACCEPTED_PER_PASS = 64  # so that other connections are served between batches
+MAX_ACCEPTED_PER_PASS = 64  # limited so that other connections are served between batches
 REJECTION_LOG_INTERVAL_MS = 1000.0
 DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE)
 
