--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -267,7 +267,7 @@
     def __init__(self, pilot, name, zone, lines):
         self.pilot, self.lines, self.name = pilot, lines, name
         core = pilot.core
-        self.stream = SotwStream(core.tables, pilot.encoder, core.settings.limits, "e", core.ordered_ms)
+        self.stream = SotwStream(core.tables, pilot.encoder, core.settings.limits, "e", core.revision_time_ms)
         request = discovery_pb2.DiscoveryRequest(type_url=CDS)
         request.node.id = name
         self.stream.proxy = core.add_proxy(name, zone, 5.0, self.stream.initial_versions(request), True)
--- a/tests/files/test_front.py
+++ b/tests/files/test_front.py
@@ -33,7 +33,7 @@
         self.taps = []
         core = self.pilot.core
         disk = Disk(str(root), fsync=False, step=step)
-        context = FrontContext(record, core.tables, core, "e", core.ordered_ms, self.tap)
+        context = FrontContext(record, core.tables, core, "e", core.revision_time_ms, self.tap)
         self.front = FileFront(context, self.put, disk)
         self.front.start()
 
--- a/tests/memory_fleet.py
+++ b/tests/memory_fleet.py
@@ -38,7 +38,7 @@
         self.line_ms = self.free_ms = 0.0  # what a line takes to apply; when the last one was
         self.log, self.last = [], ""
         core, record = pilot.core, pilot.core.settings
-        self.stream = DeltaStream(core.tables, pilot.encoder, record.limits, "e", core.ordered_ms)
+        self.stream = DeltaStream(core.tables, pilot.encoder, record.limits, "e", core.revision_time_ms)
         first = self.request(CDS)
         first.node.id = name
         told = self.stream.initial_versions(first)
