--- a/quillstep/config/__init__.py
+++ b/quillstep/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: records in a stated subset of CUE, checked into typed records.  See docs/operate/settings.md."""
+"""Settings: files in a documented subset of CUE, validated into typed records.  See docs/operate/settings.md."""
--- a/quillstep/config/base.py
+++ b/quillstep/config/base.py
@@ -1,4 +1,4 @@
-"""What all settings records share: strictness, the names used in files, and constrained types."""
+"""The base class of all settings records, aliases for names in settings files, and constrained types."""
 
 from typing import Annotated, Any
 
@@ -13,10 +13,10 @@
 
 
 class Settings(BaseModel):
-    """A settings record: no unknown fields, no silent conversions, immutable once checked.
+    """A settings record that rejects unknown fields, converts no types silently and is immutable.
 
-    Units are in the names: `_ms` milliseconds, `_s` seconds, `_per_s` per second, `_bytes` bytes; a share is 0 to 1.
-    A field whose name in settings files differs from its name here carries that name as its alias (`in_file`).
+    Names end in their units: `_ms` milliseconds, `_s` seconds, `_per_s` per second, `_bytes` bytes; a share is 0 to 1.
+    A field whose name in settings files differs from its name in the code has the former as its alias (`in_file`).
     """
 
     model_config = ConfigDict(
@@ -30,5 +30,5 @@
 
 
 def in_file(name: str) -> Any:
-    """The name of a field in settings files, where it is not the name in the code."""
+    """Returns a field with this name as its alias: the name used in settings files."""
     return Field(alias=name)
--- a/quillstep/config/cue/evaluation.py
+++ b/quillstep/config/cue/evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluation: a tree of the grammar as a node, with references followed and definitions unified."""
+"""Evaluation of a syntax tree into a node: resolves references and unifies definitions."""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -10,12 +10,12 @@
 from quillstep.config.cue.unification import Unifier
 from quillstep.config.errors import ConfigError
 
-Scope = dict[str, list[Tree]]  # the values of each name that a record gives
-Scopes = list[Scope]  # of the records around a value, the nearest last
+Scope = dict[str, list[Tree]]  # the values given for each name in a record
+Scopes = list[Scope]  # the scopes of the enclosing records, innermost last
 
 
 class Field(NamedTuple):
-    """A field as it is written: `name: value`, `name?: value` or `name!: value`."""
+    """A field of the syntax tree: `name: value`, `name?: value` or `name!: value`."""
 
     name: str
     is_optional: bool
@@ -23,18 +23,18 @@
 
 
 class Evaluator:
-    """Evaluates the tree of one file; its methods raise `ConfigError` where the file is wrong."""
+    """Evaluates the syntax tree of one file; its methods raise `ConfigError` for invalid values and references."""
 
     def __init__(self, file: str) -> None:
         self.file = file
         self._unifier = Unifier(file)
-        self._followed: set[int] = set()  # identities of the values that references being followed lead to
+        self._resolving: set[int] = set()  # ids of the value lists that are being resolved, to detect cycles
 
     def document(self, tree: Tree) -> Node:
-        """The record that a whole file is.
+        """Evaluates the tree of a file and returns its record.
 
         Raises:
-            ConfigError: A value does not fit, or a reference leads nowhere.
+            ConfigError: Values conflict, or a reference cannot be resolved.
         """
         return self._record(tree.children, [], 1, "")
 
@@ -58,7 +58,7 @@
         return node
 
     def _members(self, scope: Scope, scopes: Scopes, path: str) -> dict[str, Node]:
-        """The fields of a record; its definitions are evaluated where they are referred to."""
+        """Evaluates the fields of a record; its definitions are evaluated where they are referred to."""
         members: dict[str, Node] = {}
         for name, values in scope.items():
             if name.startswith("#"):
@@ -66,19 +66,19 @@
             member_path = join_path(path, name)
             for value in values:
                 node = self._value(value, scopes, member_path)
-                before = members.get(name)
-                members[name] = self._unifier.unify(before, node, member_path) if before else node
+                previous = members.get(name)
+                members[name] = self._unifier.unify(previous, node, member_path) if previous else node
         return members
 
     def _value(self, tree: Tree, scopes: Scopes, path: str) -> Node:
         line = getattr(tree.meta, "line", 0) or 1
         return EVALUATORS[tree.data](self, tree, scopes, line, path)
 
-    def _nested(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
-        """The record of the shorthand `a: b: 1`."""
+    def _nested_record(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
+        """Evaluates the record of the shorthand `a: b: 1`."""
         return self._record([tree], scopes, line, path)
 
-    def _braced(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
+    def _braced_record(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
         return self._record(tree.children, scopes, line, path)
 
     def _number(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
@@ -103,10 +103,10 @@
                 items.append(self._value(item, scopes, f"{path}.{index}"))
         return node
 
-    def _both(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
-        return self._unified(tree.children, scopes, path)
+    def _conjunction(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
+        return self._unify_trees(tree.children, scopes, path)
 
-    def _unified(self, trees: Sequence[Tree], scopes: Scopes, path: str) -> Node:
+    def _unify_trees(self, trees: Sequence[Tree], scopes: Scopes, path: str) -> Node:
         node = self._value(trees[0], scopes, path)
         for tree in trees[1:]:
             node = self._unifier.unify(node, self._value(tree, scopes, path), path)
@@ -115,7 +115,7 @@
     def _default(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
         return Node(line, alternatives=[self._alternative(tree, scopes, path)])
 
-    def _choice(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
+    def _disjunction(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
         return Node(line, alternatives=[self._alternative(each, scopes, path) for each in tree.children])
 
     def _alternative(self, tree: Tree, scopes: Scopes, path: str) -> Alternative:
@@ -124,27 +124,27 @@
         return Alternative(False, self._value(tree, scopes, path))
 
     def _reference(self, tree: Tree, scopes: Scopes, line: int, path: str) -> Node:
-        """What a name refers to: a field or definition of an enclosing record, a type or a keyword."""
+        """Resolves a name: a field or definition of an enclosing record, a type or a keyword."""
         names = [str(token) for token in tree.children]
         first = names[0]
         for depth in range(len(scopes), 0, -1):
             if first in scopes[depth - 1]:
-                return self._referred(names, scopes[:depth], line, path)
+                return self._resolve(names, scopes[:depth], line, path)
         if first in TYPE_CHECKS and len(names) == 1:
             return Node(line, types=[first])
         if first in KEYWORDS and len(names) == 1:
             return Node(line, scalar=KEYWORDS[first], is_known=True)
         raise self._error(line, path, ".".join(names), "the name of a field, a definition or a type")
 
-    def _referred(self, names: list[str], scopes: Scopes, line: int, path: str) -> Node:
-        """The node that a dotted name leads to, beginning in the last of the scopes."""
+    def _resolve(self, names: list[str], scopes: Scopes, line: int, path: str) -> Node:
+        """Resolves a dotted name, whose first part is in the innermost of the scopes."""
         first = names[0]
         values = scopes[-1][first]
-        if id(values) in self._followed:
+        if id(values) in self._resolving:
             raise self._error(line, path, f"{first}, which refers to itself", "a value")
-        self._followed.add(id(values))
-        node = self._unified_values(values, scopes, path)
-        self._followed.discard(id(values))
+        self._resolving.add(id(values))
+        node = self._unify_values(values, scopes, path)
+        self._resolving.discard(id(values))
         for name in names[1:]:
             if node.members is None or name not in node.members:
                 raise self._error(line, path, ".".join(names), f"a field {name!r} of {first}")
@@ -152,29 +152,29 @@
         if first.startswith("#") and node.members is not None and not node.is_open:
             node.is_closed = True
         if node.members is None and node.items is None:
-            node.line = line  # a scalar stands on the line that refers to it; records keep their own lines
+            node.line = line  # a scalar gets the line of the reference; records keep their own lines
         return node
 
-    def _unified_values(self, values: list[Tree], scopes: Scopes, path: str) -> Node:
-        """All values of a name; each is evaluated before the first two are unified."""
+    def _unify_values(self, values: list[Tree], scopes: Scopes, path: str) -> Node:
+        """Unifies all values of a name; each is evaluated before the first two are unified."""
         nodes = [self._value(value, scopes, path) for value in values]
         node = nodes[0]
-        for more in nodes[1:]:
-            node = self._unifier.unify(node, more, path)
+        for other in nodes[1:]:
+            node = self._unifier.unify(node, other, path)
         return node
 
 
 EVALUATORS: dict[str, Callable[[Evaluator, Tree, Scopes, int, str], Node]] = {
-    "field": Evaluator._nested,
-    "nested": Evaluator._nested,
-    "record": Evaluator._braced,
+    "field": Evaluator._nested_record,
+    "nested": Evaluator._nested_record,
+    "record": Evaluator._braced_record,
     "number": Evaluator._number,
     "string": Evaluator._string,
     "bound": Evaluator._bound,
     "list": Evaluator._list,
-    "both": Evaluator._both,
+    "both": Evaluator._conjunction,
     "default": Evaluator._default,
-    "choice": Evaluator._choice,
+    "choice": Evaluator._disjunction,
     "ref": Evaluator._reference,
 }
 
--- a/quillstep/config/cue/grammar.py
+++ b/quillstep/config/cue/grammar.py
@@ -1,4 +1,4 @@
-"""The grammar: a text as a tree of rules and tokens."""
+"""The grammar of the supported subset of CUE, and the parser."""
 
 from functools import cache
 
@@ -39,7 +39,7 @@
 %ignore /[ \t\r\n]+/
 """
 ESCAPES = {"n": "\n", "t": "\t", '"': '"', "\\": "\\", "/": "/", "r": "\r"}
-TOKENS_IN_WORDS = {
+TOKEN_DESCRIPTIONS = {
     "RBRACE": "}",
     "RSQB": "]",
     "COLON": ":",
@@ -50,10 +50,10 @@
 
 
 def parse(text: str, file: str) -> Tree:
-    """The tree of a text; `file` is the name that errors give.
+    """Parses a text into a syntax tree; `file` is the file name to use in errors.
 
     Raises:
-        ConfigError: The text is not in the grammar.
+        ConfigError: The text does not match the grammar.
     """
     try:
         return _parser().parse(text)
@@ -66,13 +66,13 @@
 
 
 def parse_number(token: str) -> int | float:
-    """The value of a number token."""
+    """Returns the value of a number token."""
     digits = token.replace("_", "")
-    return float(digits) if any(sign in digits for sign in ".eE") else int(digits)
+    return float(digits) if any(character in digits for character in ".eE") else int(digits)
 
 
 def parse_string(token: str) -> str:
-    """The value of a string token, quotes and escapes resolved."""
+    """Returns the value of a string token, without quotes and with escapes replaced."""
     characters = iter(token[1:-1])
     return "".join(_unescape(next(characters, "")) if each == "\\" else each for each in characters)
 
@@ -87,5 +87,5 @@
 
 
 def _expected(error: UnexpectedToken) -> str:
-    words = {TOKENS_IN_WORDS[name] for name in error.expected if name in TOKENS_IN_WORDS}
-    return " or ".join(sorted(words)) or "another token"
+    descriptions = {TOKEN_DESCRIPTIONS[name] for name in error.expected if name in TOKEN_DESCRIPTIONS}
+    return " or ".join(sorted(descriptions)) or "another token"
--- a/quillstep/config/cue/nodes.py
+++ b/quillstep/config/cue/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes: values as far as they are known, and what they must be."""
+"""Nodes: values, and constraints on values that are not concrete yet."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
     "string": lambda value: isinstance(value, str),
     "bool": lambda value: isinstance(value, bool),
 }
-TYPES_IN_WORDS = {"int": "a whole number", "string": "a text"}
+TYPE_DESCRIPTIONS = {"int": "a whole number", "string": "a text"}
 BOUND_CHECKS: dict[str, Callable[[float, float], bool]] = {
     ">=": lambda value, bound: value >= bound,
     "<=": lambda value, bound: value <= bound,
@@ -23,7 +23,7 @@
 
 
 class Bound(NamedTuple):
-    """A limit of a number, such as `>=0`."""
+    """A bound of a number, such as `>=0`."""
 
     operator: str
     limit: float
@@ -38,20 +38,20 @@
 
 @dataclass(slots=True)
 class Node:
-    """A value as far as it is known: a scalar, a record, a list, or what it must be (types, bounds, alternatives).
+    """A scalar, a record, a list, or constraints on a value (types, bounds, alternatives).
 
     Attributes:
-        line: Where it stands in the file.
-        scalar: Its value, where `is_known`.
-        is_known: Whether it is a scalar with a value.
+        line: Line number in the file.
+        scalar: The value of a concrete scalar.
+        is_known: Whether the node is a concrete scalar.
         members: The fields of a record; None for anything else.
         optional: Names of fields that need no value.
-        is_closed: Whether the record takes no further fields.
-        is_open: Whether the record says that it takes further fields (`...`).
+        is_closed: Whether the record accepts no further fields.
+        is_open: Whether the record contains `...`, which accepts further fields.
         items: The items of a list; None where they are not known.
-        element: What each item of a list must be.
+        element: Constraint on each item of a list.
         types: Names of types that a scalar must have.
-        bounds: Limits of a number.
+        bounds: Bounds of a number.
         alternatives: The values of a disjunction.
     """
 
@@ -69,11 +69,11 @@
     alternatives: list[Alternative] = field(default_factory=list)
 
     def is_list(self) -> bool:
-        """Whether it is a list, or must be one."""
+        """Whether the node is a list or requires one."""
         return self.items is not None or self.element is not None
 
     def describe_expected(self) -> str:
-        """What this node asks for, in words."""
+        """Describes the values that this node accepts."""
         if self.alternatives:
             return " or ".join(alternative.node.describe_expected() for alternative in self.alternatives)
         if self.is_known:
@@ -82,15 +82,15 @@
             return "a record"
         if self.is_list():
             return "a list"
-        types = [TYPES_IN_WORDS.get(name, f"a {name}") for name in self.types]
+        types = [TYPE_DESCRIPTIONS.get(name, f"a {name}") for name in self.types]
         return " ".join(types + [f"{operator}{limit:g}" for operator, limit in self.bounds]) or "a value"
 
     def describe_found(self) -> str:
-        """What this node is, in words."""
+        """Describes this node as a value that was found."""
         return format_value(self.scalar) if self.is_known else self.describe_expected()
 
     def accepts(self, value: Any) -> bool:
-        """Whether a scalar is what this node, which holds no alternatives, must be."""
+        """Whether this node, which has no alternatives, accepts a scalar."""
         if self.is_known:
             if type(self.scalar) is bool or type(value) is bool:
                 return value is self.scalar
@@ -107,7 +107,7 @@
 
 
 def format_value(value: Any) -> str:
-    """A scalar as settings files write it."""
+    """Returns a scalar in the syntax of settings files."""
     if isinstance(value, str):
         return f'"{value}"'
     for keyword, meaning in KEYWORDS.items():
@@ -117,5 +117,5 @@
 
 
 def join_path(path: str, name: str) -> str:
-    """The path of a field of the record at `path`."""
+    """Returns the path of a field of the record at `path`."""
     return f"{path}.{name}" if path else name
--- a/quillstep/config/errors.py
+++ b/quillstep/config/errors.py
@@ -4,14 +4,14 @@
 
 
 class ConfigError(QuillstepError):
-    """Settings that do not check; the text names file, line, path, what was found and what was expected.
+    """Invalid settings; the message names file, line, path, what was found and what was expected.
 
     Attributes:
-        file: The name of the file.
-        line: The line in it, from 1; 0 where the file can't be read at all.
-        path: The field, such as `fleet.classes.0.name`; empty for the whole file.
-        found: What stands there, in words.
-        expected: What should stand there, in words.
+        file: Name of the file.
+        line: Line number in the file, from 1; 0 where the file cannot be read.
+        path: The field, such as `fleet.classes.0.name`; empty for the file as a whole.
+        found: Description of the value found.
+        expected: Description of the value expected.
     """
 
     def __init__(self, file: str, line: int, path: str, found: str, expected: str) -> None:
--- a/quillstep/config/fleet.py
+++ b/quillstep/config/fleet.py
@@ -1,4 +1,4 @@
-"""Settings of a fleet: its zones, classes of requests, proxies, the update channel and the limits behind the rules."""
+"""Settings of a fleet: zones, classes of requests, proxies, the update channel and the limits of the five rules."""
 
 from typing import Annotated, Literal
 
@@ -20,12 +20,12 @@
     idempotency_scope: Annotated[Literal["", "all", "zone"], in_file("scope")] = ""
     idempotency_window_ms: Annotated[NonNegative, in_file("window_ms")] = 0.0
     home_zone_only: Annotated[bool, in_file("home_only")] = False
-    work_ms: Positive = 50.0  # time a request takes on one core of speed 1, in the testbed
-    share: Share = 1.0  # of the traffic
+    work_ms: Positive = 50.0  # processing time of a request on one core of speed 1, in the testbed
+    share: Share = 1.0  # share of the traffic
 
 
 class InvariantSettings(Settings):
-    """The limits behind the five rules."""
+    """Limits of the five rules that runs are checked against."""
 
     no_endpoint_grace_ms: Annotated[Positive, in_file("bare_ms")] = 5000.0
     drain_grace_ms: Positive = 3000.0
@@ -36,20 +36,20 @@
 
 
 class ChannelSettings(Settings):
-    """A controller's update channel: what it sends and how much may be queued there."""
+    """A controller's update channel: its rate, its limits per proxy and the size of its queue."""
 
     lines_per_s: Positive = 3000.0
     lines_per_message: NonNegative = 6.0
     max_queued_lines: Annotated[Positive, in_file("lines_waiting_most")] = 5000.0
-    # To one proxy within `message_window_ms`; 0 means no limit.
+    # Messages to one proxy within `message_window_ms`; 0 means no limit.
     max_messages: Annotated[Count, in_file("messages_most")] = 20
     message_window_ms: Annotated[NonNegative, in_file("messages_over_ms")] = 10000.0
-    # From leaving the channel until a proxy has acknowledged.
+    # From the time that an update leaves the channel until a proxy has acknowledged it.
     max_ack_delay_ms: Annotated[NonNegative, in_file("late_most_ms")] = 600.0
 
 
 class ProxySettings(Settings):
-    """What the proxies do by themselves."""
+    """Behaviour of the proxies themselves: admission, retries, local ejection, reports and connections."""
 
     admission: Literal["share", "rate", "none"] = "rate"
     default_retry_policy: Annotated[int, Field(ge=0, le=3), in_file("base_tries")] = 0
@@ -60,12 +60,12 @@
     report_interval_ms: Annotated[Positive, in_file("report_every_ms")] = 1000.0
     reconnect_delay_ms: Annotated[Positive, in_file("dial_ms")] = 300.0
     connect_timeout_ms: Annotated[Positive, in_file("connect_ms")] = 250.0
-    keep_alive_ms: Annotated[Positive, in_file("idle_ms")] = 3000.0  # until an unused connection is closed
+    keep_alive_ms: Annotated[Positive, in_file("idle_ms")] = 3000.0  # idle time after which a connection is closed
     line_ms: NonNegative = 0.04  # a proxy is blocked this long for each line it applies, in the testbed
 
 
 class HealthCheckSettings(Settings):
-    """Health checks of endpoints."""
+    """Settings of health checks of endpoints."""
 
     allowed: bool = True
     load_only_here: bool = True  # responses to requests carry no load, health checks do
@@ -74,7 +74,7 @@
 
 
 class FleetSettings(Settings):
-    """What all parts of one deployment know of it."""
+    """Settings that controllers, proxies and checks of one deployment share."""
 
     zones: Annotated[list[str], Field(min_length=1)]
     classes: Annotated[list[ClassSettings], Field(min_length=1, max_length=32)]
--- a/quillstep/config/loading.py
+++ b/quillstep/config/loading.py
@@ -1,4 +1,4 @@
-"""Reads settings files into checked records, changes single settings, and checks that values fit each other."""
+"""Loads settings files into validated records, changes single settings, and checks that values are consistent."""
 
 import json
 from pathlib import Path
@@ -13,16 +13,16 @@
 from quillstep.config.fleet import ClassSettings, FleetSettings
 from quillstep.config.scenario import FaultSettings
 
-MIN_QUEUED_S = 0.5  # of the channel's rate that must fit in its queue
+MIN_QUEUED_S = 0.5  # the channel's queue must hold the lines of this time at its full rate
 
 S = TypeVar("S", bound=Settings)
 
 
 def load(kind: type[S], path: str | Path) -> S:
-    """Reads a settings file into a checked record.
+    """Loads a settings file into a validated record.
 
     Raises:
-        ConfigError: the file is missing, unreadable, or does not check.
+        ConfigError: The file is missing, unreadable or invalid.
     """
     try:
         found, origin = read(path)
@@ -32,10 +32,10 @@
 
 
 def check(kind: type[S], found: dict[str, Any], origin: Origin) -> S:
-    """Makes a record of plain values under their names in files.
+    """Validates plain values, keyed by their names in settings files, into a record.
 
     Raises:
-        ConfigError: the first value that is wrong, with its place in the file.
+        ConfigError: A value is invalid; the error names the first one and its line in the file.
     """
     try:
         record = kind.model_validate(found, by_alias=True, by_name=False)
@@ -43,14 +43,18 @@
         first = error.errors(include_url=False)[0]
         path = ".".join(str(part) for part in first["loc"])
         is_missing = first["type"] == "missing"
-        what = "nothing" if is_missing else _brief(first["input"])
-        raise ConfigError(origin.file, origin.line(path), path, what, _expected(first)) from error
+        found_text = "nothing" if is_missing else _shorten(first["input"])
+        raise ConfigError(origin.file, origin.line(path), path, found_text, _expected(first)) from error
     _check_consistency(record, origin)
     return record
 
 
 def check_older(kind: type[S], plain: dict[str, Any]) -> S:
-    """A record that an older version wrote: fields that no longer exist are left out; the rest must check."""
+    """Validates settings that an older version wrote: unknown fields are dropped, the rest must be valid.
+
+    Raises:
+        pydantic.ValidationError: A field that still exists has an invalid value.
+    """
     try:
         return kind.model_validate(plain, by_alias=True, by_name=False)
     except ValidationError as error:
@@ -66,7 +70,7 @@
     return check_older(kind, remaining)
 
 
-def _brief(value: Any) -> str:
+def _shorten(value: Any) -> str:
     return format_value(value) if not isinstance(value, dict | list) else f"a {type(value).__name__}"
 
 
@@ -80,7 +84,7 @@
 
 
 def _check_consistency(record: Settings, origin: Origin) -> None:
-    """Checks what no single field shows: that values fit each other."""
+    """Checks constraints between fields, which the fields' own types cannot express."""
     fleet = getattr(record, "fleet", record)
     if not isinstance(fleet, FleetSettings):
         return
@@ -95,7 +99,7 @@
         _check_report_addresses(reports, origin)
     zone = getattr(record, "zone", "")
     if zone and zone not in zones:
-        _wrong(origin, "zone", format_value(zone), "one of " + ", ".join(sorted(zones)))
+        _raise_error(origin, "zone", format_value(zone), "one of " + ", ".join(sorted(zones)))
 
 
 def _check_classes(classes: list[ClassSettings], prefix: str, origin: Origin) -> None:
@@ -103,46 +107,50 @@
     for at, row in enumerate(classes):
         path = f"{prefix}classes.{at}"
         if row.name in names:
-            _wrong(origin, f"{path}.name", format_value(row.name), "a name that no other class has")
+            _raise_error(origin, f"{path}.name", format_value(row.name), "a name that no other class has")
         names.add(row.name)
         if row.deadline_ms < row.latency_objective_ms:
             expected = f"at least {row.latency_objective_ms:g}, agreed_ms"
-            _wrong(origin, f"{path}.cut_off_ms", f"{row.deadline_ms:g}", expected)
+            _raise_error(origin, f"{path}.cut_off_ms", f"{row.deadline_ms:g}", expected)
         if row.semantics == "keyed" and not (row.idempotency_scope and row.idempotency_window_ms):
-            _wrong(origin, path, "a keyed class without them", "scope and window_ms")
+            _raise_error(origin, path, "a keyed class without them", "scope and window_ms")
 
 
 def _check_channel(fleet: FleetSettings, prefix: str, origin: Origin) -> None:
-    queued, least = fleet.channel.max_queued_lines, fleet.channel.lines_per_s * MIN_QUEUED_S
-    if queued < least:
-        expected = f"{least:g} or more, half a second"
-        _wrong(origin, f"{prefix}channel.lines_waiting_most", f"{queued:g}", expected)
+    queued, minimum = fleet.channel.max_queued_lines, fleet.channel.lines_per_s * MIN_QUEUED_S
+    if queued < minimum:
+        expected = f"{minimum:g} or more, half a second"
+        _raise_error(origin, f"{prefix}channel.lines_waiting_most", f"{queued:g}", expected)
 
 
 def _check_fault(fault: FaultSettings, path: str, fleet: FleetSettings, origin: Origin) -> None:
     if fault.zone and fault.zone not in fleet.zones:
-        _wrong(origin, f"{path}.zone", format_value(fault.zone), "one of " + ", ".join(sorted(set(fleet.zones))))
+        _raise_error(origin, f"{path}.zone", format_value(fault.zone), "one of " + ", ".join(sorted(set(fleet.zones))))
     class_names = {row.name for row in fleet.classes}
     names_unknown_class = bool(fault.class_name) and fault.class_name not in class_names
     if (fault.what == "tighten") != bool(fault.class_name) or names_unknown_class:
-        _wrong(origin, f"{path}.kind", format_value(fault.class_name), "a class with `tighten`, nothing else")
+        _raise_error(origin, f"{path}.kind", format_value(fault.class_name), "a class with `tighten`, nothing else")
 
 
 def _check_report_addresses(reports: LoadReportSettings, origin: Origin) -> None:
     if (reports.by == "processes") != bool(reports.listen):
         found = f"{len(reports.listen)} with by: {format_value(reports.by)}"
-        _wrong(origin, "reports.listen", found, 'one address a process with by: "processes", else none')
+        _raise_error(origin, "reports.listen", found, 'one address a process with by: "processes", else none')
 
 
-def _wrong(origin: Origin, path: str, found: str, expected: str) -> None:
+def _raise_error(origin: Origin, path: str, found: str, expected: str) -> None:
     raise ConfigError(origin.file, origin.line(path), path, found, expected)
 
 
 def changed(record: S, change: dict[str, Any]) -> S:
-    """A record with some paths set, by their names in files.
+    """Returns a copy of a record with some fields changed.
+
+    Args:
+        record: The record.
+        change: New values by path, such as `fleet.proxies.ejects`; paths use the names in settings files.
 
     Raises:
-        ConfigError: a path does not exist or a value does not check.
+        ConfigError: A path does not exist or a value is invalid.
     """
     plain = record.model_dump()
     for path, value in change.items():
@@ -154,16 +162,16 @@
             else:
                 at = at.get(name) if isinstance(at, dict) else None
         if not isinstance(at, dict) or last not in at:
-            raise ConfigError("--set", 1, path, "no such setting", "a path of the record")
+            raise ConfigError("--set", 1, path, "an unknown setting", "the path of an existing setting")
         at[last] = value
     return check(type(record), plain, Origin("--set"))
 
 
 def parse_changes(texts: tuple[str, ...] | list[str]) -> dict[str, Any]:
-    """Reads `path=value` texts; values are JSON where they read as such.
+    """Parses `path=value` texts; a value that is not valid JSON is taken as a string.
 
     Raises:
-        ConfigError: a text without a value.
+        ConfigError: A text has no value.
     """
     change: dict[str, Any] = {}
     for each in texts:
--- a/quillstep/config/planner_config.py
+++ b/quillstep/config/planner_config.py
@@ -1,11 +1,11 @@
-"""The planner's configuration at its start, from the settings of a fleet."""
+"""Derives the planner's configuration from the settings of a fleet."""
 
 from quillstep.config.fleet import FleetSettings
 from quillstep.planner.messages import ClassConfig, PlannerConfig
 
 
 def planner_config(fleet: FleetSettings) -> PlannerConfig:
-    """The planner's configuration from a fleet's settings."""
+    """Returns the planner's configuration for a fleet."""
     rules, channel, proxies = fleet.rules, fleet.channel, fleet.proxies
     classes = [
         ClassConfig(
--- a/quillstep/config/scenario.py
+++ b/quillstep/config/scenario.py
@@ -16,7 +16,7 @@
 
 
 class EndpointKindSettings(Settings):
-    """So many endpoints of one kind in every zone."""
+    """A group of identical endpoints, `each_zone` of them in every zone."""
 
     each_zone: PositiveCount
     cores: PositiveCount = 2
@@ -29,7 +29,7 @@
 
 
 class PhaseSettings(Settings):
-    """From `at_s` on, for `for_s`, traffic is `times` the usual."""
+    """A phase of changed traffic: from `at_s` on, for `for_s`, the request rate is multiplied by `times`."""
 
     at_s: NonNegative
     for_s: Positive
@@ -37,7 +37,7 @@
 
 
 class FaultSettings(Settings):
-    """One fault to inject: what, when, and into how much of what."""
+    """One fault to inject: its kind, its time and the number of its targets."""
 
     at_s: NonNegative
     for_s: Positive = 5.0
@@ -49,10 +49,11 @@
     ]  # fmt: skip
     zone: str = ""
     count: PositiveCount = 1
-    # Of `slow`; `reports_late`, `proxy_late_words`: seconds; `proxy_slow_lines`: ms a line; `proxy_loses`: responses;
-    # the share of responses lost or failed is 1 - 1 / factor.
+    # Strength of the fault: for `slow` a factor; for `reports_late` and `proxy_late_words` seconds; for
+    # `proxy_slow_lines` ms per line; for `proxy_loses` a number of responses.  Where a share of responses is lost or
+    # failed, it is 1 - 1 / factor.
     factor: Positive = 4.0
-    # The class that `tighten` makes unsafe: controllers restart with it so, endpoints follow.
+    # The class that `tighten` makes unsafe: controllers restart with the changed class, then endpoints follow.
     class_name: Annotated[str, in_file("kind")] = ""
 
 
@@ -62,26 +63,26 @@
     name: Annotated[str, Field(min_length=1)]
     seed: int = 1
     seconds: Positive
-    warm_up_s: NonNegative = 3.0  # before the first request: streams join, tables arrive
+    warm_up_s: NonNegative = 3.0  # time before the first request, in which proxies connect and receive tables
     fleet: FleetSettings
     limits: LimitSettings = LimitSettings()
     reports: LoadReportSettings = LoadReportSettings()
     endpoints: Annotated[list[EndpointKindSettings], Field(min_length=1)]
-    reserves: Count = 0  # endpoints per zone of the first kind that only `join` starts
+    reserves: Count = 0  # endpoints of the first kind per zone that are started only by `join`
     proxies: PositiveCount
     proxy_processes: PositiveCount = 2
-    sotw_proxies: Share = 0.0  # the share that speaks state of the world
-    file_proxies: Share = 0.0  # the share that follows files
+    sotw_proxies: Share = 0.0  # share of proxies that use state-of-the-world xDS
+    file_proxies: Share = 0.0  # share of proxies that follow files
     files: FileSettings = FileSettings()
-    capture: bool = False  # controllers record their events, below the scenario's folder
-    # Controllers write down what passes on their sockets; without it nothing can be judged or traced.
+    capture: bool = False  # whether controllers record their events, below the scenario's folder
+    # Whether controllers write a socket record; without it the rules cannot be checked and no request traced.
     record: bool = True
     gate: RolloutGateSettings = RolloutGateSettings()
-    store: StoreSettings = StoreSettings()  # of each controller; its folder is a name below the scenario's folder
-    spans: Share = 0.0  # the share of control intervals and requests that spans are written of
+    store: StoreSettings = StoreSettings()  # for each controller; `folder` is a name below the scenario's folder
+    spans: Share = 0.0  # share of control intervals and of requests that are sampled
     controllers: Annotated[PositiveCount, in_file("pilots")] = 2
     requests_per_s: Annotated[Positive, in_file("exchanges_per_s")]
-    callers_skew: NonNegative = 1.0  # how unevenly traffic comes to the proxies; 0: evenly
+    callers_skew: NonNegative = 1.0  # skew of the traffic between proxies; 0 means even
     keys: PositiveCount = 500
     discovery_delay_ms: Annotated[NonNegative, in_file("roster_late_ms")] = 700.0
     phases: list[PhaseSettings] = []
--- a/quillstep/config/start_settings.py
+++ b/quillstep/config/start_settings.py
@@ -1,7 +1,7 @@
-"""The settings of a start: flat names (`lanes.0.aim`, `lanes.count`, lists joined by commas) as the planner's config.
+"""Builds the planner's configuration from flat fields (`lanes.0.aim`, `lanes.count`, lists joined by commas).
 
-The simulator's adapter reads them from a line of the wire, the platform's controller from its configuration file.
-The quoted names below are the wire's; the names beside them are what the code calls them.
+The simulator's adapter receives the fields in its start message, the platform's controller reads them from its
+configuration file.  The quoted names below are those of the protocol, beside the names used in the code.
 """
 
 from quillstep.errors import QuillstepError
@@ -11,16 +11,16 @@
 
 
 class InvalidFieldError(QuillstepError, ValueError):
-    """A field's value can't be read; the message names the field and the value."""
+    """A field has an invalid value; the message names the field and the value."""
 
 
 def read_number(fields: Fields, key: str, absent: float = 0.0) -> float:
-    """A field as a number.
+    """Returns a field as a number.
 
     Args:
         fields: Values by name.
         key: The field's name.
-        absent: The result where the field is absent or empty.
+        absent: Returned where the field is absent or empty.
 
     Raises:
         InvalidFieldError: The value is not a finite number.
@@ -38,10 +38,10 @@
 
 
 def read_integer(fields: Fields, key: str, absent: int = 0) -> int:
-    """A field as a whole number; `absent` where it is absent or empty.
+    """Returns a field as an integer; `absent` where it is absent or empty.
 
     Raises:
-        InvalidFieldError: The value is not a whole number.
+        InvalidFieldError: The value is not an integer.
     """
     text = fields.get(key)
     if text is None or text == "":
@@ -53,7 +53,7 @@
 
 
 def read_milliseconds(fields: Fields, key: str) -> float:
-    """A field in microseconds, which a settings file may give with fractions, as milliseconds.
+    """Returns a field in microseconds, which may be fractional, as milliseconds; 0 where it is absent or empty.
 
     Raises:
         InvalidFieldError: The value is not a finite number.
@@ -62,15 +62,15 @@
 
 
 def read_flag(fields: Fields, key: str) -> bool:
-    """Whether a field is set; false where it is absent."""
+    """Whether a field is `1` or `true`; false where it is absent."""
     return fields.get(key, "") in ("1", "true")
 
 
 def planner_config_from_start(fields: Fields) -> tuple[PlannerConfig, list[str]]:
-    """The planner's configuration, and the names of the classes by their indexes.
+    """Returns the planner's configuration, and the names of the classes by index.
 
     Raises:
-        InvalidFieldError: A value can't be read.
+        InvalidFieldError: A field has an invalid value.
     """
     indexes = range(read_integer(fields, "lanes.count"))
     home_zone_only = fields.get("specifics.homeOnly", "").split(",")
--- a/tests/config/test_cue.py
+++ b/tests/config/test_cue.py
@@ -1,4 +1,4 @@
-"""The subset of CUE: what it means, and that errors name file, line, path, found and expected."""
+"""The supported subset of CUE is evaluated as the language specifies; errors name file, line, path and values."""
 
 import pytest
 
@@ -28,7 +28,7 @@
         ("a: 1_000", {"a": 1000}),
     ],
 )
-def test_the_subset_means_what_the_language_says(text, found):
+def test_the_subset_is_evaluated_as_in_cue(text, found):
     assert read_text(text, "f.cue")[0] == found
 
 
@@ -39,7 +39,7 @@
         ("a: >5 & 3", "f.cue:1: a: found 3, expected >5"),
         ("#D: {x: int}\na: #D & {\n x: 1\n y: 2}", "f.cue:4: a.y: found the field 'y', expected one of x"),
         ("a: *1 | 2\n\na: 3", "f.cue:3: a: found 3, expected 1 or 2"),
-        ("a: 1 | 2", "f.cue:1: a: found nothing chosen, expected 1 or 2"),
+        ("a: 1 | 2", "f.cue:1: a: found an ambiguous value, expected 1 or 2"),
         ("a: [1, 2\n", "f.cue:"),
         ("a: string", "f.cue:1: a: found no value, expected a text"),
         ("a: elsewhere", "f.cue:1: a: found elsewhere, expected the name of a field"),
@@ -51,7 +51,7 @@
         ("a: true & 1", "a: found"),
     ],
 )
-def test_an_error_names_place_found_and_expected(text, message):
+def test_an_error_names_file_line_path_and_the_found_and_expected_values(text, message):
     with pytest.raises(ConfigError) as error:
         read_text(text, "f.cue")
     assert message in str(error.value)
--- a/tests/config/test_loading.py
+++ b/tests/config/test_loading.py
@@ -1,4 +1,4 @@
-"""Settings files become checked records, or errors that name the place."""
+"""Settings files are loaded into validated records, or rejected with file, line and path."""
 
 import pytest
 from settings_files import FLEET
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "line", "message"),
+    ("added", "line", "message"),
     [
         ("seed: 1.5", 7, 'seed: found 1.5, expected a valid integer'),
         ('listen: "here"', 7, 'listen: found "here"'),
@@ -22,9 +22,9 @@
         ("fleet: rules: start_capacity: 2", 7, "fleet.rules.start_capacity: found 2, expected less than or equal to 1"),
     ],
 )  # fmt: skip
-def test_controller_settings_that_do_not_check_are_rejected(tmp_path, more, line, message):
+def test_invalid_controller_settings_are_rejected(tmp_path, added, line, message):
     path = tmp_path / "p.cue"
-    path.write_text(f"{FLEET}{more}\n")
+    path.write_text(f"{FLEET}{added}\n")
     with pytest.raises(ConfigError) as error:
         load(ControllerSettings, path)
     assert str(error.value).startswith(f"{path}:{line}: ") and message in str(error.value)
@@ -38,17 +38,17 @@
         ({"credit": 0}, "credit: found 0, expected greater than 0"),
     ],
 )
-def test_a_class_whose_values_do_not_fit_is_rejected(tmp_path, row, message):
+def test_a_class_with_inconsistent_values_is_rejected(tmp_path, row, message):
     fields = {"name": '"y"', "agreed_ms": 100, "cut_off_ms": 200, "credit": 1, "semantics": '"safe"', **row}
     path = tmp_path / "p.cue"
-    listed = ", ".join(f"{name}: {value}" for name, value in fields.items())
-    path.write_text(f'name: "p", roster: ":1"\nfleet: {{zones: ["a"], classes: [{{{listed}}}]}}')
+    members = ", ".join(f"{name}: {value}" for name, value in fields.items())
+    path.write_text(f'name: "p", roster: ":1"\nfleet: {{zones: ["a"], classes: [{{{members}}}]}}')
     with pytest.raises(ConfigError) as error:
         load(ControllerSettings, path)
     assert message in str(error.value) and str(path) in str(error.value)
 
 
-def test_settings_of_an_older_version_lose_unknown_fields_and_nothing_else(tmp_path):
+def test_only_unknown_fields_are_dropped_from_settings_of_an_older_version(tmp_path):
     path = tmp_path / "p.cue"
     path.write_text(FLEET)
     record = load(ControllerSettings, path)
@@ -60,7 +60,7 @@
         check_older(ControllerSettings, plain)
 
 
-def test_a_missing_file_is_an_error_and_the_example_scenario_checks():
+def test_a_missing_file_is_an_error_and_the_example_scenario_is_valid():
     with pytest.raises(ConfigError):
         load(ScenarioSettings, "/nowhere/at/all.cue")
     assert load(ScenarioSettings, "examples/days/bad-day.cue").controllers == 2
--- a/tests/config/test_planner_config.py
+++ b/tests/config/test_planner_config.py
@@ -1,4 +1,4 @@
-"""The planner's configuration from a fleet's settings."""
+"""The planner's configuration is derived from a fleet's settings."""
 
 from settings_files import FLEET
 
@@ -8,7 +8,7 @@
 from quillstep.config.planner_config import planner_config
 
 
-def test_the_planners_config_follows_the_settings(tmp_path):
+def test_the_planners_configuration_has_the_values_of_the_settings(tmp_path):
     path = tmp_path / "p.cue"
     path.write_text(FLEET + "fleet: {rules: drain_grace_ms: 1234, channel: messages_most: 7}")
     record = load(ControllerSettings, path)
--- a/tests/settings_files.py
+++ b/tests/settings_files.py
@@ -1,4 +1,4 @@
-"""Settings files that tests load."""
+"""Settings files for tests."""
 
 # A controller's settings with one class; tests append to it.
 FLEET = """
