--- a/quillstep/cli/check.py
+++ b/quillstep/cli/check.py
@@ -1,4 +1,4 @@
-"""`quillstep check`: settings files."""
+"""`quillstep check`: validates settings files."""
 
 import click
 
@@ -15,8 +15,8 @@
 @click.argument("kind", type=click.Choice([*KINDS, *EARLIER_NAMES]), metavar="[controller|scenario]")
 @click.argument("path", type=click.Path())
 def check(kind: str, path: str) -> None:
-    """Check a settings file and say what is wrong with it."""
+    """Validate a settings file; status 2 and one line on standard error if it is invalid."""
     if kind in EARLIER_NAMES:
         click.echo(f"quillstep: check {kind} is now check {EARLIER_NAMES[kind]}", err=True)
     load_settings(KINDS[EARLIER_NAMES.get(kind, kind)], path)
-    click.echo(f"{path}: a sound {kind} record")
+    click.echo(f"{path}: valid {kind} settings")
--- a/quillstep/cli/controller.py
+++ b/quillstep/cli/controller.py
@@ -1,4 +1,4 @@
-"""`quillstep controller`: one controller in the foreground."""
+"""`quillstep controller`: runs one controller in the foreground."""
 
 import os
 import sys
@@ -16,14 +16,14 @@
     from quillstep.controller.service import Controller
     from quillstep.store import Store
 
-MAX_STOP_S = 5.0  # after its parent has gone, a controller that does not stop is ended
+MAX_STOP_S = 5.0  # time to stop after standard input was closed, before the process exits anyway
 
 
 @click.command()
 @click.option("--settings", required=True, type=click.Path(), help="The controller's settings, a .cue file.")
-@click.option("--with-parent", is_flag=True, help="End when standard input does.")
+@click.option("--with-parent", is_flag=True, help="Stop when standard input is closed.")
 def controller(settings: str, with_parent: bool) -> None:
-    """Run one controller until it is told to stop."""
+    """Run one controller until it is stopped."""
     record = load_settings(ControllerSettings, settings)
     store, record = _open_store(record, settings)
     running = _make_controller(record, store, settings)
@@ -39,7 +39,7 @@
 
 
 def _open_store(record: ControllerSettings, path: str) -> tuple["Store | None", ControllerSettings]:
-    """The store, and the settings to go by: a store that cannot be used is left out, with a log line."""
+    """Returns the store and the settings to use; without the store, after a log event, if it cannot be opened."""
     from quillstep.store import StoreError, StoreSchemaTooNewError
     from quillstep.store.writer import open_store
 
@@ -48,7 +48,7 @@
     except StoreSchemaTooNewError as error:
         fail(f"{path}: store.folder: {error}")
     except StoreError as error:
-        structlog.get_logger("store").error("store left out", kind=error.reason, reason=str(error))
+        structlog.get_logger("store").error("store unavailable at start", kind=error.reason, reason=str(error))
         without = record.store.model_copy(update={"folder": ""})
         return None, record.model_copy(update={"store": without})
 
--- a/quillstep/cli/main.py
+++ b/quillstep/cli/main.py
@@ -1,4 +1,4 @@
-"""`quillstep`: the command line and its command groups."""
+"""`quillstep`: the top-level command."""
 
 import click
 
@@ -17,7 +17,7 @@
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
-@click.option("--log", "form", type=click.Choice(["auto", "human", "json"]), default="auto", help="Form of log lines.")
+@click.option("--log", "form", type=click.Choice(["auto", "human", "json"]), default="auto", help="Log format.")
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 @click.version_option(package_name=None, version="0.2.0", prog_name="quillstep")
 def cli(form: str, log_level: str) -> None:
--- a/quillstep/cli/model_checking.py
+++ b/quillstep/cli/model_checking.py
@@ -1,4 +1,4 @@
-"""`quillstep check-model`: the stream protocol, checked within bounds."""
+"""`quillstep check-model`: bounded checking of the stream protocol."""
 
 import sys
 
@@ -15,14 +15,14 @@
 @click.command("check-model")
 @click.option("--depth", default=12, show_default=True, help="Steps of the model; the code is explored half as deep.")
 def check_model(depth: int) -> None:
-    """Check the stream protocol within bounds: z3 on its model, all nearby states of the real code, mutants.
+    """Check the stream protocol within bounds: its model with z3, all nearby states of the real code, and mutants.
 
-    The last line of standard output is one JSON object; status 1 if anything is wrong or a mutant is not found.
+    The last line of standard output is one JSON object; status 1 if a check fails or a mutant is not found.
     """
     from quillstep.model_checking.runner import check_all
 
     result = check_all(depth)
-    table = Table(title="the stream protocol, within bounds")
+    table = Table(title="stream protocol, bounded checks")
     for name in (*COLUMNS, "run"):
         table.add_column(name, justify="right" if name in NUMERIC_COLUMNS else "left")
     for row in result["rows"]:
--- a/quillstep/cli/output.py
+++ b/quillstep/cli/output.py
@@ -1,4 +1,4 @@
-"""What all commands share: errors on standard error, results as one JSON line, settings files checked."""
+"""Helpers that all commands share: errors on standard error, results as one JSON line, settings files."""
 
 import sys
 from pathlib import Path
@@ -11,13 +11,13 @@
 from quillstep.config.errors import ConfigError
 from quillstep.config.loading import load, parse_changes
 
-USAGE_STATUS = 2  # the exit status of a command whose input cannot be used
+USAGE_STATUS = 2  # exit status of a command with invalid input
 
 S = TypeVar("S", bound=Settings)
 
 
 def fail(error: object, status: int = USAGE_STATUS) -> NoReturn:
-    """Prints one line on standard error and ends the process with this status."""
+    """Prints one line on standard error and exits with this status."""
     click.echo(f"quillstep: {error}", err=True)
     sys.exit(status)
 
@@ -28,12 +28,12 @@
 
 
 def write_json(result: Any, path: str) -> None:
-    """Keeps a result in a file, as indented JSON."""
+    """Writes a result to a file, as indented JSON."""
     Path(path).write_bytes(msgspec.json.format(msgspec.json.encode(result)) + b"\n")
 
 
 def load_settings(kind: type[S], path: str) -> S:
-    """Reads a settings file; one that does not check ends the process with status 2 and one line."""
+    """Loads a settings file; prints one line and exits with status 2 if it is invalid."""
     try:
         return load(kind, path)
     except ConfigError as error:
@@ -41,7 +41,7 @@
 
 
 def parse_settings_changes(texts: tuple[str, ...]) -> dict[str, Any]:
-    """Reads `path=value` options; one without a value ends the process with status 2 and one line."""
+    """Parses `path=value` options; prints one line and exits with status 2 if one has no value."""
     try:
         return parse_changes(texts)
     except ConfigError as error:
--- a/quillstep/cli/recording.py
+++ b/quillstep/cli/recording.py
@@ -1,4 +1,4 @@
-"""`quillstep recording`: recordings of controllers."""
+"""`quillstep recording`: lists, shows, cuts and verifies recordings of controllers."""
 
 from pathlib import Path
 from typing import TYPE_CHECKING
@@ -13,7 +13,7 @@
     from quillstep.recording import Incarnation
 
 FOLDER = click.argument("folder", type=click.Path(exists=True))
-INCARNATION = click.option("--life", "name", help="The incarnation's name; the first one if left out.")
+INCARNATION = click.option("--life", "name", help="Name of the incarnation.  Default: the first one.")
 
 
 @click.group()
@@ -22,7 +22,7 @@
 
 
 def load_incarnations(folder: str) -> list["Incarnation"]:
-    """All incarnations that a folder holds; a folder without one, or with a damaged one, ends with status 1."""
+    """Returns all incarnations in a folder; exits with status 1 if there is none or one is corrupt."""
     from quillstep.recording import CorruptBlockError, read_incarnations
 
     try:
@@ -30,17 +30,17 @@
     except CorruptBlockError as error:
         fail(error, status=1)
     if not found:
-        fail(f"no capture in {folder}", status=1)
+        fail(f"no recording found in {folder}", status=1)
     return found
 
 
 @recording.command("ls")
 @FOLDER
 def list_incarnations(folder: str) -> None:
-    """The incarnations in a folder: when, how long, how much of what."""
+    """List the incarnations in a folder with their lengths, sizes and records by kind."""
     table = Table(title=folder)
-    for name in ("life", "segments", "records", "seconds", "kB", "torn"):
-        table.add_column(name, justify="left" if name in ("life", "torn") else "right")
+    for name in ("incarnation", "segments", "records", "seconds", "kB", "truncated"):
+        table.add_column(name, justify="left" if name in ("incarnation", "truncated") else "right")
     for each in load_incarnations(folder):
         span_s = (each.last_ms - each.first_ms) / 1000.0
         kinds = ", ".join(f"{count} {kind}" for kind, count in each.record_counts.most_common())
@@ -52,11 +52,11 @@
 @recording.command("show")
 @FOLDER
 @INCARNATION
-@click.option("--from", "begin_s", default=0.0, help="Seconds from the incarnation's beginning.")
-@click.option("--for", "span_s", default=1.0, show_default=True, help="Seconds.")
+@click.option("--from", "begin_s", default=0.0, help="Seconds from the beginning of the incarnation.")
+@click.option("--for", "span_s", default=1.0, show_default=True, help="Length in seconds.")
 @click.option("--kind", "kinds", multiple=True, help="Only records of this kind.")
 def show(folder: str, name: str | None, begin_s: float, span_s: float, kinds: tuple[str, ...]) -> None:
-    """Records of a span, a JSON line each; messages by their size."""
+    """Print the records of a time span, one JSON line each; messages are shown by their size."""
     from quillstep.recording.reader import read_span
 
     incarnation = _choose(load_incarnations(folder), name)
@@ -69,7 +69,7 @@
 def _choose(found: list["Incarnation"], name: str | None) -> "Incarnation":
     matching = [each for each in found if name in (None, each.header.epoch)]
     if not matching:
-        fail(f"no life {name}; there are {', '.join(each.header.epoch for each in found)}")
+        fail(f"incarnation {name} not found: expected one of {', '.join(each.header.epoch for each in found)}")
     return matching[0]
 
 
@@ -77,9 +77,9 @@
 @FOLDER
 @click.argument("out", type=click.Path())
 @INCARNATION
-@click.option("--for", "span_s", required=True, type=float, help="Seconds from the incarnation's beginning.")
+@click.option("--for", "span_s", required=True, type=float, help="Length in seconds.")
 def cut_beginning(folder: str, out: str, name: str | None, span_s: float) -> None:
-    """The beginning of an incarnation as a recording of its own; it replays like the whole."""
+    """Copy the beginning of an incarnation into a new recording, which replays like the original."""
     from quillstep.recording.reader import cut_span
 
     incarnation = _choose(load_incarnations(folder), name)
@@ -90,21 +90,21 @@
 @recording.command("verify")
 @FOLDER
 def verify(folder: str) -> None:
-    """Read all of it, checksums included; status 1 if any of it is damaged, 0 if at most a tail is torn."""
+    """Read all records and check their checksums; status 1 if any is corrupt, 0 if at most the end is truncated."""
     for each in load_incarnations(folder):
-        truncation = f"; torn: {each.truncation}" if each.truncation else ""
-        click.echo(f"{each.header.epoch}: {each.records} records whole{truncation}")
+        truncation = f"; truncated: {each.truncation}" if each.truncation else ""
+        click.echo(f"{each.header.epoch}: {each.records} complete records{truncation}")
 
 
 @recording.command("keep")
 @FOLDER
 @click.argument("out", type=click.Path())
 def keep_for_replay(folder: str, out: str) -> None:
-    """What replays need of a played arm, and no more: recordings, the fleet, the requests."""
+    """Copy only what replays need from a played arm: recordings, the fleet, the requests."""
     from quillstep.recording import CorruptBlockError
     from quillstep.replay.recorded_scenario import copy_for_replay
 
     try:
-        click.echo(f"{out}: {copy_for_replay(Path(folder), Path(out))} exchanges")
+        click.echo(f"{out}: {copy_for_replay(Path(folder), Path(out))} requests")
     except (OSError, CorruptBlockError) as error:
         fail(error)
--- a/quillstep/cli/replay.py
+++ b/quillstep/cli/replay.py
@@ -1,4 +1,4 @@
-"""`quillstep replay`: recorded scenarios played again."""
+"""`quillstep replay`: replays recorded scenarios."""
 
 import sys
 import time
@@ -17,18 +17,18 @@
 if TYPE_CHECKING:
     from quillstep.replay.recorded_scenario import RecordedScenario
 
-SET_HELP = "path=value in a controller's settings, e.g. fleet.proxies.ejects=3."
+SET_HELP = "path=value, a setting of a controller, e.g. fleet.proxies.ejects=3."
 
 
 @click.group()
 def replay() -> None:
-    """Recorded scenarios played again."""
+    """Replay recorded scenarios."""
 
 
 @replay.command()
 @FOLDER
 def faithful(folder: str) -> None:
-    """Play every incarnation of a recording through the controller's own core; its output must be identical.
+    """Replay every incarnation of a recording through the controller's own core; its output must be identical.
 
     The last line of standard output is one JSON object; status 1 at the first difference.
     """
@@ -38,9 +38,9 @@
     configure_logging("auto", "error")
     rows = []
     for incarnation in load_incarnations(folder):
-        begun_s = time.perf_counter()
+        start_s = time.perf_counter()
         outcome = Replay(incarnation.header).play(read_records(incarnation))
-        took_s = time.perf_counter() - begun_s
+        took_s = time.perf_counter() - start_s
         rows.append({
             "life": incarnation.header.epoch, "identical": outcome.is_identical, "rounds": outcome.intervals,
             "records": outcome.records, "digest": outcome.digest, "seconds": round(outcome.span_ms / 1000.0, 1),
@@ -66,10 +66,10 @@
 @replay.command()
 @FOLDER
 @click.option("--set", "changes", multiple=True, help=SET_HELP)
-@click.option("--against", "against", multiple=True, help="The same, for the replay to compare with.")
+@click.option("--against", "against", multiple=True, help="path=value, a setting of the replay to compare with.")
 @click.option("--seeds", default=3, show_default=True)
-@click.option("--chart", type=click.Path(), help="A PNG of service over time.")
-@click.option("--out", type=click.Path(), help="A file to keep the result in.")
+@click.option("--chart", type=click.Path(), help="PNG file to draw service over time to.")
+@click.option("--out", type=click.Path(), help="File to write the result to, as JSON.")
 def compare(
     folder: str,
     changes: tuple[str, ...],
@@ -78,15 +78,15 @@
     chart: str | None,
     out: str | None,
 ) -> None:
-    """Would another setting have helped?  Replays a recorded scenario with it, beside the scenario as it was.
+    """Compare a recorded scenario, replayed with changed settings, with the scenario as recorded.
 
     FOLDER is one arm of a scenario played with recordings.  The last line of standard output is one JSON object.
     """
     from quillstep.replay.comparison import compare as compare_settings
 
-    day = _read_recorded_scenario(folder)
+    recorded = _read_recorded_scenario(folder)
     try:
-        result = compare_settings(day, parse_settings_changes(against), parse_settings_changes(changes), seeds)
+        result = compare_settings(recorded, parse_settings_changes(against), parse_settings_changes(changes), seeds)
     except ConfigError as error:
         fail(error)
     _print_comparison(folder, result)
@@ -100,20 +100,20 @@
 
 
 def _print_comparison(folder: str, result: dict[str, Any]) -> None:
-    """Prints a comparison as tables, on standard error, or that it cannot tell."""
+    """Prints a comparison as a table, on standard error, with its gain unless it is inconclusive."""
     runs = ["measured", "replayed", *(["against"] if result["against"] else []), "changed"]
     console = Console(stderr=True)
     console.print(_comparison_table(folder, result, runs))
     for each in result["breaks"]:
-        console.print(f"would break: {each}")
+        console.print(f"rule violated in the replay: {each}")
     if not result["tells"]:
         error, tolerance = result["error"], result["tolerance"]
-        console.print(f"can't tell: the scenario's own replay misses by {error:+.3f}, {tolerance} allowed")
+        console.print(f"inconclusive: the replay without changes deviates by {error:+.3f}, tolerance {tolerance}")
         return
     fate = result["changed_fate"]
     console.print(
         f"gain {result['gain']:+.4f}, noise over {result['seeds']} seeds {result['noise']:.4f}; "
-        f"{fate['won']} requests won, {fate['lost']} lost"
+        f"{fate['won']} requests gained, {fate['lost']} lost"
     )
 
 
@@ -127,9 +127,9 @@
         table.add_row(name, *(f"{row[run]:.3f}" for run in runs))
     for cause in sorted({cause for row in result["lost_by_cause"].values() for cause in row}):
         lost = (result["lost_by_cause"][run].get(cause, 0.0) for run in runs)
-        table.add_row(f"credit {cause}", *(f"{part:.3f}" for part in lost))
-    broken = result["rules_broken"]
-    table.add_row("rules broken", *(str(broken.get(run, "")) for run in runs))
+        table.add_row(f"priority weight lost: {cause}", *(f"{part:.3f}" for part in lost))
+    violations = result["rules_broken"]
+    table.add_row("rule violations", *(str(violations.get(run, "")) for run in runs))
     return table
 
 
@@ -137,9 +137,9 @@
 @FOLDER
 @click.argument("setting")
 @click.option("--seeds", default=3, show_default=True)
-@click.option("--chart", type=click.Path(), help="A PNG of service against the values.")
+@click.option("--chart", type=click.Path(), help="PNG file to draw service against the values to.")
 def sweep(folder: str, setting: str, seeds: int, chart: str | None) -> None:
-    """Several values of one setting, e.g. fleet.proxies.ejects=1,2,5, on all cores."""
+    """Replay with several values of one setting, e.g. fleet.proxies.ejects=1,2,5, on all cores."""
     from quillstep.replay.sweep import run
 
     path, _, values = setting.partition("=")
@@ -149,7 +149,7 @@
     except ConfigError as error:
         fail(error)
     table = Table(title=f"{folder}: {path}")
-    for name in ("value", "service", "noise", "rules broken"):
+    for name in ("value", "service", "noise", "rule violations"):
         table.add_column(name, justify="right")
     for row in rows:
         table.add_row(str(row["value"]), f"{row['service']:.4f}", f"{row['noise']:.4f}", str(row["rules_broken"]))
--- a/quillstep/cli/scenario.py
+++ b/quillstep/cli/scenario.py
@@ -1,4 +1,4 @@
-"""`quillstep scenario`: a scripted scenario on the testbed, judged by the five rules."""
+"""`quillstep scenario`: plays a scripted scenario on the testbed and checks the five rules."""
 
 import sys
 from pathlib import Path
@@ -16,12 +16,12 @@
 
 @click.command()
 @click.argument("script", type=click.Path())
-@click.option("--record", "folder", type=click.Path(), default=".day", help="Where the sockets' record goes.")
-@click.option("--arm", "arms", multiple=True, help="Only these: learnt, standing, even, listed.")
-@click.option("--seed", type=int, help="Another seed than the script's.")
-@click.option("--set", "changes", multiple=True, help="path=value in the script's settings.")
+@click.option("--record", "folder", type=click.Path(), default=".day", help="Folder for the socket records.")
+@click.option("--arm", "arms", multiple=True, help="Play only these arms: learnt, standing, even, listed.")
+@click.option("--seed", type=int, help="Seed to use instead of the script's.")
+@click.option("--set", "changes", multiple=True, help="path=value, a setting of the script.")
 def scenario(script: str, folder: str, arms: tuple[str, ...], seed: int | None, changes: tuple[str, ...]) -> None:
-    """Play a scripted scenario on loopback and judge the five rules from the sockets' record.
+    """Play a scripted scenario on loopback and check the five rules against the socket records.
 
     The last line of standard output is one JSON object.
     """
@@ -45,7 +45,7 @@
 
 
 def _print_summary(result: dict[str, Any]) -> None:
-    """Prints the outcome as a table, on standard error."""
+    """Prints the service of each arm as a table, and the rule violations, on standard error."""
     table = Table(title=f"{result['day']}: service (loopback)")
     table.add_column("arm")
     table.add_column("service", justify="right")
@@ -54,5 +54,5 @@
         table.add_row(name, f"{value:.3f}")
     console = Console(stderr=True)
     console.print(table)
-    for broken in result["breaks"]:
-        console.print(f"broken: {broken}")
+    for violation in result["breaks"]:
+        console.print(f"rule violated: {violation}")
--- a/quillstep/cli/store.py
+++ b/quillstep/cli/store.py
@@ -1,4 +1,4 @@
-"""`quillstep store`: upkeep of a controller's store."""
+"""`quillstep store`: checks, compacts, exports and imports a controller's store."""
 
 import sys
 from collections.abc import Iterator
@@ -17,12 +17,12 @@
 
 @click.group()
 def store() -> None:
-    """A controller's store: check, compact, export, import.  FOLDER is `store.folder` of its settings."""
+    """Maintain a controller's store.  FOLDER is `store.folder` of its settings."""
 
 
 def _open_store(folder: str, write: bool = False) -> Store:
     if not write and not Path(folder).is_dir():
-        fail(f"{folder}: no store there")
+        fail(f"{folder}: no store found")
     try:
         opened = Store(folder, write=write)
     except StoreError as error:
@@ -34,7 +34,7 @@
 @store.command()
 @FOLDER
 def check(folder: str) -> None:
-    """Read all of it; status 1 if anything does not fit its checksum."""
+    """Read all rows and check their checksums; status 1 if any does not match."""
     try:
         result = _open_store(folder).check()
     except StoreError as error:
@@ -47,9 +47,9 @@
 @FOLDER
 @click.argument("to", type=click.Path())
 def compact(folder: str, to: str) -> None:
-    """Copy it without its free pages; a running controller goes on meanwhile."""
+    """Copy the store without its free pages; a running controller is not interrupted."""
     if Path(to).exists():
-        fail(f"{to}: it is there already")
+        fail(f"{to}: already exists")
     try:
         _open_store(folder).compact(Path(to))
     except (StoreError, OSError) as error:
@@ -62,14 +62,14 @@
 @FOLDER
 @click.argument("file", type=click.Path())
 def export(folder: str, file: str) -> None:
-    """All rows as JSON lines, zstd."""
+    """Export all rows as JSON lines, compressed with zstd."""
     count = 0
     try:
         with Path(file).open("xb") as raw, zstandard.ZstdCompressor().stream_writer(raw) as out:
             for row in _open_store(folder).export_rows():
                 out.write(msgspec.json.encode(row) + b"\n")
                 count += 1
-            out.write(msgspec.json.encode({"rows": count}) + b"\n")  # an export without its last line is torn
+            out.write(msgspec.json.encode({"rows": count}) + b"\n")  # without this line an export is truncated
     except (OSError, StoreError) as error:
         fail(error)
     print_json({"rows": count})
@@ -79,7 +79,7 @@
 @FOLDER
 @click.argument("file", type=click.Path(exists=True))
 def import_export(folder: str, file: str) -> None:
-    """Rows of an export, into a store that may be new; all of them or none."""
+    """Import the rows of an export into a new or existing store: all of them or none."""
     try:
         print_json({"rows": _open_store(folder, write=True).import_rows(_read_export(file))})
     except (ValueError, StoreError, zstandard.ZstdError) as error:  # a line that does not decode is a ValueError
@@ -87,13 +87,13 @@
 
 
 def _read_export(file: str) -> Iterator[dict[str, Any]]:
-    """The rows of an export.
+    """Yields the rows of an export.
 
     Raises:
-        ValueError: the export is torn, or a line does not decode.
+        ValueError: The export is truncated, or a line cannot be decoded.
     """
     with Path(file).open("rb") as raw, zstandard.ZstdDecompressor().stream_reader(raw) as stream:
         rows = [msgspec.json.decode(line) for line in stream.read().splitlines()]
     if not rows or rows[-1] != {"rows": len(rows) - 1}:
-        raise ValueError(f"{file} is torn: its last line does not say how many rows it has")
+        raise ValueError(f"{file} is truncated: the last line does not hold the number of rows")
     yield from rows[:-1]
--- a/quillstep/cli/tables.py
+++ b/quillstep/cli/tables.py
@@ -1,4 +1,4 @@
-"""`quillstep tables`: versions of tables, pins and rollbacks, in a controller's store."""
+"""`quillstep tables`: versions of tables, pins and rollbacks in a controller's store."""
 
 import getpass
 import time
@@ -26,17 +26,28 @@
     number_key,
 )
 
-MAX_ACCEPT_S = 5.0  # that a running controller is given to accept a command
+MAX_ACCEPT_S = 5.0  # time to wait for a running controller to accept a command
 POLL_INTERVAL_S = 0.05
 LOG_KEYS = ("table", "name", "parent", "cause", "who", "wall_ms", "order", "life")
-LOG_COLUMNS = ("when", "table", "version", "parent", "cause", "who", "lines", "order", "life", "pinned")
+LOG_COLUMNS = (
+    "when",
+    "table",
+    "version",
+    "parent",
+    "cause",
+    "operator",
+    "weights",
+    "revision",
+    "incarnation",
+    "pinned",
+)
 SETTINGS = click.argument("settings", type=click.Path(exists=True))
 
 C = TypeVar("C", bound=Callable[..., Any])
 
 
 class TableStore:
-    """A controller's store as its settings name it, for one command; every error ends the process with one line."""
+    """The store that a controller's settings name, opened for one command; an error prints one line and exits."""
 
     def __init__(self, path: str, write: bool = False) -> None:
         self.record = load_settings(ControllerSettings, path)
@@ -51,8 +62,8 @@
         click.get_current_context().call_on_close(self.store.close)
 
     def select(self, table: int | None, zone: str | None) -> list[int]:
-        """The tables that are meant: one by its number, a zone's, or all that the store knows."""
-        known = sorted({row.table for _, row in self.rows(VERSIONS)})
+        """Returns the numbers of the selected tables: one by its number, a zone's, or all in the store."""
+        stored = sorted({row.table for _, row in self.rows(VERSIONS)})
         if table is not None:
             found = [self._table_offset + table]
         elif zone:
@@ -60,32 +71,32 @@
                 fail(f"zone {zone}: expected one of {', '.join(self.record.fleet.zones)}")
             found = [self._table_offset + 1 + self.record.fleet.zones.index(zone)]
         else:
-            found = known
-        if not set(found) <= set(known):
+            found = stored
+        if not set(found) <= set(stored):
             fail(f"table {table if table is not None else zone}: the store knows no version of it")
         return found
 
     def rows(self, part: str) -> list[tuple[bytes, Any]]:
-        """All rows of one part of the store."""
+        """Returns all keys and rows of one part of the store."""
         try:
             return self.store.rows(part)
         except StoreError as error:
             fail(error)
 
     def versions(self, table: int) -> list[VersionRow]:
-        """A table's versions, oldest first."""
+        """Returns a table's versions, oldest first."""
         try:
             return self.store.versions(table)
         except StoreError as error:
             fail(error)
 
     def version(self, table: int, name: str) -> VersionRow:
-        """A version by its name or the beginning of one; `~3` is three versions before the newest."""
+        """Returns a version by its name or a unique prefix; `~3` is three versions before the newest."""
         rows = self.versions(table)
         if name.startswith("~") and name[1:].isdigit():
             back = int(name[1:])
             if back >= len(rows):
-                fail(f"table {table % MAX_TABLES}: {len(rows)} versions are known, not {back} before the newest")
+                fail(f"table {table % MAX_TABLES}: {len(rows)} versions are known, none is {back} before the newest")
             return rows[-1 - back]
         found = {row.name: row for row in rows if row.name.startswith(name)}
         if len(found) != 1:
@@ -93,18 +104,22 @@
         return next(iter(found.values()))
 
     def version_at(self, table: int, moment: str) -> VersionRow:
-        """The version in force at a moment (ISO 8601; without a zone, this machine's)."""
+        """Returns the version in effect at a time (ISO 8601; local time if it has no UTC offset)."""
         try:
             wall_ms = datetime.fromisoformat(moment).timestamp() * 1000.0
         except ValueError:
             fail(f"--at {moment}: expected a time such as 2026-12-01T18:30:00")
         rows = [row for row in self.versions(table) if row.wall_ms <= wall_ms]
         if not rows:
-            fail(f"table {table % MAX_TABLES}: nothing stood at {moment}")
+            fail(f"table {table % MAX_TABLES}: no version was in effect at {moment}")
         return rows[-1]
 
     def request(self, kind: str, targets: list[tuple[int, str]]) -> dict[str, Any]:
-        """Stores an operator's command, and waits a little for a running controller to accept it."""
+        """Stores an operator's command and waits up to `MAX_ACCEPT_S` for a running controller to accept it.
+
+        Returns:
+            What is printed: the command, its targets, and whether it was accepted in time.
+        """
         key = number_key(time.time_ns())
         command = OperatorCommand(kind, targets, getpass.getuser(), time.time() * 1000.0)
         try:
@@ -126,7 +141,7 @@
 
 
 def _fields_of(row: msgspec.Struct) -> dict[str, Any]:
-    """A row's values under the names that its fields have in reports."""
+    """Returns a row's values under the names of its fields in JSON."""
     return dict(zip(row.__struct_encode_fields__, msgspec.to_builtins(row), strict=True))
 
 
@@ -136,15 +151,18 @@
 
 @click.group()
 def tables() -> None:
-    """Versions of tables and rollbacks.  SETTINGS is a controller's; the last line of output is one JSON object."""
+    """Show, pin and roll back versions of tables.  SETTINGS is a controller's settings file.
+
+    The last line of standard output is one JSON object.
+    """
 
 
 @tables.command("log")
 @SETTINGS
-@click.option("--table", type=int, help="One table's alone.")
+@click.option("--table", type=int, help="Only versions of this table.")
 @click.option("--limit", default=20, show_default=True)
 def log_versions(settings: str, table: int | None, limit: int) -> None:
-    """The newest versions, what each was made by and from what, and what is pinned."""
+    """List the newest versions with their parents and causes, and the pins."""
     store = TableStore(settings)
     pins = {(pin.table, pin.name) for _, pin in store.rows(PINS)}
     rows = [row for number in store.select(table, None) for row in store.versions(number)]
@@ -160,20 +178,22 @@
 
 
 def _log_cells(row: VersionRow, is_pinned: bool) -> list[str]:
-    when = datetime.fromtimestamp(row.wall_ms / 1000.0).isoformat(timespec="milliseconds")
+    time_text = datetime.fromtimestamp(row.wall_ms / 1000.0).isoformat(timespec="milliseconds")
     table, weights = str(row.table % MAX_TABLES), str(len(row.weights))
-    made = [row.name, row.parent, row.cause, row.operator, weights, str(row.revision), row.incarnation]
-    return [when, table, *made, "pinned" if is_pinned else ""]
+    origin = [row.name, row.parent, row.cause, row.operator, weights, str(row.revision), row.incarnation]
+    return [time_text, table, *origin, "pinned" if is_pinned else ""]
 
 
 @tables.command("held")
 @SETTINGS
 def show_acknowledged(settings: str) -> None:
-    """Which update of which incarnation each proxy acknowledged last, and how long ago."""
+    """Show the update that each proxy acknowledged last, its incarnation and its age."""
     store = TableStore(settings)
     now_ms = time.time() * 1000.0
     rows = [_fields_of(update) for _, update in store.rows(ACKNOWLEDGED_UPDATES)]
-    shown = Table("proxy", "life", "order", "seconds ago", title=f"acknowledged last, by {store.record.name}'s store")
+    shown = Table(
+        "proxy", "incarnation", "revision", "seconds ago", title=f"last acknowledged updates of {store.record.name}"
+    )
     for row in rows:
         shown.add_row(row["node"], row["life"], str(row["order"]), f"{(now_ms - row['wall_ms']) / 1000.0:.1f}")
     Console(stderr=True).print(shown)
@@ -185,7 +205,7 @@
 @click.argument("table", type=int)
 @click.argument("version", default="~0")
 def show(settings: str, table: int, version: str) -> None:
-    """One version complete: a name, the beginning of one, or ~N (N before the newest)."""
+    """Print one version in full: a name, a unique prefix of one, or ~N (N before the newest)."""
     store = TableStore(settings)
     print_json(_version_fields(store.version(store.select(table, None)[0], version)))
 
@@ -196,7 +216,7 @@
 @click.argument("one")
 @click.argument("other", default="~0")
 def diff(settings: str, table: int, one: str, other: str) -> None:
-    """What changed from one version to another: [endpoint, before, after], 0 where there is no weight."""
+    """Print the changes from one version to another: [endpoint, before, after], 0 where there is no weight."""
     store = TableStore(settings)
     number = store.select(table, None)[0]
     before, after = store.version(number, one), store.version(number, other)
@@ -213,7 +233,7 @@
 
 
 def _differences(before: dict[int, Any], after: dict[int, Any], absent: Any) -> list[list[Any]]:
-    """Keys whose values differ: [key, value before, value after]."""
+    """Returns [key, value before, value after] for each key whose values differ."""
     changed = []
     for key in sorted({*before, *after}):
         if before.get(key) != after.get(key):
@@ -222,10 +242,10 @@
 
 
 def target_options(command: C) -> C:
-    """Adds the options that name the tables a command acts on."""
+    """Adds the options that select the tables of a command."""
     for option in (
         click.option("--table", type=int, help="One table."),
-        click.option("--zone", help="The table of a zone's own classes."),
+        click.option("--zone", help="The table of this zone's home-zone classes."),
         click.option("--all", "all_tables", is_flag=True, help="All tables."),
     ):
         command = option(command)
@@ -234,16 +254,16 @@
 
 def _select_targets(store: TableStore, table: int | None, zone: str | None, all_tables: bool) -> list[int]:
     if sum((table is not None, zone is not None, all_tables)) != 1:
-        raise click.UsageError("name one of --table, --zone, --all")
+        raise click.UsageError("expected exactly one of --table, --zone, --all")
     return store.select(table, zone)
 
 
 @tables.command()
 @SETTINGS
 @target_options
-@click.option("--version", help="A name, the beginning of one, or ~N.  Default: the one in force.")
+@click.option("--version", help="A name, a unique prefix of one, or ~N.  Default: the version in effect.")
 def pin(settings: str, table: int | None, zone: str | None, all_tables: bool, version: str | None) -> None:
-    """Keep tables at a version, whatever the planner decides, until they are released."""
+    """Pin tables to a version, whatever the planner decides, until they are released."""
     store = TableStore(settings, write=True)
     numbers = _select_targets(store, table, zone, all_tables)
     targets = [(number, store.version(number, version or "~0").name) for number in numbers]
@@ -253,15 +273,15 @@
 @tables.command()
 @SETTINGS
 @target_options
-@click.option("--version", help="A name, the beginning of one, or ~N.  Default: ~1, the one before.")
-@click.option("--at", "moment", help="What was in force at a time, e.g. 2026-12-01T18:30:00.")
+@click.option("--version", help="A name, a unique prefix of one, or ~N.  Default: ~1, the version before the newest.")
+@click.option("--at", "moment", help="The version in effect at this time, e.g. 2026-12-01T18:30:00.")
 def rollback(
     settings: str, table: int | None, zone: str | None, all_tables: bool, version: str | None, moment: str | None
 ) -> None:
-    """Go back to a version and stay there until released."""
+    """Roll tables back to a version and pin them to it until they are released."""
     store = TableStore(settings, write=True)
     if version and moment:
-        raise click.UsageError("name --version or --at")
+        raise click.UsageError("expected at most one of --version, --at")
     targets = []
     for number in _select_targets(store, table, zone, all_tables):
         row = store.version_at(number, moment) if moment else store.version(number, version or "~1")
@@ -273,6 +293,6 @@
 @SETTINGS
 @target_options
 def release(settings: str, table: int | None, zone: str | None, all_tables: bool) -> None:
-    """Give pinned tables back to the planner, which takes over a share of the traffic at a time."""
+    """Release pinned tables to the planner, which takes over a share of the traffic at a time."""
     store = TableStore(settings, write=True)
     print_json(store.request("release", [(n, "") for n in _select_targets(store, table, zone, all_tables)]))
--- a/quillstep/cli/tracing.py
+++ b/quillstep/cli/tracing.py
@@ -1,4 +1,4 @@
-"""`quillstep trace`: from a response back to the control interval that assigned its endpoint."""
+"""`quillstep trace`: traces responses back to the control interval that assigned their endpoints."""
 
 import sys
 from pathlib import Path
@@ -14,18 +14,18 @@
 @click.command()
 @FOLDER
 @click.argument("request", metavar="REQUEST", required=False)
-@click.option("--all", "traces_all", is_flag=True, help="How all responses of the run trace.")
+@click.option("--all", "traces_all", is_flag=True, help="Trace all responses of the run and print a summary.")
 def trace(folder: str, request: str | None, traces_all: bool) -> None:
-    """Which table served a request: from its response back to the control interval, and what that had observed.
+    """Trace a request from its response back to the control interval and the events that it handled.
 
-    FOLDER is an arm of a played scenario.  The last line of standard output is one JSON object; status 1 if anything
-    is missing of a chain.
+    FOLDER is an arm of a played scenario.  The last line of standard output is one JSON object; status 1 if a trace
+    has a gap.
     """
     from quillstep.tracing.errors import NoArmError, UnknownRequestError
     from quillstep.tracing.report import read_trace_index, summarize, trace_report
 
     if bool(request) == traces_all:
-        raise click.UsageError("name one request, or --all")
+        raise click.UsageError("expected either REQUEST or --all")
     try:
         index = read_trace_index(Path(folder))
         if traces_all:
--- a/quillstep/config/controller.py
+++ b/quillstep/config/controller.py
@@ -14,7 +14,7 @@
     max_message_bytes: Annotated[int, Field(ge=1024), in_file("message_most_bytes")] = 4 * 2**20
     max_headers_bytes: Annotated[int, Field(ge=512), in_file("headers_most_bytes")] = 16 * 2**10
     max_unsent_bytes: Annotated[int, Field(ge=1024), in_file("unsent_most_bytes")] = 256 * 2**10
-    max_in_flight: Annotated[PositiveCount, in_file("in_flight_most")] = 8  # responses not acknowledged yet, per stream
+    max_in_flight: Annotated[PositiveCount, in_file("in_flight_most")] = 8  # responses not acknowledged yet
     ack_timeout_ms: Annotated[Positive, in_file("unacknowledged_ms")] = 8000.0
     # From accepting a connection to its first request.
     handshake_timeout_ms: Annotated[Positive, in_file("handshake_ms")] = 3000.0
--- a/quillstep/config/loading.py
+++ b/quillstep/config/loading.py
@@ -162,7 +162,7 @@
             else:
                 at = at.get(name) if isinstance(at, dict) else None
         if not isinstance(at, dict) or last not in at:
-            raise ConfigError("--set", 1, path, "an unknown setting", "the path of an existing setting")
+            raise ConfigError("--set", 1, path, "no such setting", "the path of an existing setting")
         at[last] = value
     return check(type(record), plain, Origin("--set"))
 
--- a/tests/cli/test_aliases.py
+++ b/tests/cli/test_aliases.py
@@ -1,4 +1,4 @@
-"""Commands and modules under their earlier names: one line with the new name, and the same result."""
+"""Commands and modules under their earlier names print one line with the new name and give the same result."""
 
 import subprocess
 import sys
@@ -26,7 +26,7 @@
     ],
     ids=["group, ls", "group, verify", "pilot", "day", "prove"],
 )
-def test_an_earlier_command_names_the_new_one_and_does_the_same(earlier, arguments, name):
+def test_an_earlier_command_names_the_new_one_and_gives_the_same_result(earlier, arguments, name):
     alias = run(earlier, *arguments)
     if name is None:
         assert alias.exit_code == 0 and "Check the stream protocol" in alias.stdout
@@ -37,21 +37,21 @@
 
 
 def test_earlier_commands_are_hidden():
-    listed = run("--help").stdout
-    assert "controller" in listed and "check-model" in listed
-    assert not any(f"\n  {earlier} " in listed for earlier in ("pilot", "day", "capture", "prove"))
+    help_text = run("--help").stdout
+    assert "controller" in help_text and "check-model" in help_text
+    assert not any(f"\n  {earlier} " in help_text for earlier in ("pilot", "day", "capture", "prove"))
 
 
 @pytest.mark.parametrize(("earlier", "name"), [("pilot", "controller"), ("day", "scenario")])
-def test_check_takes_earlier_kinds(earlier, name):
+def test_check_accepts_earlier_kinds(earlier, name):
     path = "examples/days/short.cue" if earlier == "day" else "tests/compatibility/settings/pilot-short.cue"
     alias, command = run("check", earlier, path), run("check", name, path)
     assert alias.exit_code == command.exit_code == 0
-    assert (alias.stdout, command.stdout) == (f"{path}: a sound {earlier} record\n", f"{path}: a sound {name} record\n")
+    assert (alias.stdout, command.stdout) == (f"{path}: valid {earlier} settings\n", f"{path}: valid {name} settings\n")
     assert alias.stderr == f"quillstep: check {earlier} is now check {name}\n"
 
 
-def test_the_earlier_module_of_the_adapter_names_the_new_one_and_answers():
+def test_the_earlier_module_of_the_adapter_names_the_new_one_and_replies():
     lines = b"turn atTime=1000000\nover_to_you\n"
     command = [sys.executable, "-m", "quillstep.wirehost"]
     done = subprocess.run(command, input=lines, capture_output=True, timeout=60, check=False)
