--- a/quillstep/recording/format.py
+++ b/quillstep/recording/format.py
@@ -1,20 +1,21 @@
-"""The form of a recording, without I/O: segments of checksummed, compressed blocks of records.
+"""The format of recordings, without I/O: segments of checksummed, compressed blocks of records.
 
     segment  = SEGMENT_MAGIC  version:u16  size:u32  header (MessagePack)  block*
     block    = BLOCK_MAGIC  size:u32  count:u32  first_ms:f64  last_ms:f64  xxh3:u64  payload
     payload  = zstd of a MessagePack array of records
 
-A record is an array `[kind, arrived_ms, taken_ms, ...]`; times are the controller's clock, milliseconds.  `arrived`:
-when the event came to the process; `taken`: when the deciding thread handled it.  Kinds and what follows the times:
+A record is an array `[kind, arrived_ms, handled_ms, ...]`; times are milliseconds of the controller's clock.
+`arrived_ms`: when the event reached the process; `handled_ms`: when the deciding thread handled it.  Kinds and the
+fields that follow the times:
 
-    open     peer, stream, method            request  peer, stream, method, bytes (the message as it came)
+    open     peer, stream, method            request  peer, stream, method, bytes (the message as received)
     end      peer, stream, reason            roster   kind, entries, addresses (an endpoint list)
     probe    endpoint, healthy, took, load   files    kind, directory, payload, age_ms
-    step     peers that were full            orders   interval, the planner's output in sequence, revision
-    sent     what, fields                    (what left, came back or was rejected, for people to read)
-    reports  reader, what a window of load reports came to
+    step     peers with a full send buffer   orders   interval, the planner's output in sequence, revision
+    sent     what, fields                    (updates sent, acks and nacks; informational)
+    reports  reader, summary of a window of load reports
 
-Version 1 had no `arrived_ms`; it is read with `arrived = taken`.  Up to version 2 all load reports are requests.
+Version 1 had no `arrived_ms`; it is read as `handled_ms`.  Up to version 2 all load reports are requests.
 """
 
 import struct
@@ -35,16 +36,16 @@
 MAX_PAYLOAD_BYTES = 256 * 2**20
 COMPRESSION_LEVEL = 3
 
-Record: TypeAlias = list[Any]  # in its stored form; `controller/event_codec.py` has the typed events
+Record: TypeAlias = list[Any]  # the stored form; `controller/event_codec.py` converts it to typed events
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class CorruptBlockError(QuillstepError):
-    """A block or header that is truncated or does not match its checksum.
+    """A block or header is truncated, malformed or does not match its checksum.
 
     Attributes:
-        offset: Where it begins in the segment, in bytes.
+        offset: Offset of the block or header in the segment, in bytes.
     """
 
     def __init__(self, offset: int, text: str) -> None:
@@ -53,15 +54,15 @@
 
 
 class Header(msgspec.Struct):
-    """What a segment begins with.
+    """The header at the beginning of a segment.
 
     Attributes:
-        controller: The controller's name.
-        epoch: The name of its incarnation.
-        segment: The segment's number in that incarnation's recording, from 0.
-        settings: The settings it ran with, as plain values.
-        wall_offset_ms: Added to a time of the recording, it gives wall-clock milliseconds.
-        version: Of the format.
+        controller: Name of the controller.
+        epoch: Name of the incarnation.
+        segment: Number of the segment in the recording of that incarnation, from 0.
+        settings: Settings of the controller, as plain values.
+        wall_offset_ms: Wall-clock time minus the recording's clock, in milliseconds.
+        version: Version of the format.
     """
 
     controller: str = msgspec.field(name="pilot")
@@ -73,7 +74,7 @@
 
 
 class Block(NamedTuple):
-    """A block's place and time span, before its payload is unpacked; `size` includes its head."""
+    """A block whose payload is not decoded yet; `offset` and `size` are bytes, `size` includes the block's header."""
 
     offset: int
     size: int
@@ -84,39 +85,39 @@
 
 
 def kind_of(record: Record) -> str:
-    """A record's kind."""
+    """Returns a record's kind."""
     kind: str = record[0]
     return kind
 
 
-def taken_ms_of(record: Record) -> float:
-    """When the deciding thread handled a record's event."""
-    taken_ms: float = record[2]
-    return taken_ms
+def handled_ms_of(record: Record) -> float:
+    """Returns the time at which the deciding thread handled a record's event, in milliseconds."""
+    handled_ms: float = record[2]
+    return handled_ms
 
 
 def encode_header(header: Header) -> bytes:
-    """The beginning of a segment."""
+    """Encodes a segment's header."""
     body = _encode(header)
     return SEGMENT_HEAD.pack(SEGMENT_MAGIC, header.version, len(body)) + body
 
 
 def decode_header(data: bytes) -> tuple[Header, int]:
-    """A segment's header, and the offset at which its blocks begin.
+    """Decodes a segment's header; returns it and the offset of the first block, in bytes.
 
     Raises:
-        CorruptBlockError: The data is no segment of a version that this program reads.
+        CorruptBlockError: The data is not a segment, is truncated, or has an unsupported version.
     """
     if len(data) < SEGMENT_HEAD.size:
-        raise CorruptBlockError(0, "no header")
+        raise CorruptBlockError(0, "too short for a header")
     magic, version, size = SEGMENT_HEAD.unpack_from(data)
     if magic != SEGMENT_MAGIC:
-        raise CorruptBlockError(0, "no capture")
+        raise CorruptBlockError(0, "not a segment of a recording: wrong magic bytes")
     if not 1 <= version <= VERSION:
-        raise CorruptBlockError(0, f"version {version}, and this program reads up to {VERSION}")
+        raise CorruptBlockError(0, f"unsupported version {version}: this program reads up to {VERSION}")
     end = SEGMENT_HEAD.size + size
     if len(data) < end:
-        raise CorruptBlockError(0, "a header that is cut off")
+        raise CorruptBlockError(0, "header truncated")
     try:
         header = msgspec.msgpack.decode(data[SEGMENT_HEAD.size : end], type=Header)
     except msgspec.DecodeError as error:
@@ -126,19 +127,19 @@
 
 
 def encode_block(records: list[Record]) -> bytes:
-    """One block of records, of which there is at least one."""
+    """Encodes one block of at least one record."""
     payload = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(_encode(records))
-    times_ms = [taken_ms_of(record) for record in records]
+    times_ms = [handled_ms_of(record) for record in records]
     digest = xxhash.xxh3_64_intdigest(payload)
     head = BLOCK_HEAD.pack(BLOCK_MAGIC, len(payload), len(records), min(times_ms), max(times_ms), digest)
     return head + payload
 
 
 def iterate_blocks(data: bytes, offset: int) -> Iterator[Block]:
-    """The blocks from an offset on.
+    """Yields the blocks from an offset on, in bytes.
 
     Raises:
-        CorruptBlockError: At the first block that is truncated or does not match its checksum.
+        CorruptBlockError: A block is truncated, malformed or does not match its checksum.
     """
     while offset < len(data):
         block = _read_block(data, offset)
@@ -162,10 +163,10 @@
 
 
 def decode_block(block: Block, version: int) -> list[Record]:
-    """A block's records, those of older versions in this version's form.
+    """Decodes a block's records; records of older versions are converted to the current form.
 
     Raises:
-        CorruptBlockError: The payload cannot be unpacked.
+        CorruptBlockError: The payload cannot be decompressed or decoded.
     """
     try:
         raw = zstandard.ZstdDecompressor().decompress(block.payload, max_output_size=MAX_PAYLOAD_BYTES)
--- a/quillstep/recording/index.py
+++ b/quillstep/recording/index.py
@@ -1,6 +1,6 @@
-"""The index beside a recording: where the blocks are, by incarnation and time, so that a moment is found quickly.
+"""The index of a recording: the locations of its blocks, by incarnation and time.
 
-The index is a convenience: a recording without one is read through.
+It speeds up the search for a time span; a recording without an index is read from its beginning.
 """
 
 from pathlib import Path
@@ -13,35 +13,35 @@
 MAX_INDEX_BYTES = 64 * 2**20
 
 
-class BlockPlace(NamedTuple):
-    """Where a block is, and what it holds; the order of the fields is the index's."""
+class IndexEntry(NamedTuple):
+    """Location, time span and contents of a block; stored as an array in the order of its fields."""
 
     segment: int
     offset: int
     size: int
     first_ms: float
     last_ms: float
-    record_counts: dict[str, int]  # by kind
+    record_counts: dict[str, int]  # records by kind
 
 
 def open_index(folder: Path) -> lmdb.Environment:
-    """Opens the index of a folder for writing.
+    """Opens the index in a folder for writing.
 
     Raises:
-        lmdb.Error: It cannot be opened.
+        lmdb.Error: The index cannot be opened.
     """
     return lmdb.open(str(folder / INDEX_FOLDER), map_size=MAX_INDEX_BYTES, sync=False, subdir=True)
 
 
-def add_place(index: lmdb.Environment, epoch: str, place: BlockPlace) -> None:
-    """Adds a block of an incarnation."""
-    key = f"{epoch}\0{place.first_ms:020.3f}\0{place.segment:06d}\0{place.offset:012d}".encode()
+def add_entry(index: lmdb.Environment, epoch: str, entry: IndexEntry) -> None:
+    """Adds the entry of a block of an incarnation."""
+    key = f"{epoch}\0{entry.first_ms:020.3f}\0{entry.segment:06d}\0{entry.offset:012d}".encode()
     with index.begin(write=True) as transaction:
-        transaction.put(key, msgspec.msgpack.encode(place))
+        transaction.put(key, msgspec.msgpack.encode(entry))
 
 
-def find_places(folder: Path, epoch: str, first_ms: float, last_ms: float) -> list[BlockPlace] | None:
-    """The blocks of an incarnation that meet a time span; None without an index that can be read."""
+def find_entries(folder: Path, epoch: str, first_ms: float, last_ms: float) -> list[IndexEntry] | None:
+    """Returns the entries of an incarnation's blocks that overlap a time span; None without a readable index."""
     if not (folder / INDEX_FOLDER).exists():
         return None
     try:
@@ -54,15 +54,15 @@
         return None
 
 
-def _scan(transaction: lmdb.Transaction, prefix: bytes, first_ms: float, last_ms: float) -> list[BlockPlace] | None:
+def _scan(transaction: lmdb.Transaction, prefix: bytes, first_ms: float, last_ms: float) -> list[IndexEntry] | None:
     cursor = transaction.cursor()
     if not cursor.set_range(prefix):
         return None
-    places = []
+    entries = []
     for key, value in cursor:
         if not bytes(key).startswith(prefix):
             break
-        place = msgspec.msgpack.decode(value, type=BlockPlace)
-        if place.first_ms <= last_ms and place.last_ms >= first_ms:
-            places.append(place)
-    return places
+        entry = msgspec.msgpack.decode(value, type=IndexEntry)
+        if entry.first_ms <= last_ms and entry.last_ms >= first_ms:
+            entries.append(entry)
+    return entries
--- a/quillstep/recording/reader.py
+++ b/quillstep/recording/reader.py
@@ -1,4 +1,4 @@
-"""Reads recordings: their incarnations and records, and where one is truncated; cuts a span out."""
+"""Reads recordings: their incarnations and records, and a truncated end; copies time spans out of them."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -18,11 +18,11 @@
     decode_header,
     encode_block,
     encode_header,
+    handled_ms_of,
     iterate_blocks,
     kind_of,
-    taken_ms_of,
 )
-from quillstep.recording.index import find_places
+from quillstep.recording.index import find_entries
 
 CUT_BLOCK_RECORDS = 512
 
@@ -32,14 +32,14 @@
     """The recording of one incarnation of a controller.
 
     Attributes:
-        header: The first segment's header.
-        segments: Its files, in sequence.
+        header: Header of the first segment.
+        segments: Files of the segments, in sequence.
         records: Number of records.
-        first_ms: When the first record was taken.
-        last_ms: When the last one was.
-        size_bytes: Of all segments.
-        record_counts: Records by kind.
-        truncation: What was cut off at the end, and where; empty if nothing was.
+        first_ms: Time at which the first record was handled.
+        last_ms: Time at which the last record was handled.
+        size_bytes: Total size of the segments.
+        record_counts: Number of records by kind.
+        truncation: Where and why the end was cut off; empty if the recording is complete.
     """
 
     header: Header
@@ -52,19 +52,19 @@
     truncation: str = ""
 
     def count(self, record: Record) -> None:
-        """Counts one more record."""
-        taken_ms = taken_ms_of(record)
+        """Adds a record to the counts and times."""
+        handled_ms = handled_ms_of(record)
         self.records += 1
         self.record_counts[kind_of(record)] += 1
-        self.first_ms = self.first_ms or taken_ms
-        self.last_ms = max(self.last_ms, taken_ms)
+        self.first_ms = self.first_ms or handled_ms
+        self.last_ms = max(self.last_ms, handled_ms)
 
 
 def read_incarnations(folder: Path) -> list[Incarnation]:
-    """All incarnations in a folder by their first time, each read through and counted.
+    """Reads all incarnations in a folder, sorted by the time of their first record.
 
     Raises:
-        CorruptBlockError: A header is bad, or a recording is damaged before its end.
+        CorruptBlockError: A header is invalid, or a recording is corrupt before its end.
     """
     incarnations: dict[str, Incarnation] = {}
     for path in sorted(folder.glob("*.qcap")):
@@ -79,10 +79,10 @@
 
 
 def read_header(path: Path) -> Header:
-    """A segment's header, without reading the rest of the file.
+    """Reads only the header of a segment.
 
     Raises:
-        CorruptBlockError: The file does not begin with a header.
+        CorruptBlockError: The file does not begin with a valid header.
     """
     with path.open("rb") as file:
         head = file.read(SEGMENT_HEAD.size)
@@ -91,32 +91,32 @@
 
 
 def read_records(incarnation: Incarnation) -> Iterator[Record]:
-    """An incarnation's records in sequence.
+    """Yields an incarnation's records in sequence.
 
-    A truncated end is cut at the last complete block, and noted in `incarnation.truncation`.
+    A truncated end is cut off after the last complete block, and described in `incarnation.truncation`.
 
     Raises:
-        CorruptBlockError: A segment is missing, or a block is damaged that has complete ones after it: what follows
-            would depend on what is not there.
+        CorruptBlockError: A segment is missing, or a corrupt block is followed by complete ones, which depend on the
+            records that are missing.
     """
     last = len(incarnation.segments) - 1
     for number, path in enumerate(incarnation.segments):
         data = path.read_bytes()
         header, offset = decode_header(data)
         if header.segment != number:
-            raise CorruptBlockError(0, f"{path.name} is segment {header.segment}, {number} is missing")
+            raise CorruptBlockError(0, f"{path.name} is segment {header.segment}, segment {number} is missing")
         try:
             for block in iterate_blocks(data, offset):
                 yield from decode_block(block, header.version)
         except CorruptBlockError as error:
             if number != last or _has_complete_block_after(data, error.offset):
-                text = f"{path.name}: {error}, and there is more behind it"
+                text = f"{path.name}: {error}, followed by further blocks or segments"
                 raise CorruptBlockError(error.offset, text) from error
             incarnation.truncation = f"{path.name}: {error}; {len(data) - error.offset} bytes cut off"
 
 
 def _has_complete_block_after(data: bytes, offset: int) -> bool:
-    """Whether any complete block follows a bad one."""
+    """Whether any complete block follows the corrupt one at `offset`."""
     offset = data.find(BLOCK_MAGIC, offset + 1)
     while offset >= 0:
         try:
@@ -128,53 +128,55 @@
 
 
 def read_span(incarnation: Incarnation, folder: Path, first_ms: float, last_ms: float) -> Iterator[Record]:
-    """The records taken within a time span; by the index where it knows the blocks, else by reading through.
+    """Yields the records handled within a time span; without an index of the blocks, all records are read.
 
     Raises:
-        CorruptBlockError: The recording is damaged.
+        CorruptBlockError: The recording is corrupt.
     """
-    for record in _read_near(incarnation, folder, first_ms, last_ms):
-        if first_ms <= taken_ms_of(record) <= last_ms:
+    for record in _read_overlapping_blocks(incarnation, folder, first_ms, last_ms):
+        if first_ms <= handled_ms_of(record) <= last_ms:
             yield record
 
 
-def _read_near(incarnation: Incarnation, folder: Path, first_ms: float, last_ms: float) -> Iterator[Record]:
-    """The records of all blocks that meet a time span, or all records."""
-    places = find_places(folder, incarnation.header.epoch, first_ms, last_ms)
-    if places is None:
+def _read_overlapping_blocks(
+    incarnation: Incarnation, folder: Path, first_ms: float, last_ms: float
+) -> Iterator[Record]:
+    """Yields the records of all blocks that overlap a time span; all records without an index."""
+    entries = find_entries(folder, incarnation.header.epoch, first_ms, last_ms)
+    if entries is None:
         yield from read_records(incarnation)
         return
-    for place in places:
-        with incarnation.segments[place.segment].open("rb") as file:
-            file.seek(place.offset)
-            data = file.read(place.size)
+    for entry in entries:
+        with incarnation.segments[entry.segment].open("rb") as file:
+            file.seek(entry.offset)
+            data = file.read(entry.size)
         for block in iterate_blocks(data, 0):
             yield from decode_block(block, incarnation.header.version)
 
 
 def recorded_settings(header: Header) -> ControllerSettings:
-    """The settings that an incarnation ran with.
+    """Returns the settings that an incarnation ran with.
 
     Raises:
-        ConfigError: They do not check.
+        pydantic.ValidationError: The settings are invalid.
     """
     return check_older(ControllerSettings, _settings_values(header))
 
 
 def _settings_values(header: Header) -> dict[str, Any]:
-    """The settings as plain values.  Before version 3 all load reports came with the other events."""
+    """Returns the settings as plain values; before version 3, load reports were recorded like other requests."""
     return header.settings if "reports" in header.settings else {**header.settings, "reports": {"by": "inbox"}}
 
 
 def cut_span(incarnation: Incarnation, first_ms: float, last_ms: float, out: Path) -> int:
-    """Writes the records of a time span as a recording of its own, and returns their number.
+    """Copies the records of a time span into a new recording, and returns their number.
 
-    It replays from its beginning only if that is the incarnation's own: what came before is not in it.
+    It can be replayed only if the span starts at the incarnation's beginning, as it lacks all earlier events.
     """
     out.mkdir(parents=True, exist_ok=True)
-    records = [record for record in read_records(incarnation) if first_ms <= taken_ms_of(record) <= last_ms]
-    whole = incarnation.header
-    header = Header(whole.controller, whole.epoch, 0, _settings_values(whole), whole.wall_offset_ms)
+    records = [record for record in read_records(incarnation) if first_ms <= handled_ms_of(record) <= last_ms]
+    source = incarnation.header
+    header = Header(source.controller, source.epoch, 0, _settings_values(source), source.wall_offset_ms)
     with (out / f"{header.epoch}-0000.qcap").open("wb") as file:
         file.write(encode_header(header))
         for begin in range(0, len(records), CUT_BLOCK_RECORDS):
--- a/quillstep/recording/writer.py
+++ b/quillstep/recording/writer.py
@@ -1,6 +1,6 @@
-"""Writes a recording beside the controller: a thread of its own encodes and writes the records.
+"""Writes the recording of a controller: a separate thread encodes and writes the records.
 
-Whatever fails here stops the recording with a log event, never the controller.
+Any failure here stops the recording with a log event, never the controller.
 """
 
 import os
@@ -15,8 +15,8 @@
 import lmdb
 import structlog
 
-from quillstep.recording.format import Header, Record, encode_block, encode_header, kind_of, taken_ms_of
-from quillstep.recording.index import BlockPlace, add_place, open_index
+from quillstep.recording.format import Header, Record, encode_block, encode_header, handled_ms_of, kind_of
+from quillstep.recording.index import IndexEntry, add_entry, open_index
 
 MAX_BLOCK_RECORDS = 512
 MAX_BATCH_AGE_S = 0.25
@@ -28,24 +28,24 @@
 class RecordingWriter:
     """The recording of one incarnation.
 
-    `put`, `flush` and `close` belong to the deciding thread, of which only `close` blocks.  The writer's thread takes
-    batches from one queue; whoever made the writer ends it with `close`.
+    `put`, `flush` and `close` are called by the deciding thread; only `close` blocks.  The writer's thread takes
+    batches from one queue; the creator of the writer must call `close`.
 
     Attributes:
         stop_reason: Why the recording stopped; empty while it runs.
-        written: Records written.
-        cpu_s: Processor time that the writer's thread has used for them.
+        written: Number of records written.
+        cpu_s: CPU time that the writer's thread has used for them.
     """
 
     def __init__(self, folder: str, controller: str, epoch: str, settings: dict[str, Any], segment_bytes: int) -> None:
         """Starts the thread.
 
         Args:
-            folder: Where the segments and their index go.
-            controller: The controller's name.
-            epoch: The name of its incarnation.
-            settings: The settings it runs with, as plain values.
-            segment_bytes: Size from which on a segment is followed by the next.
+            folder: Folder for the segments and their index.
+            controller: Name of the controller.
+            epoch: Name of the incarnation.
+            settings: Settings of the controller, as plain values.
+            segment_bytes: Size above which a new segment is opened.
         """
         self._folder, self._segment_bytes = Path(folder), segment_bytes
         wall_offset_ms = (time.time() - time.monotonic()) * 1000.0
@@ -61,12 +61,12 @@
         self._thread.start()
 
     def put(self, record: Record) -> None:
-        """Adds a record to the batch."""
+        """Adds a record to the batch; a no-op once the recording has stopped."""
         if not self.stop_reason:
             self._batch.append(record)
 
     def flush(self, now: bool = False) -> None:
-        """Passes the batch to the thread, if it is large enough or old enough, or `now`."""
+        """Passes the batch to the writer's thread if it is large enough, old enough, or `now` is set."""
         if not self._batch or self.stop_reason:
             return
         is_old = time.monotonic() - self._flushed_s > MAX_BATCH_AGE_S
@@ -76,10 +76,10 @@
             try:
                 self._batches.put_nowait(records)
             except queue.Full:
-                self._stop("the disk does not keep up")
+                self._stop("the disk cannot keep up: the queue of blocks is full")
 
     def close(self) -> None:
-        """Writes what is left and ends the thread; a disk that does not keep up is not waited for any longer."""
+        """Writes the remaining records and ends the thread; gives up after a time-out if the disk cannot keep up."""
         self.flush(now=True)
         try:
             self._batches.put(None, timeout=CLOSE_PUT_TIMEOUT_S)
@@ -88,7 +88,7 @@
         self._thread.join(CLOSE_JOIN_TIMEOUT_S)
 
     def _stop(self, reason: str) -> None:
-        """Ends the recording; the controller goes on."""
+        """Stops the recording and logs the reason; the controller continues."""
         if not self.stop_reason:
             self.stop_reason, self._batch = reason, []
             self._log.error("recording stopped", reason=reason, epoch=self._header.epoch)
@@ -119,7 +119,7 @@
                 segment.close()
 
     def _open_segment(self) -> BufferedWriter:
-        """Begins the next segment."""
+        """Opens the next segment and writes its header."""
         name = f"{self._header.epoch}-{self._header.segment:04d}.qcap"
         segment = (self._folder / name).open("xb")
         segment.write(encode_header(self._header))
@@ -127,17 +127,17 @@
         return segment
 
     def _write_block(self, segment: BufferedWriter, index: lmdb.Environment, records: list[Record]) -> None:
-        """Appends a block, and adds it to the index once it has left the process."""
+        """Appends a block, and adds it to the index after it was flushed to the file."""
         offset = segment.tell()
         data = encode_block(records)
         segment.write(data)
         segment.flush()
-        place = BlockPlace(
+        entry = IndexEntry(
             self._header.segment - 1,
             offset,
             len(data),
-            taken_ms_of(records[0]),
-            taken_ms_of(records[-1]),
+            handled_ms_of(records[0]),
+            handled_ms_of(records[-1]),
             dict(Counter(kind_of(record) for record in records)),
         )
-        add_place(index, self._header.epoch, place)
+        add_entry(index, self._header.epoch, entry)
--- a/tests/recording/test_recording.py
+++ b/tests/recording/test_recording.py
@@ -1,4 +1,4 @@
-"""Recordings that are truncated, damaged, old or without a disk; incarnations replayed bit for bit."""
+"""Recordings that are truncated, corrupt, old or on a failing disk; incarnations replay to identical output."""
 
 import errno
 import os
@@ -46,11 +46,11 @@
     return read_incarnations(folder)[0]
 
 
-def test_an_end_truncated_at_any_byte_is_cut_at_the_last_complete_block_and_noted(tmp_path):
+def test_an_end_truncated_at_any_byte_is_cut_at_the_last_complete_block_and_reported(tmp_path):
     path = tmp_path / "pilot-0-1-0000.qcap"
-    head, sizes = write_segment(path, RECORDS[:24])
+    header_size, sizes = write_segment(path, RECORDS[:24])
     data = path.read_bytes()
-    last = head + sum(sizes[:-1])
+    last = header_size + sum(sizes[:-1])
     for end in range(last + 1, len(data)):
         path.write_bytes(data[:end])
         incarnation = Incarnation(decode_header(data)[0], [path])
@@ -61,13 +61,13 @@
     assert list(read_records(incarnation)) == RECORDS[:24] and not incarnation.truncation
 
 
-def test_damage_before_complete_blocks_is_no_truncated_end(tmp_path):
+def test_a_corrupt_block_before_complete_ones_is_not_a_truncated_end(tmp_path):
     path = tmp_path / "pilot-0-1-0000.qcap"
-    head, _ = write_segment(path, RECORDS)
+    header_size, _ = write_segment(path, RECORDS)
     data = bytearray(path.read_bytes())
-    data[head + BLOCK_HEAD.size + 3] ^= 0xFF
+    data[header_size + BLOCK_HEAD.size + 3] ^= 0xFF
     path.write_bytes(data)
-    with pytest.raises(CorruptBlockError, match="checksum.*more behind it"):
+    with pytest.raises(CorruptBlockError, match="checksum.*followed by further blocks or segments"):
         read_incarnations(tmp_path)
 
 
@@ -76,12 +76,12 @@
         write_segment(tmp_path / f"pilot-0-1-000{number}.qcap", RECORDS, number)
     assert first_incarnation(tmp_path).records == 120
     middle = tmp_path / "pilot-0-1-0001.qcap"
-    whole = middle.read_bytes()
-    middle.write_bytes(whole[:-5])
+    data = middle.read_bytes()
+    middle.write_bytes(data[:-5])
     with pytest.raises(CorruptBlockError):
         read_incarnations(tmp_path)
     middle.unlink()
-    with pytest.raises(CorruptBlockError, match="1 is missing"):
+    with pytest.raises(CorruptBlockError, match="segment 1 is missing"):
         read_incarnations(tmp_path)
 
 
@@ -94,8 +94,8 @@
     path.write_bytes(SEGMENT_HEAD.pack(SEGMENT_MAGIC, VERSION + 1, 0) + data[SEGMENT_HEAD.size :])
     with pytest.raises(CorruptBlockError, match="reads up to"):
         read_incarnations(tmp_path)
-    path.write_bytes(b"nothing of the kind")
-    with pytest.raises(CorruptBlockError, match="no capture"):
+    path.write_bytes(b"not a recording")
+    with pytest.raises(CorruptBlockError, match="not a segment of a recording"):
         read_incarnations(tmp_path)
 
 
@@ -127,7 +127,7 @@
     assert os.strerror(code) in writer.stop_reason
     for record in RECORDS * 1000:
         writer.put(record)
-        writer.flush(now=True)  # neither blocks nor gathers
+        writer.flush(now=True)  # neither blocks nor collects records
     assert not writer._batch
     writer.close()
 
@@ -135,7 +135,7 @@
 def test_a_disk_that_does_not_keep_up_stops_the_recording_and_not_the_controller(tmp_path):
     class Stuck(RecordingWriter):
         def _run(self):
-            """Takes nothing."""
+            """Never takes a batch from the queue."""
 
     writer = Stuck(str(tmp_path), "pilot-0", "pilot-0-1", {}, 4096)
     for record in RECORDS * 20:
@@ -146,23 +146,23 @@
 
 @pytest.fixture(scope="module")
 def recorded(tmp_path_factory):
-    """A short scenario with faults on streams and files, one controller killed, both recorded."""
-    troubles = [
+    """Plays a short recorded scenario with faults on streams and files; one of two controllers is killed."""
+    faults = [
         {"at_s": 0.5, "for_s": 1.0, "what": "drain", "zone": "a", "count": 1},
         {"at_s": 0.7, "for_s": 0.6, "what": "proxy_refuses", "count": 2},
         {"at_s": 1.5, "for_s": 1.0, "what": "pilot_kill", "count": 1},
         {"at_s": 1.8, "for_s": 1.0, "what": "proxy_moves", "count": 2},
         {"at_s": 2.0, "for_s": 1.5, "what": "fail", "count": 1},
     ]
-    day = small_day(
-        seconds=4.0, troubles=troubles, endpoints=[{"each_zone": 3}], proxies=6, pilots=2, file_proxies=0.34,
+    scenario = small_day(
+        seconds=4.0, troubles=faults, endpoints=[{"each_zone": 3}], proxies=6, pilots=2, file_proxies=0.34,
         sotw_proxies=0.17, capture=True,
     )  # fmt: skip
-    arm = play_arm(day, tmp_path_factory.mktemp("captured") / "learnt")
+    arm = play_arm(scenario, tmp_path_factory.mktemp("captured") / "learnt")
     return arm.folder
 
 
-def test_every_incarnation_replays_bit_for_bit_the_killed_one_too(recorded):
+def test_every_incarnation_replays_to_identical_output_even_the_killed_one(recorded):
     found = [incarnation for at in (0, 1) for incarnation in read_incarnations(recorded / f"capture-{at}")]
     assert len(found) == 3
     for incarnation in found:
@@ -184,14 +184,14 @@
     assert outcome.difference["since_the_round_before"]
 
 
-def test_a_recording_truncated_in_the_middle_replays_as_far_as_it_goes(recorded, tmp_path):
+def test_a_recording_truncated_in_the_middle_replays_to_its_end(recorded, tmp_path):
     incarnation = max(
         (incarnation for at in (0, 1) for incarnation in read_incarnations(recorded / f"capture-{at}")),
         key=lambda each: each.records,
     )
     data = incarnation.segments[0].read_bytes()
-    piece = tmp_path / incarnation.segments[0].name
-    piece.write_bytes(data[: len(data) * 2 // 3])
+    truncated_path = tmp_path / incarnation.segments[0].name
+    truncated_path.write_bytes(data[: len(data) * 2 // 3])
     truncated = first_incarnation(tmp_path)
     assert 0 < truncated.records < incarnation.records and truncated.truncation
     assert Replay(truncated.header).play(read_records(truncated)).is_identical
@@ -209,10 +209,10 @@
     assert len(digests) == 1
 
 
-@pytest.mark.parametrize("kept", sorted(Path("examples/captures").iterdir()), ids=lambda kept: kept.name)
-def test_the_shipped_recordings_replay_bit_for_bit(kept):
-    """A change of the program that changes a decision shows here; one that means to makes the recordings anew."""
-    found = [incarnation for folder in sorted(kept.glob("capture-*")) for incarnation in read_incarnations(folder)]
+@pytest.mark.parametrize("shipped", sorted(Path("examples/captures").iterdir()), ids=lambda shipped: shipped.name)
+def test_the_shipped_recordings_replay_to_identical_output(shipped):
+    """Fails when a change of the code changes a decision; an intended change must record the examples again."""
+    found = [incarnation for folder in sorted(shipped.glob("capture-*")) for incarnation in read_incarnations(folder)]
     assert found
     for incarnation in found:
         outcome = Replay(incarnation.header).play(read_records(incarnation))
@@ -220,7 +220,7 @@
         assert outcome.intervals >= 5
 
 
-def test_noise_is_neither_a_block_nor_a_header():
+def test_invalid_bytes_are_rejected_as_block_and_as_header():
     with pytest.raises(CorruptBlockError):
         list(iterate_blocks(b"x" * 100, 0))
     with pytest.raises(CorruptBlockError):
