--- a/quillstep/tracing/__init__.py
+++ b/quillstep/tracing/__init__.py
@@ -1,1 +1,1 @@
-"""Which table served a request: its trace from a control interval to the response, and spans.  See docs/lineage.md."""
+"""Traces of requests from the control interval to the response, and OpenTelemetry spans.  See docs/lineage.md."""
--- a/quillstep/tracing/causes.py
+++ b/quillstep/tracing/causes.py
@@ -1,4 +1,4 @@
-"""Why a control interval wrote what it did, from a recording: its events, their ages and its output.  No I/O."""
+"""Finds the control interval behind a revision in a recording: its events, their ages and its output.  No I/O."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
@@ -9,22 +9,22 @@
 
 EVENT_KINDS = ("roster", "probe", "reports", "files", "open", "request", "end")
 MAX_DESCRIBED_EVENTS = 12
-MAX_LISTED_ENDPOINTS = 4
+MAX_DESCRIBED_ENDPOINTS = 4  # per event
 
-Command = list[Any]  # one command of the planner's output, as recordings hold it: its name, then its arguments
+Command = list[Any]  # a command of the planner's output as recorded: its name, then its arguments
 
 
 class IntervalCause(msgspec.Struct):
-    """One control interval, as its controller's recording holds it; the names in JSON are those of `quillstep trace`.
+    """A control interval from a controller's recording; the names in JSON are those that `quillstep trace` prints.
 
     Attributes:
-        number: The interval's number.
-        at_ms: When it ran, on the recording's clock.
-        event_counts: Events since the interval before, by kind.
+        number: Number of the interval.
+        at_ms: Time of the interval on the recording's clock, in milliseconds.
+        event_counts: Number of events since the previous interval, by kind.
         oldest_ms: Age of the oldest event at the interval, in milliseconds, by kind.
-        descriptions: The first events in words.
-        commands: The part of the output that concerns the resource in question.
-        notes: Notes that the planner wrote.
+        descriptions: Descriptions of the first events.
+        commands: Commands of the output that concern the resource in question.
+        notes: Notes of the planner.
     """
 
     number: int
@@ -37,7 +37,7 @@
 
 
 class RecordedInterval(NamedTuple):
-    """A control interval's record, by the names of its fields."""
+    """The fields of a control interval's record."""
 
     at_ms: float
     number: int
@@ -46,7 +46,7 @@
 
     @classmethod
     def from_record(cls, record: Record) -> "RecordedInterval":
-        """Reads a record of the kind `orders`; older recordings number intervals and revisions alike."""
+        """Parses a record of the kind `orders`; in older recordings, revisions are numbered like intervals."""
         _, _, at_ms, number, commands, *revision = record
         return cls(at_ms, number, commands, revision[0] if revision else number)
 
@@ -56,11 +56,11 @@
 
     Args:
         records: The records of one incarnation, in sequence.
-        revision: The revision that the interval's output had.
-        resource: Name of the resource whose commands are wanted.
+        revision: Revision of the interval's output.
+        resource: Name of the resource whose commands are returned.
 
     Returns:
-        The interval; None where the recording does not reach it.
+        The interval; None if the recording does not contain it.
     """
     events: list[Record] = []
     for record in records:
@@ -90,7 +90,7 @@
 
 
 def _age_ms(event: Record, at_ms: float) -> float:
-    """Age of an event since it arrived; of load reports, the age of the oldest one."""
+    """Returns the time since an event arrived; for load reports, the age of the oldest one."""
     arrived_ms: float = event[1]
     age_ms = at_ms - arrived_ms
     match event:
@@ -100,12 +100,12 @@
 
 
 def _describe_event(event: Record) -> str:
-    """An event in words; empty for kinds of which there are too many to describe."""
+    """Describes an event; empty for kinds that are too frequent to be described."""
     match event:
         case ["roster", _, _, update_kind, entries, *_]:
-            states = ", ".join(f"{entry[0]} {entry[2]}" for entry in entries[:MAX_LISTED_ENDPOINTS])
-            unlisted = len(entries) - MAX_LISTED_ENDPOINTS
-            return f"roster, {update_kind}: {states}" + (f" and {unlisted} more" if unlisted > 0 else "")
+            states = ", ".join(f"{entry[0]} {entry[2]}" for entry in entries[:MAX_DESCRIBED_ENDPOINTS])
+            omitted = len(entries) - MAX_DESCRIBED_ENDPOINTS
+            return f"roster, {update_kind}: {states}" + (f" and {omitted} more" if omitted > 0 else "")
         case ["probe", _, _, endpoint, healthy, *_]:
             return f"probe of {endpoint}: {'answered' if healthy else 'no answer'}"
         case ["reports", _, _, _, {"heard": reports}, *_]:
@@ -114,7 +114,7 @@
 
 
 def concerns(command: Command, resource: str) -> bool:
-    """Whether a command is about a resource: its weight, its endpoint's ejection, or what routes are made of."""
+    """Whether a command affects a resource: its weight, the ejection of its endpoint, or the routes."""
     group, _, endpoint = resource.rpartition("/")
     table = group.rpartition("/")[2].removeprefix("table-")
     match command[0]:
--- a/quillstep/tracing/errors.py
+++ b/quillstep/tracing/errors.py
@@ -4,8 +4,8 @@
 
 
 class NoArmError(QuillstepError):
-    """A folder that is no arm of a played scenario."""
+    """A folder does not hold an arm of a played scenario."""
 
 
 class UnknownRequestError(QuillstepError):
-    """A request that the record does not hold."""
+    """A request is not in the socket record."""
--- a/quillstep/tracing/otlp.py
+++ b/quillstep/tracing/otlp.py
@@ -1,6 +1,6 @@
-"""A local file of OTLP JSON lines: the exporter that writes it, and reading it back.
+"""Writes spans to a local file of OTLP JSON lines, and reads them back.
 
-The form is `TracesData` of OpenTelemetry's published JSON encoding.
+Each line is a `TracesData` message in the JSON encoding of the OTLP specification.
 """
 
 import json
@@ -12,18 +12,18 @@
 from opentelemetry.sdk.trace.export import SpanExporter, SpanExportResult
 from opentelemetry.trace import StatusCode
 
-ERROR_CODE = 2
+ERROR_CODE = 2  # STATUS_CODE_ERROR of OTLP
 VALUE_KEYS = {bool: "boolValue", int: "intValue", float: "doubleValue"}
 
 
 class FileExporter(SpanExporter):
-    """Appends a line of OTLP JSON for each batch."""
+    """Appends one line of OTLP JSON per batch."""
 
     def __init__(self, path: Path) -> None:
         self.file = path.open("ab", buffering=0)
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Writes one batch; a full disk costs spans, never a controller."""
+        """Writes one batch; a write error, such as a full disk, loses the batch but does not affect the controller."""
         try:
             self.file.write(json.dumps(encode_batch(spans), separators=(",", ":")).encode() + b"\n")
         except OSError:
@@ -36,7 +36,7 @@
 
 
 def encode_batch(spans: Sequence[ReadableSpan]) -> dict[str, Any]:
-    """A batch of one process's spans as `TracesData`."""
+    """Encodes a batch of spans of one process as `TracesData`."""
     resource = spans[0].resource.attributes if spans else {}
     scope = {"scope": {"name": "quillstep"}, "spans": [_encode_span(span) for span in spans]}
     return {"resourceSpans": [{"resource": {"attributes": _encode_attributes(resource)}, "scopeSpans": [scope]}]}
@@ -75,7 +75,7 @@
 
 
 def _encode_attributes(attributes: Mapping[str, Any]) -> list[dict[str, Any]]:
-    """Attributes as OTLP has them; integers are strings in its JSON."""
+    """Encodes attributes as key-value pairs of OTLP, whose JSON has integers as strings."""
     encoded = []
     for key, value in attributes.items():
         value_key = VALUE_KEYS.get(type(value), "stringValue")
@@ -84,7 +84,7 @@
 
 
 def read_spans(path: Path) -> list[dict[str, Any]]:
-    """All spans of a file, as OTLP JSON has them."""
+    """Reads all spans of a file, as decoded OTLP JSON."""
     spans = []
     for line in path.read_text().splitlines():
         for group in json.loads(line)["resourceSpans"]:
--- a/quillstep/tracing/report.py
+++ b/quillstep/tracing/report.py
@@ -1,4 +1,4 @@
-"""What `quillstep trace` prints: one request's trace, or how all responses of a run trace."""
+"""Reports that `quillstep trace` prints: the trace of one request, or a summary of all responses of a run."""
 
 from pathlib import Path
 from typing import Any
@@ -18,16 +18,16 @@
 
 
 class TraceSummary(msgspec.Struct):
-    """How the responses of a run trace; the names in JSON are those of `quillstep trace --all`.
+    """A summary of the traces of a run; the names in JSON are those that `quillstep trace --all` prints.
 
     Attributes:
-        requests: All requests.
-        responses: Those that were answered well.
-        untraced: Responses whose trace has a gap.
-        initial: Versions of initial tables, which no interval assigned.
-        lost_acks: Origins whose ack was lost with its stream or controller.
-        revisions: Distinct revisions behind the responses.
-        gaps: The first untraced responses and what is missing of each.
+        requests: Number of requests.
+        responses: Number of requests with a successful response.
+        untraced: Number of responses whose trace has a gap.
+        initial: Number of uses of initial tables, which no interval assigned.
+        lost_acks: Number of origins whose ack was lost with its stream or controller.
+        revisions: Number of distinct revisions behind the responses.
+        gaps: The first untraced responses and what is missing from each.
         oldest_decision_ms: Greatest age of a decision at a request that used it, in milliseconds.
     """
 
@@ -42,19 +42,19 @@
 
 
 def read_trace_index(folder: Path) -> TraceIndex:
-    """Reads the record of one played arm.
+    """Reads the socket records of one played arm.
 
     Raises:
-        NoArmError: The folder holds no controller's settings.
+        NoArmError: The folder holds no settings of a controller.
     """
     settings = sorted(folder.glob("pilot-*.cue"))
     if not settings:
-        raise NoArmError(f"{folder} holds no controller's settings: is it an arm of a played scenario?")
+        raise NoArmError(f"{folder}: expected an arm of a played scenario, got no settings of a controller")
     return TraceIndex(read_evidence(folder, Evidence(load(ControllerSettings, settings[0]).fleet)))
 
 
 def read_cause(folder: Path, origin: VersionOrigin) -> IntervalCause | None:
-    """The control interval behind a version, from whichever recording holds that incarnation; None if none does."""
+    """Finds the control interval behind a version in the recording of its incarnation; None if there is none."""
     for path in sorted(folder.glob("capture-*")):
         for incarnation in read_incarnations(path):
             if incarnation.header.epoch == origin.epoch:
@@ -63,7 +63,7 @@
 
 
 def trace_report(folder: Path, trace: RequestTrace) -> dict[str, Any]:
-    """One request's trace with the intervals behind it, as it is printed."""
+    """Returns the trace of a request with the intervals behind it, as it is printed."""
     links = []
     for origin in trace.origins:
         cause = read_cause(folder, origin) if origin.revision else None
@@ -72,7 +72,7 @@
 
 
 def _origin_report(trace: RequestTrace, origin: VersionOrigin) -> dict[str, Any]:
-    """What is known of an origin, its times relative to the request: how old its table was."""
+    """Returns the known fields of an origin; times are converted to milliseconds before the request."""
     report = {name: value for name, value in msgspec.to_builtins(origin).items() if value not in ("", None, 0)}
     for name in TIMES_BEFORE_REQUEST:
         if name in report:
@@ -81,7 +81,7 @@
 
 
 def summarize(index: TraceIndex) -> TraceSummary:
-    """Counts how many responses of a run trace, and what is missing of the others."""
+    """Counts the responses of a run with a complete trace, and collects the gaps of the others."""
     summary = TraceSummary()
     revisions: set[tuple[str, int]] = set()
     for trace in index.trace_all():
--- a/quillstep/tracing/request_trace.py
+++ b/quillstep/tracing/request_trace.py
@@ -1,9 +1,9 @@
-"""Traces requests in the sockets' record: control interval, version, nonce or generation, ack, request.
+"""Traces requests in the socket records: control interval, version, nonce or generation, ack, request.
 
-Each attempt used a weight of some version and each request the routes of some version, as its proxy recorded.  The
-version was applied with a response whose nonce and system version (epoch/revision/decided) the proxy recorded too; the
-controller's own record says when that revision was sent under that nonce and when the ack came.  No I/O; times are
-milliseconds.
+Each attempt uses a weight of some version and each request the routes of some version; both are in the proxy's record.
+The proxy also records the nonce and the system version (epoch/revision/decided) of the response with which it applied
+that version.  The controller's record has the times at which it sent that revision with that nonce and received the
+ack.  No I/O; times are milliseconds.
 """
 
 from bisect import bisect_right
@@ -16,29 +16,29 @@
 from quillstep.invariants.evidence import Attempt, Evidence, Row
 from quillstep.tracing.errors import UnknownRequestError
 
-INITIAL_VERSION = "standing"  # of the weights that a proxy starts with, which no interval assigned
+INITIAL_VERSION = "standing"  # version of the weights in an initial table, which no interval assigned
 INITIAL_RESOURCE = "the table it started with"
 ROUTE_TYPES = ("RouteConfiguration", "files")
 WEIGHT_TYPES = ("LbEndpoint", "ClusterLoadAssignment", "files")
 
 
 class VersionOrigin(msgspec.Struct):
-    """One version that a request used, and where it came from; what is not known is empty or None.
+    """The origin of one version that a request used; fields that are not known are empty or None.
 
-    The names in JSON are those of `quillstep trace`.
+    The names in JSON are those that `quillstep trace` prints.
 
     Attributes:
         subject: `line` (a weight) or `routes`.
         version: The version used.
         resource: Name of the resource.
-        epoch: The controller's incarnation that assigned it.
-        revision: The revision that first sent it with this response; 0: not known.
-        decided_ms: When the planner decided it.
-        nonce: Of the response that brought it.
-        sent_ms: When the controller sent that response.
-        applied_ms: When the proxy applied it.
-        acked_ms: When the controller received the ack.
-        gap: What is missing of the trace; empty if it is complete.
+        epoch: Incarnation of the controller that assigned the version.
+        revision: Revision that the response carried; 0 if not known.
+        decided_ms: Time at which the planner decided the revision.
+        nonce: Nonce of the response that carried the version.
+        sent_ms: Time at which the controller sent that response.
+        applied_ms: Time at which the proxy applied it.
+        acked_ms: Time at which the controller received the ack.
+        gap: What is missing from the trace; empty if it is complete.
     """
 
     subject: str = msgspec.field(name="what")
@@ -55,9 +55,9 @@
 
 
 class RequestTrace(msgspec.Struct):
-    """A request and the origins of what served it, or of its last attempt where it got no response.
+    """A request, and the origins of its routes and of the weight that its last attempt used.
 
-    The names in JSON are those of `quillstep trace`.
+    The names in JSON are those that `quillstep trace` prints.
     """
 
     request: str = msgspec.field(name="exchange")
@@ -71,7 +71,7 @@
 
     @property
     def gaps(self) -> list[str]:
-        """What is missing of the trace, in words; empty if it is complete."""
+        """Descriptions of what is missing from the trace; empty if it is complete."""
         return [f"{origin.subject}: {origin.gap}" for origin in self.origins if origin.gap]
 
 
@@ -84,7 +84,7 @@
 
 
 class SystemVersion(NamedTuple):
-    """What a response says of its origin: `epoch/revision/decided`, of which the end may be missing."""
+    """The origin that a response names: `epoch/revision/decided`; trailing parts may be missing."""
 
     epoch: str
     revision: int
@@ -92,13 +92,13 @@
 
     @classmethod
     def parse(cls, text: str) -> "SystemVersion":
-        """Reads a response's `system_version_info`."""
+        """Parses a response's `system_version_info`."""
         epoch, revision, decided_ms = (text.split("/") + ["", "", ""])[:3]
         return cls(epoch, int(revision or 0), float(decided_ms) if decided_ms else None)
 
 
 class TraceIndex:
-    """All that a run's record says of versions, by proxy and version."""
+    """Index of the socket records of a run, by proxy and version."""
 
     def __init__(self, evidence: Evidence) -> None:
         self._end_ms = evidence.end_ms
@@ -124,12 +124,12 @@
         """Traces one request.
 
         Raises:
-            UnknownRequestError: The record holds no such request.
+            UnknownRequestError: The request is not in the record.
         """
         try:
             row = self._requests[request]
         except KeyError as error:
-            raise UnknownRequestError(f"no request {request!r} in the record") from error
+            raise UnknownRequestError(f"request {request!r} not found in the record") from error
         attempts = list(Attempt.all_of(row))
         proxy = row["proxy"]
         origins = []
@@ -139,17 +139,17 @@
             endpoint = last.address
             origins.append(self._origin("line", proxy, last.version, last.sent_ms, WEIGHT_TYPES))
         if routes := row.get("routes", ""):
-            chosen_ms = attempts[0].sent_ms if attempts else row["end"]
-            origins.append(self._origin("routes", proxy, routes, chosen_ms, ROUTE_TYPES))
+            routed_ms = attempts[0].sent_ms if attempts else row["end"]
+            origins.append(self._origin("routes", proxy, routes, routed_ms, ROUTE_TYPES))
         return RequestTrace(request, proxy, row["class"], row["at"], row["outcome"], endpoint, len(attempts), origins)
 
     def trace_all(self) -> Iterator[RequestTrace]:
-        """Traces every request of the record, in its order."""
+        """Yields the traces of all requests, in the order of the record."""
         for request in self._requests:
             yield self.trace(request)
 
     def _origin(self, subject: str, proxy: str, version: str, at_ms: float, types: tuple[str, ...]) -> VersionOrigin:
-        """Where a version came from that a proxy used at a time."""
+        """Returns the origin of a version that a proxy used at `at_ms`."""
         if version == INITIAL_VERSION:
             return VersionOrigin(subject, version, INITIAL_RESOURCE)
         application = self._last_application(proxy, version, at_ms, types)
@@ -170,7 +170,7 @@
         return origin
 
     def _last_application(self, proxy: str, version: str, at_ms: float, types: tuple[str, ...]) -> Application | None:
-        """The newest application of a version by a proxy, at a time or before it, in a response of these types."""
+        """Returns a proxy's latest application of a version at or before `at_ms`, in a response of these types."""
         applications = self._applications.get((proxy, version), [])
         newest = bisect_right(applications, at_ms, key=lambda application: application.at_ms)
         for application in reversed(applications[:newest]):
@@ -179,7 +179,7 @@
         return None
 
     def _add_delivery(self, origin: VersionOrigin, proxy: str, applied_ms: float) -> None:
-        """Adds when the controller sent the response and received its ack, or what is missing of these."""
+        """Sets the times at which the controller sent the response and received its ack, or the gap."""
         sent: dict[str, Any] | None = self._sent.get((proxy, origin.nonce))
         if sent is None:
             origin.gap = self._gap_unless_ended(proxy, origin.epoch, applied_ms, "no record of its sending")
@@ -193,9 +193,9 @@
             origin.gap = self._gap_unless_ended(proxy, origin.epoch, applied_ms, "no acknowledgement")
 
     def _gap_unless_ended(self, proxy: str, epoch: str, applied_ms: float, gap: str) -> str:
-        """The gap, or none if the proxy's stream or controller ended before the ack could arrive.
+        """Returns the gap; empty if the proxy's stream or its controller may have ended before the ack arrived.
 
-        A later ack on the same stream shows that it could.
+        A later ack on the same stream shows that this ack could have arrived.
         """
         ends_ms = self._stream_ends_ms.get(proxy, [])
         following = bisect_right(ends_ms, applied_ms)
--- a/quillstep/tracing/spans.py
+++ b/quillstep/tracing/spans.py
@@ -1,9 +1,10 @@
-"""Spans of control intervals, updates, applications and requests, by OpenTelemetry's SDK into a local file.
+"""Spans of control intervals, updates, applications and requests, written to a local file by the OpenTelemetry SDK.
 
-No context travels: ids follow from what both ends of a stream know.  A trace is one revision (`epoch/revision`, which
-every response carries as its `system_version_info`); an update's span id follows from its nonce, so that the proxy's
-span of its application can name it as parent, and a request can link to the applications of the versions that it used.
-Whether a trace is sampled follows from its id alone, so that all processes sample the same ones.
+No trace context is sent: ids are derived from values that both ends of a stream know.  A trace is one revision
+(`epoch/revision`, which every response carries as its `system_version_info`).  The span id of an update is derived from
+its nonce, so that the proxy's span of its application can name it as parent, and a request can link to the applications
+of the versions that it used.  Whether a trace is sampled depends only on its id, so all processes sample the same
+traces.
 """
 
 import threading
@@ -26,7 +27,7 @@
 from quillstep.invariants.evidence import Attempt
 from quillstep.tracing.otlp import FileExporter
 
-MAX_OPEN = 4096  # updates without an ack, and applications that requests may still link to
+MAX_OPEN = 4096  # limit of updates in flight, and of applications that requests may link to; the oldest is dropped
 SAMPLED_FLAGS = TraceFlags(TraceFlags.SAMPLED)
 SAMPLER_RANGE = 2**64
 NS_PER_MS = 1e6
@@ -39,12 +40,12 @@
     span_id: int
 
     def context(self) -> SpanContext:
-        """The span as another process's context."""
+        """Returns the span's context as a remote one."""
         return SpanContext(self.trace_id, self.span_id, True, SAMPLED_FLAGS)
 
 
 class SpanData(NamedTuple):
-    """A span that has ended; times are monotonic milliseconds."""
+    """A finished span; times are milliseconds of the monotonic clock."""
 
     name: str
     id: SpanId
@@ -52,7 +53,7 @@
     end_ms: float
     kind: SpanKind
     attributes: Mapping[str, Any]
-    parent_id: int = 0  # 0: a root
+    parent_id: int = 0  # 0 for a root span
     links: Sequence[SpanId] = ()
     error: str = ""
 
@@ -67,17 +68,17 @@
 
 
 def trace_id_of(system: str) -> int:
-    """The trace of a revision, from `epoch/revision`, whatever follows."""
+    """Returns the trace id of a revision, from `epoch/revision`; anything after these parts is ignored."""
     return xxhash.xxh3_128_intdigest("/".join(system.split("/")[:2]).encode())
 
 
 def span_id_of(kind: str, name: str) -> int:
-    """The id of a span, from its kind and what both ends of a stream call it."""
+    """Returns the id of a span, from its kind and a name that both ends of a stream know."""
     return xxhash.xxh3_64_intdigest(f"{kind} {name}".encode()) or 1
 
 
 class PresetIdGenerator(IdGenerator):
-    """Ids as the caller of `start_span` presets them; under that caller's lock."""
+    """Returns the ids that the caller of `start_span` has set; the caller holds a lock meanwhile."""
 
     def __init__(self) -> None:
         self.trace_id = self.span_id = 1
@@ -92,20 +93,20 @@
 
 
 class SpanRecorder:
-    """One process's spans; the SDK's own thread writes them, and `close` ends it.
+    """Records the spans of one process; the SDK's thread writes them until `close`.
 
     Attributes:
-        dropped: Spans left out because `max_spans_per_s` was reached.
+        dropped: Number of spans that were dropped because `max_spans_per_s` was reached.
     """
 
     def __init__(self, file: str, sampled_share: float, max_spans_per_s: float, service: str) -> None:
         """Opens the file.
 
         Args:
-            file: Path to append to.
-            sampled_share: Share of all traces that are sampled, from 0 to 1.
-            max_spans_per_s: Limit of spans a second, whatever is sampled.
-            service: The process's name in the spans' resource.
+            file: Path of the file, which is appended to.
+            sampled_share: Share of traces that are sampled, from 0 to 1.
+            max_spans_per_s: Limit of spans per second, whatever the sampled share.
+            service: `service.name` of the spans' resource.
         """
         self._sampled_share, self._max_spans_per_s = sampled_share, max_spans_per_s
         self._ids = PresetIdGenerator()
@@ -123,14 +124,14 @@
         self._applications: OrderedDict[tuple[str, str], SpanId] = OrderedDict()
 
     def close(self) -> None:
-        """Writes what is left and ends the SDK's thread."""
+        """Writes the remaining spans and ends the SDK's thread."""
         self._provider.shutdown()
 
     def is_sampled(self, trace_id: int) -> bool:
-        """Whether a trace is sampled: by its id's lower half, as OpenTelemetry's own ratio sampler does."""
+        """Whether a trace is sampled: by the lower half of its id, like OpenTelemetry's ratio-based sampler."""
         return trace_id % SAMPLER_RANGE < self._sampled_share * SAMPLER_RANGE
 
-    # Of a controller.
+    # Spans of a controller.
 
     def record_interval(self, epoch: str, revision: int, begin_ms: float, end_ms: float, **attributes: Any) -> None:
         """Records a control interval."""
@@ -142,13 +143,13 @@
             self._record(SpanData("round", span_id, begin_ms, end_ms, SpanKind.INTERNAL, interval))
 
     def record_channel_event(self, epoch: str, what: str, at_ms: float, fields: Mapping[str, Any]) -> None:
-        """Follows what passed on the controller's sockets: an update lasts from its decision to its ack or nack.
+        """Handles an event of the update channel; the span of an update lasts from its decision to its ack or nack.
 
         Args:
-            epoch: The controller's incarnation.
-            what: Kind of the event, as in the sockets' record.
-            at_ms: When it passed.
-            fields: Its fields, as in the sockets' record.
+            epoch: Incarnation of the controller.
+            what: Kind of the event, as in the socket record.
+            at_ms: Time of the event, in milliseconds.
+            fields: Fields of the event, as in the socket record.
         """
         if what == "send":
             self._open_update(f"{epoch}/{fields['order']}", at_ms, fields)
@@ -181,10 +182,10 @@
             )
         )
 
-    # Of a process of proxies.
+    # Spans of a proxy process.
 
     def record_application(self, proxy: str, row: Mapping[str, Any]) -> None:
-        """Records a response that a proxy applied or rejected; `row` as in the sockets' record."""
+        """Records the application or rejection of a response by a proxy; `row` is as in the socket record."""
         trace_id = trace_id_of(row["system"])
         if not self.is_sampled(trace_id):
             return
@@ -208,7 +209,7 @@
         )
 
     def record_request(self, row: Mapping[str, Any]) -> None:
-        """Records a request, linked to the sampled applications of what it used; `row` as in the sockets' record."""
+        """Records a request, linked to the sampled applications that it used; `row` is as in the socket record."""
         request: str = row["exchange"]
         trace_id = xxhash.xxh3_128_intdigest(request.encode())
         if not self.is_sampled(trace_id):
@@ -226,18 +227,18 @@
         self._record(SpanData("exchange", span_id, row["at"], row["end"], SpanKind.SERVER, attributes, links=links))
 
     def _applications_used(self, proxy: str, row: Mapping[str, Any]) -> list[SpanId]:
-        """The applications of the versions that a request used, each once, in the order of use."""
+        """Returns the applications of the versions that a request used, each once, in the order of use."""
         versions = [row.get("routes", "")]
         versions.extend(Attempt(*attempt).version for attempt in row["tries"])
         applications = (self._applications.get((proxy, version)) for version in versions)
         return list(dict.fromkeys(application for application in applications if application))
 
-    # Of any.
+    # Common to both.
 
     def _record(self, data: SpanData) -> None:
-        """Begins and ends one span, if the limit leaves room for it."""
+        """Records one span unless the rate limit is reached."""
         with self._lock:
-            if not self._take_token(data.end_ms):
+            if not self._acquire_token(data.end_ms):
                 return
             self._ids.trace_id, self._ids.span_id = data.id
             span = self._tracer.start_span(
@@ -252,8 +253,8 @@
                 span.set_status(Status(StatusCode.ERROR, data.error))
             span.end(self._wall_ns(max(data.begin_ms, data.end_ms)))
 
-    def _take_token(self, at_ms: float) -> bool:
-        """Whether the limit leaves room for one more span; one without room is counted."""
+    def _acquire_token(self, at_ms: float) -> bool:
+        """Takes a token for one span from the rate limiter; False, and counted in `dropped`, if there is none."""
         refill = (at_ms - self._refilled_ms) * self._max_spans_per_s / 1000.0
         self._tokens = min(self._max_spans_per_s, self._tokens + refill)
         self._refilled_ms = at_ms
--- a/tests/tracing/test_causes.py
+++ b/tests/tracing/test_causes.py
@@ -1,4 +1,4 @@
-"""Why a control interval wrote what it did, from a recording."""
+"""The control interval behind a revision is found in a recording, with its events and commands."""
 
 import pytest
 
@@ -18,17 +18,17 @@
         (["level", 0, [1], 3.0, 1], WEIGHT, False),
     ],
 )
-def test_a_cause_holds_only_commands_that_concern_the_resource(command, resource, expected):
+def test_a_cause_includes_only_commands_that_concern_the_resource(command, resource, expected):
     assert concerns(command, resource) is expected
 
 
-def test_a_cause_holds_the_intervals_events_and_their_ages():
-    heard = [[3, 800.0, 400.0, 1000.0, 5.0, 9, 0.0]]
+def test_a_cause_includes_the_events_of_the_interval_and_their_ages():
+    reports = [[3, 800.0, 400.0, 1000.0, 5.0, 9, 0.0]]
     records = [
         ["probe", 90.0, 95.0, 1, True, 3.0, {}],
         ["orders", 100.0, 100.0, 3, [["line", 0, 5, 9.0]]],
         ["roster", 850.0, 860.0, "partial", [[5, "a", "terminating", 1.0, 0.0]], []],
-        ["reports", 870.0, 870.0, 0, {"heard": heard}],
+        ["reports", 870.0, 870.0, 0, {"heard": reports}],
         ["sent", 880.0, 880.0, "send", {}],
         ["orders", 900.0, 900.0, 4, [["withdraw", 5, True], ["note", "it drains"], ["line", 0, 6, 2.0]]],
     ]
--- a/tests/tracing/test_report.py
+++ b/tests/tracing/test_report.py
@@ -16,8 +16,8 @@
 
 @pytest.fixture(scope="module")
 def faulty_arm(tmp_path_factory):
-    """Two controllers, one killed; streams of both kinds and files; rejected updates, migrations, new limits."""
-    day = small_day(
+    """Plays a scenario: two controllers, one killed; streams of both kinds, files; nacks, migrations, new limits."""
+    scenario = small_day(
         seconds=8.0, proxies=10, pilots=2, capture=True, sotw_proxies=0.2, file_proxies=0.3, exchanges_per_s=120.0,
         phases=[{"at_s": 2.0, "for_s": 3.0, "times": 3.0}],
         troubles=[
@@ -27,10 +27,10 @@
             {"at_s": 3.0, "for_s": 2.0, "what": "pilot_kill", "count": 1},
         ],
     )  # fmt: skip
-    arm = Arm(day, plan_scenario(day), "learnt", tmp_path_factory.mktemp("lineage") / "learnt")
+    arm = Arm(scenario, plan_scenario(scenario), "learnt", tmp_path_factory.mktemp("lineage") / "learnt")
     try:
         arm.start()
-        arm.play(time.monotonic() * 1000.0 + day.warm_up_s * 1000.0)
+        arm.play(time.monotonic() * 1000.0 + scenario.warm_up_s * 1000.0)
     finally:
         arm.stop()
     return arm
@@ -43,14 +43,14 @@
     assert found.responses > 600 and found.revisions > 3
 
 
-def test_the_command_traces_one_request_or_all_and_fails_for_an_unknown_one(faulty_arm):
+def test_the_command_traces_one_request_or_all_and_rejects_an_unknown_one(faulty_arm):
     run = CliRunner().invoke
     index = read_trace_index(faulty_arm.folder)
     answered = [row["exchange"] for row in faulty_arm.evidence().requests if row["outcome"] == "ok"]
-    named = next(e for e in answered if all(origin.revision for origin in index.trace(e).origins))
-    one = run(cli, ["--log-level", "error", "trace", str(faulty_arm.folder), named])
+    request = next(e for e in answered if all(origin.revision for origin in index.trace(e).origins))
+    one = run(cli, ["--log-level", "error", "trace", str(faulty_arm.folder), request])
     printed = msgspec.json.decode(one.stdout.splitlines()[-1])
-    assert one.exit_code == 0 and printed["exchange"] == named and printed["links"][0]["round_behind"]["news"]
+    assert one.exit_code == 0 and printed["exchange"] == request and printed["links"][0]["round_behind"]["news"]
     every = run(cli, ["--log-level", "error", "trace", str(faulty_arm.folder), "--all"])
     assert every.exit_code == 0 and msgspec.json.decode(every.stdout.splitlines()[-1])["untraced"] == 0
     assert run(cli, ["--log-level", "error", "trace", str(faulty_arm.folder), "no-such"]).exit_code == 2
--- a/tests/tracing/test_request_trace.py
+++ b/tests/tracing/test_request_trace.py
@@ -1,4 +1,4 @@
-"""Which table served a request: complete traces, and what is missing of others."""
+"""Complete traces of requests, and the gaps of incomplete ones."""
 
 import pytest
 from memory_fleet import fleet
@@ -25,18 +25,26 @@
 
 
 def trace_index(rows, channel_rows, version="v1", streams=()):
-    exchange = {"exchange": "x", "proxy": "p", "class": "lookup", "at": 2000.0, "end": 2050.0, "outcome": "ok",
-                "tries": [["127.0.0.1:9", 2001.0, 2050.0, "ok", version]], "routes": ""}  # fmt: skip
+    request = {"exchange": "x", "proxy": "p", "class": "lookup", "at": 2000.0, "end": 2050.0, "outcome": "ok",
+               "tries": [["127.0.0.1:9", 2001.0, 2050.0, "ok", version]], "routes": ""}  # fmt: skip
     evidence = Evidence(
-        fleet(), requests=[exchange], applied_updates=rows, channel_rows=channel_rows, stream_changes=list(streams)
+        fleet(), requests=[request], applied_updates=rows, channel_rows=channel_rows, stream_changes=list(streams)
     )
     return TraceIndex(evidence.sort())
 
 
-def test_a_complete_trace_goes_from_the_response_to_the_control_interval():
-    (link,) = trace_index([applied(1010.0, 1, [[WEIGHT, "v1"]])], [sent(1000.0, 1), ack(1012.0, 1)]).trace("x").origins
-    assert (link.epoch, link.revision, link.nonce, link.resource, link.gap) == (EPOCH, 4, f"{EPOCH}.1", WEIGHT, "")
-    assert (link.decided_ms, link.sent_ms, link.applied_ms, link.acked_ms) == (
+def test_a_complete_trace_leads_from_the_response_to_the_control_interval():
+    (origin,) = (
+        trace_index([applied(1010.0, 1, [[WEIGHT, "v1"]])], [sent(1000.0, 1), ack(1012.0, 1)]).trace("x").origins
+    )
+    assert (origin.epoch, origin.revision, origin.nonce, origin.resource, origin.gap) == (
+        EPOCH,
+        4,
+        f"{EPOCH}.1",
+        WEIGHT,
+        "",
+    )
+    assert (origin.decided_ms, origin.sent_ms, origin.applied_ms, origin.acked_ms) == (
         900.0,
         1000.0,
         1010.0,
@@ -63,13 +71,13 @@
     [
         ([], [], (), "no response that it applied held this version"),
         ([applied(2500.0, 1, [[WEIGHT, "v1"]])], [sent(2490.0, 1), ack(2501.0, 1)], (),
-         "no response that it applied held this version"),  # only after the try
+         "no response that it applied held this version"),  # applied only after the attempt
         ([applied(1010.0, 1, [[WEIGHT, "v1"]], "RouteConfiguration")], [sent(1000.0, 1)], (),
          "no response that it applied held this version"),  # another type's version of the same name
         ([applied(1010.0, 1, [[WEIGHT, "v1"]])], [ack(1012.0, 1)], (), "no record of its sending"),
         ([applied(1010.0, 1, [[WEIGHT, "v1"]])], [sent(1000.0, 1, 7), ack(1012.0, 1)], (), "sent as order 7"),
         ([applied(1010.0, 1, [[WEIGHT, "v1"]])], [sent(1000.0, 1), sent(1900.0, 2), ack(1950.0, 2)], (),
-         "no acknowledgement"),  # a later word of the same stream came, this one never did
+         "no acknowledgement"),  # a later ack arrived on the same stream, this one did not
     ],
 )  # fmt: skip
 def test_a_trace_names_its_gap(rows, channel_rows, streams, gap):
@@ -78,14 +86,14 @@
     assert summarize(index).untraced == 1
 
 
-def test_an_ack_lost_with_its_stream_is_counted_separately_and_is_no_gap():
-    ended = {"at": 1011.0, "proxy": "p", "up": False, "pilot": "a"}
-    later = [sent(1000.0, 1), sent(1500.0, 2), ack(1510.0, 2)]
-    index = trace_index([applied(1010.0, 1, [[WEIGHT, "v1"]])], later, streams=[ended])
+def test_an_ack_lost_with_its_stream_is_counted_separately_and_is_not_a_gap():
+    stream_end = {"at": 1011.0, "proxy": "p", "up": False, "pilot": "a"}
+    channel_rows = [sent(1000.0, 1), sent(1500.0, 2), ack(1510.0, 2)]
+    index = trace_index([applied(1010.0, 1, [[WEIGHT, "v1"]])], channel_rows, streams=[stream_end])
     summary = summarize(index)
     assert (summary.untraced, summary.lost_acks) == (0, 1)
 
 
-def test_the_initial_table_was_assigned_by_no_interval():
+def test_the_initial_table_has_no_control_interval_and_no_gap():
     index = trace_index([], [], "standing")
     assert index.trace("x").gaps == [] and summarize(index).initial == 1
