--- a/quillstep/cli/bench.py
+++ b/quillstep/cli/bench.py
@@ -28,7 +28,7 @@
     "--exchanges", "requests_per_s", default=860.0, show_default=True, help="Requests per second, at the largest size."
 )
 @click.option("--seconds", default=20.0, show_default=True)
-@click.option("--pilots", "controllers", default=1, show_default=True, help="Number of controllers.")
+@click.option("--pilots", "controllers", default=1, show_default=True, help="Controllers.")
 @RECORD
 @OUT
 def streams(
--- a/quillstep/cli/recording.py
+++ b/quillstep/cli/recording.py
@@ -53,7 +53,7 @@
 @FOLDER
 @INCARNATION
 @click.option("--from", "begin_s", default=0.0, help="Seconds from the beginning of the incarnation.")
-@click.option("--for", "span_s", default=1.0, show_default=True, help="Length in seconds.")
+@click.option("--for", "span_s", default=1.0, show_default=True, help="Seconds.")
 @click.option("--kind", "kinds", multiple=True, help="Only records of this kind.")
 def show(folder: str, name: str | None, begin_s: float, span_s: float, kinds: tuple[str, ...]) -> None:
     """Print the records of a time span, one JSON line each; messages are shown by their size."""
--- a/quillstep/cli/tables.py
+++ b/quillstep/cli/tables.py
@@ -30,17 +30,8 @@
 POLL_INTERVAL_S = 0.05
 LOG_KEYS = ("table", "name", "parent", "cause", "who", "wall_ms", "order", "life")
 LOG_COLUMNS = (
-    "when",
-    "table",
-    "version",
-    "parent",
-    "cause",
-    "operator",
-    "weights",
-    "revision",
-    "incarnation",
-    "pinned",
-)
+    "when", "table", "version", "parent", "cause", "operator", "weights", "revision", "incarnation", "pinned",
+)  # fmt: skip
 SETTINGS = click.argument("settings", type=click.Path(exists=True))
 
 C = TypeVar("C", bound=Callable[..., Any])
--- a/quillstep/config/controller.py
+++ b/quillstep/config/controller.py
@@ -62,7 +62,7 @@
     max_rows: Annotated[PositiveCount, in_file("rows_most")] = 4096  # rows in one report
     max_message_bytes: Annotated[int, Field(ge=1024), in_file("message_most_bytes")] = 512 * 2**10
     ageing: bool = True  # whether older statistics weigh less
-    sampling: bool = True  # when readers are overloaded, only some proxies report in full
+    sampling: bool = True  # whether only some proxies report in full while readers are overloaded
 
 
 class RolloutGateSettings(Settings):
--- a/quillstep/config/cue/document.py
+++ b/quillstep/config/cue/document.py
@@ -51,7 +51,7 @@
 
 
 def _to_plain(node: Node, path: str, origin: Origin) -> Any:
-    """Converts a node to plain values, with defaults chosen; raises `ConfigError` for a value that is not concrete."""
+    """Converts a node to plain values, with defaults applied; raises `ConfigError` for a value that is not concrete."""
     origin.lines[path] = node.line
     if node.alternatives:
         return _to_plain(_choose_alternative(node, path, origin), path, origin)
--- a/quillstep/config/scenario.py
+++ b/quillstep/config/scenario.py
@@ -78,7 +78,8 @@
     # Whether controllers write a socket record; without it the rules cannot be checked and no request traced.
     record: bool = True
     gate: RolloutGateSettings = RolloutGateSettings()
-    store: StoreSettings = StoreSettings()  # for each controller; `folder` is a name below the scenario's folder
+    # The store of each controller; its `folder` is a name below the scenario's folder.
+    store: StoreSettings = StoreSettings()
     spans: Share = 0.0  # share of control intervals and of requests that are sampled
     controllers: Annotated[PositiveCount, in_file("pilots")] = 2
     requests_per_s: Annotated[Positive, in_file("exchanges_per_s")]
--- a/quillstep/recording/format.py
+++ b/quillstep/recording/format.py
@@ -12,7 +12,7 @@
     end      peer, stream, reason            roster   kind, entries, addresses (an endpoint list)
     probe    endpoint, healthy, took, load   files    kind, directory, payload, age_ms
     step     peers with a full send buffer   orders   interval, the planner's output in sequence, revision
-    sent     what, fields                    (updates sent, acks and nacks; informational)
+    sent     what, fields                    (an event of the socket record; informational, not replayed)
     reports  reader, summary of a window of load reports
 
 Version 1 had no `arrived_ms`; it is read as `handled_ms`.  Up to version 2 all load reports are requests.
