--- a/quillstep/platform/protocol/codec.py
+++ b/quillstep/platform/protocol/codec.py
@@ -96,6 +96,6 @@
     def ping(self) -> None:
         """Do nothing: the protocol has no ping from the controller."""
 
-    def goodbye(self) -> bytes:
+    def closing_bytes(self) -> bytes:
         """Return no bytes: the protocol has no error message for a peer that violates it."""
         return b""
--- a/tests/memory_fleet.py
+++ b/tests/memory_fleet.py
@@ -38,7 +38,7 @@
         self.line_ms = self.busy_until_ms = 0.0  # time to apply a line; end of the last apply
         self.log, self.last_nonce = [], ""
         core, settings = controller.core, controller.core.settings
-        self.stream = DeltaStream(core.tables, controller.encoder, settings.limits, "e", core.ordered_ms)
+        self.stream = DeltaStream(core.tables, controller.encoder, settings.limits, "e", core.revision_time_ms)
         first = self.request(CDS)
         first.node.id = name
         reported = self.stream.initial_versions(first)
