--- a/tests/load_reports/readers/test_readers.py
+++ b/tests/load_reports/readers/test_readers.py
@@ -68,9 +68,12 @@
             super().execute(command)
             return
         pid = self.controllers.processes[0].process.pid
-        for task in Path(f"/proc/{pid}/task").iterdir():
-            for child in (task / "children").read_text().split():
-                os.kill(int(child), signal.SIGKILL)
+        # All readers are listed before the first is killed: its end also ends the controller's thread that writes its
+        # input, and that thread's /proc entry would disappear while the list is read.
+        tasks = Path(f"/proc/{pid}/task").iterdir()
+        readers = [int(child) for task in tasks for child in (task / "children").read_text().split()]
+        for reader in readers:
+            os.kill(reader, signal.SIGKILL)
 
 
 @pytest.mark.parametrize("by", ["thread", "processes"])
