--- a/quillstep/controller/service.py
+++ b/quillstep/controller/service.py
@@ -206,7 +206,7 @@
         if self.store_submission:
             self.store_submission.submit(core, now)
         if self.recording:
-            full_peers = [self.encoder.peer_number(peer) for peer in self.loop.streams.full]
+            full_peers = [self.encoder.peer_number(peer) for peer in self.loop.streams.full_peers]
             self.recording.put([STEP, now, now, full_peers])
             if ran_interval:
                 output = [ORDERS, now, now, core.completed_intervals, core.recorded_output, core.tables.revision]
--- a/quillstep/files/__init__.py
+++ b/quillstep/files/__init__.py
@@ -1,1 +1,1 @@
-"""The second front: the same tables as files, a whole generation swapped in by one rename."""
+"""The file front: publishes the tables as files, one complete generation at a time, by an atomic rename."""
--- a/quillstep/files/events.py
+++ b/quillstep/files/events.py
@@ -1,4 +1,4 @@
-"""Events that the file front's own threads hand to the deciding thread."""
+"""Events that the file front's threads publish to the decision thread."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class RegistrationRead(NamedTuple):
-    """A proxy has written its registration; a text in place of its content says why that is unusable."""
+    """A proxy has written its registration; `content` is the reason as text if the registration is invalid."""
 
     directory: str
     content: RegisteredProxy | str
@@ -30,7 +30,7 @@
 
 
 class GenerationWritten(NamedTuple):
-    """A generation has been published, or has failed for the reason in `error`."""
+    """A generation has been published, or could not be written for the reason in `error`."""
 
     pending: PendingGeneration
     written_ms: float
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -1,6 +1,6 @@
-"""The file front in the deciding thread: registrations and acknowledgements to ledgers, generations to the writer.
+"""The file front's side in the decision thread: handles registrations and acknowledgements, queues generations.
 
-No file is touched here, so that a slow or full disk costs file-following proxies alone.
+This module accesses no files, so that a slow or full disk affects only the proxies that follow files.
 """
 
 from collections.abc import Callable
@@ -21,15 +21,15 @@
 from quillstep.xds.load_stats import read_report
 from quillstep.xds.proxy_front import FrontContext, ProxyFront
 
-MAINTENANCE_SHARE = 0.25  # of the idle timeout
+MAINTENANCE_SHARE = 0.25  # interval between two maintenance runs, as a share of the idle timeout
 MIN_RETRY_MS = 1.0
 
 
 class FileFront(ProxyFront):
-    """All file-following proxies of one controller.
+    """All proxies of one controller that follow files.
 
-    Its watcher and writer have threads of their own; they hand events to the deciding thread by `put`, which blocks
-    while its queue is full.
+    The watcher and the writer run in their own threads; they publish events to the decision thread by `put`, which
+    blocks while the queue is full.
     """
 
     def __init__(self, context: FrontContext, put: Callable[[FileEvent], None], disk: Disk | None = None) -> None:
@@ -41,23 +41,23 @@
         self.watcher = DirectoryWatcher(self.disk, settings.files, put)
         self.writer = GenerationWriter(self.disk, put)
         self.generation_encoder = GenerationEncoder(self.encoder, settings.files.form, settings.files.shards)
-        self.generations: dict[str, ProxyGenerations] = {}  # of joined proxies by directory
-        self.directories: dict[int, str] = {}
-        self.registered: dict[str, RegisteredProxy] = {}  # by directory, joined or not
-        self.digests: dict[str, dict[str, str]] = {}  # files of the newest generation by directory
+        self.generations: dict[str, ProxyGenerations] = {}  # joined proxies, by directory
+        self.directories: dict[int, str] = {}  # directories of joined proxies, by proxy number
+        self.registered: dict[str, RegisteredProxy] = {}  # joined and idle proxies, by directory
+        self.digests: dict[str, dict[str, str]] = {}  # by directory, then by file name in the newest generation
 
     def start(self) -> None:
-        """Starts both threads."""
+        """Starts the watcher's and the writer's threads."""
         self.watcher.start()
         self.writer.start()
         self.log.info("file front ready", root=self.disk.root)
 
     def stop(self) -> None:
-        """Ends both threads, without waiting for them."""
+        """Stops both threads without waiting for them."""
         self.watcher.stop()
         self.writer.stop()
 
-    # events
+    # Events
 
     def handle_event(self, event: FileEvent, now_ms: float) -> None:
         """Handles one event of the watcher or the writer."""
@@ -68,14 +68,14 @@
                 self._handle_registration(directory, content, age_ms, now_ms)
             case AcknowledgementRead(directory, data, age_ms):
                 is_recent = age_ms < self.file_settings.idle_timeout_ms
-                if generations := self._handle_sign_of_life(directory, is_recent, now_ms):
+                if generations := self._handle_activity(directory, is_recent, now_ms):
                     self._handle_ack(generations, data, now_ms)
             case LoadReportRead(directory, data):
-                if generations := self._handle_sign_of_life(directory, True, now_ms):
+                if generations := self._handle_activity(directory, True, now_ms):
                     self._handle_report(generations, data)
 
     def drop(self, proxy: int, reason: str, now_ms: float) -> None:
-        """Gives up a proxy that another front has now; only a new registration brings it back here."""
+        """Removes a proxy that has joined another front; it joins here again only by a new registration."""
         if directory := self.directories.get(proxy):
             self._leave(directory, reason, now_ms)
             self.registered.pop(directory, None)
@@ -87,11 +87,11 @@
             self.log.warning("registration rejected", proxy=directory, reason=registered)
             return
         self.registered[directory] = registered
-        if age_ms < self.file_settings.idle_timeout_ms:  # an older one joins when it gives a sign of life
+        if age_ms < self.file_settings.idle_timeout_ms:  # an older registration joins at the proxy's next activity
             self._join(directory, registered, now_ms)
 
-    def _handle_sign_of_life(self, directory: str, is_recent: bool, now_ms: float) -> ProxyGenerations | None:
-        """Returns the generations of a proxy that has written; one that was idle joins again by a recent file."""
+    def _handle_activity(self, directory: str, is_recent: bool, now_ms: float) -> ProxyGenerations | None:
+        """Returns the generations of a proxy that has written a file; an idle one joins again if the file is recent."""
         if directory not in self.generations and directory in self.registered and is_recent:
             self._join(directory, self.registered[directory], now_ms)
         generations = self.generations.get(directory)
@@ -100,7 +100,7 @@
         return generations
 
     def _join(self, directory: str, registered: RegisteredProxy, now_ms: float) -> None:
-        """A proxy is there: it holds what its generation on disk says, and what it says itself."""
+        """Joins a proxy with the resources of its generation on disk and the versions in its hello file."""
         registration = registered.registration
         if directory in self.generations:
             number = self.generations[directory].number
@@ -123,8 +123,8 @@
         registration = registered.registration
         versions = {key: resource.version for key, resource in registered.resources.items()}
         if registration.generation and not registered.held:
-            reason = "it says it holds a generation that can't be read"
-            self.log.warning("version unknown", proxy=registration.node, version=registration.generation, reason=reason)
+            reason = "the generation that the proxy holds cannot be read"
+            self.log.warning("unknown version", proxy=registration.node, version=registration.generation, reason=reason)
         for type_url, names in registration.versions.items():
             versions.update({resources.key_of(type_url, name): version for name, version in names.items()})
         return versions
@@ -189,7 +189,7 @@
                 nonce=f"{self.epoch}.g{generation.number}",
                 type="files",
             )
-            self.tables.pending_proxies.add(generations.proxy)  # changes since then leave with the next at once
+            self.tables.pending_proxies.add(generations.proxy)  # changes made during the write are sent at once
 
     def _handle_write_error(self, pending: PendingGeneration, is_current: bool, error: str, now_ms: float) -> None:
         generations, number = pending.generations, pending.generation.number
@@ -201,7 +201,7 @@
         if is_current:
             self.retry_ms[generations.proxy] = generations.retry_ms
 
-    # what is sent
+    # Updates
 
     def _send_changes(self, proxy: int, now_ms: float) -> None:
         directory = self.directories.get(proxy)
@@ -217,10 +217,10 @@
             self.retry_ms[proxy] = generations.retry_ms
 
     def _write(self, directory: str, generations: ProxyGenerations, generation: Generation) -> None:
-        """Hands a generation to the writer."""
+        """Queues a generation for the writer."""
         files = self.generation_encoder.files(generation.resources)
-        before = self.digests.get(directory, {})
-        changed_bytes = sum(len(file.data) for file in files if before.get(file.name) != file.digest)
+        previous = self.digests.get(directory, {})
+        changed_bytes = sum(len(file.data) for file in files if previous.get(file.name) != file.digest)
         self.digests[directory] = {file.name: file.digest for file in files}
         ordered_ms = self.ordered_ms(generation.revision)
         manifest = encode_manifest(self.epoch, generation.number, generation.revision, ordered_ms, files)
@@ -237,7 +237,7 @@
         )
 
     def _maintain(self, now_ms: float) -> None:
-        """Proxies that give no sign of life have left; so have those that never acknowledge a generation."""
+        """Removes proxies that are idle, and proxies that do not acknowledge a generation in time."""
         for directory, generations in list(self.generations.items()):
             self._log_overdue_ejections(generations.proxy, now_ms)
             oldest_ms = self.tables.proxies[generations.proxy].oldest_sent_ms()
--- a/quillstep/files/generation_files.py
+++ b/quillstep/files/generation_files.py
@@ -1,8 +1,8 @@
-"""A set of resources as files: discovery responses, one resource type or shard of a collection a file.
+"""Encodes a set of resources as files and decodes them, without I/O.
 
-Each resource is wrapped in a `Resource` with its name and version, as the published protocol allows in any discovery
-response; `version_info` is the hash of the names and versions.  One changed weight changes one small file.
-Without I/O.
+Each file is a discovery response with the resources of one type, or with one shard of a table's weights, so that one
+changed weight changes one small file.  Each resource is wrapped in a `Resource` with its name and version, as xDS
+allows in any discovery response; `version_info` is a hash of the names and versions.
 """
 
 from typing import NamedTuple
@@ -20,16 +20,16 @@
 MANIFEST = "manifest.json"
 FILE_STEMS = {LISTENER: "lds", CLUSTER: "cds", ADMISSION: "eds", ROUTES: "rds", EJECTED: "leds-withdrawn"}
 SUFFIXES = {"protobuf": ".pb", "json": ".json"}
-RAW = "raw"  # first place of a content that was read back from files: its resource's bytes follow
+RAW = "raw"  # marks the content of a resource that was read from a file: (RAW, serialized resource)
 MAX_CACHED_FILES = 16384
 
 
 class MalformedFileError(QuillstepError, ValueError):
-    """A file of a generation can't be read."""
+    """A file of a generation cannot be decoded."""
 
 
 class GenerationFile(NamedTuple):
-    """One file of a generation: its name, the hash that names its content, its bytes."""
+    """One file of a generation: its name, the digest of its content, and the content."""
 
     name: str
     digest: str
@@ -37,24 +37,32 @@
 
 
 class Manifest(msgspec.Struct, rename={"revision": "order"}):
-    """What a generation is made of: files by name with their hashes.  Versions stand in the files."""
+    """Lists the files of a generation; the versions of resources are in the files themselves.
+
+    Attributes:
+        origin: Incarnation of the controller that wrote the generation.
+        generation: Number of the generation.
+        revision: Revision of the tables.
+        ordered_ms: Time at which that revision was made.
+        files: Digests by file name.
+    """
 
-    origin: str  # the controller's incarnation that wrote it
+    origin: str
     generation: int
-    revision: int  # of the tables
+    revision: int
     ordered_ms: float
     files: dict[str, str]
 
 
 class GenerationEncoder:
-    """Makes files of resources; the same group of resources is encoded once, whoever holds it."""
+    """Encodes resources as files; a group of resources that several proxies hold is encoded once and cached."""
 
     def __init__(self, encoder: resources.Encoder, form: str, shards: int) -> None:
         self.encoder, self.form, self.shards = encoder, form, shards
         self.cached: dict[tuple[str, tuple[tuple[Key, str], ...]], GenerationFile] = {}
 
     def files(self, held: dict[Key, Resource]) -> list[GenerationFile]:
-        """All files of a set, in the order of their names."""
+        """Returns the files for a set of resources, sorted by name."""
         groups: dict[str, list[tuple[Key, Resource]]] = {}
         for key, resource in held.items():
             if key[0] in FILE_STEMS or key[0] == WEIGHT:
@@ -62,7 +70,7 @@
         return [self._file(name, sorted(groups[name], key=lambda row: row[0])) for name in sorted(groups)]
 
     def _file_name(self, key: Key) -> str:
-        """The file that a key belongs to."""
+        """Returns the name of the file that contains a key."""
         stem = f"leds-table-{key[1]}-{key[2] % self.shards:02x}" if key[0] == WEIGHT else FILE_STEMS[key[0]]
         return stem + SUFFIXES[self.form]
 
@@ -93,40 +101,40 @@
 
 
 def decode(name: str, data: bytes) -> discovery_pb2.DiscoveryResponse:
-    """A file of either form.
+    """Decodes a file in JSON or protobuf form, by its suffix.
 
     Raises:
-        MalformedFileError: It can't be read.
+        MalformedFileError: The content is not a discovery response.
     """
     try:
         if name.endswith(".json"):
             return json_format.Parse(data, discovery_pb2.DiscoveryResponse())
         return discovery_pb2.DiscoveryResponse.FromString(data)
-    except Exception as error:  # the two parsers raise types of their own
+    except Exception as error:  # the JSON and protobuf parsers have no common exception type
         raise MalformedFileError(f"{name}: {error}") from error
 
 
 def encode_manifest(
     origin: str, generation: int, revision: int, ordered_ms: float, files: list[GenerationFile]
 ) -> bytes:
-    """The manifest of a generation, as bytes."""
+    """Returns a generation's manifest as JSON."""
     digests = {file.name: file.digest for file in files}
     return msgspec.json.encode(Manifest(origin, generation, revision, ordered_ms, digests))
 
 
 def read_resources(files: dict[str, bytes]) -> dict[Key, Resource]:
-    """A generation read back: what a proxy that holds it holds.
+    """Decodes the files of a generation, given by name, into resources by key.
 
     Raises:
-        MalformedFileError: A file can't be read.
+        MalformedFileError: A file cannot be decoded, or contains a resource without its `Resource` wrapper.
     """
-    found: dict[Key, Resource] = {}
+    decoded: dict[Key, Resource] = {}
     for name, data in files.items():
         response = decode(name, data)
         for packed in response.resources:
             wrapped = discovery_pb2.Resource()
             if not packed.Unpack(wrapped):
-                raise MalformedFileError(f"{name}: a resource without its wrapping")
+                raise MalformedFileError(f"{name}: expected a resource wrapped in Resource")
             key = resources.key_of(response.type_url, wrapped.name)
-            found[key] = Resource(wrapped.version, (RAW, wrapped.resource.SerializeToString()))
-    return found
+            decoded[key] = Resource(wrapped.version, (RAW, wrapped.resource.SerializeToString()))
+    return decoded
--- a/quillstep/files/proxy_generations.py
+++ b/quillstep/files/proxy_generations.py
@@ -1,7 +1,8 @@
-"""One file-following proxy, without I/O: what its next generation holds, and what its acknowledgements mean.
+"""The generations of one proxy that follows files: builds the next one and handles acknowledgements, without I/O.
 
-A generation is a full set of resources, applied or rejected as a whole.  It is the last accepted set with the changes
-that the ledger wants sent, so that after a rejection the next one holds less, and never the rejected set unchanged.
+A generation is a complete set of resources that the proxy applies or rejects as a whole.  It consists of the last
+accepted set and the changes that the tables allow to be sent, so that the generation after a rejection contains fewer
+changes and never repeats the rejected set.
 """
 
 from typing import NamedTuple
@@ -10,60 +11,71 @@
 from quillstep.routing import Change, Key, Nack, ProxyState, Resource, Tables
 from quillstep.routing.resources import CLUSTER, ROUTES
 
-MAX_BACKOFF_FACTOR = 16.0  # of the first wait after a generation could not be written
+MAX_BACKOFF_FACTOR = 16.0  # limit of the exponential back-off after failed writes, in multiples of the first delay
 
 
 class Generation(NamedTuple):
-    """A set to write."""
+    """A complete set of resources to write.
+
+    Attributes:
+        number: Number of the generation.
+        revision: The newest revision of the tables in it.
+        resources: All resources.
+        updated: How many resources differ from the previous generation.
+        removed: How many resources of the previous generation are removed.
+    """
 
     number: int
-    revision: int  # the newest of the tables in it
+    revision: int
     resources: dict[Key, Resource]
-    updated: int  # against the generation before
+    updated: int
     removed: int
 
 
 class AckResult(NamedTuple):
-    """What an acknowledgement came to."""
+    """The result of an acknowledgement; `error` says why it was ignored, and is empty if it was not."""
 
     acknowledged: list[Change]
     nack: Nack | None
-    error: str  # why it is ignored; empty if it is not
+    error: str
 
 
 class ProxyGenerations:
-    """The generations of one proxy: `number` of the newest, `accepted` what it holds by its own acknowledgement."""
+    """The generations of one proxy: `number` is the newest one, `accepted` the resources acknowledged by the proxy."""
 
     def __init__(self, proxy: int, last_number: int, accepted: dict[Key, Resource]) -> None:
-        """A proxy that holds these resources.
+        """Initializes the state of a proxy that holds the given resources.
 
         Args:
-            proxy: Its number.
-            last_number: Of its newest generation on disk; numbers go on from there.
-            accepted: What it holds.
+            proxy: Number of the proxy.
+            last_number: Number of its newest generation on disk; later generations are numbered from there.
+            accepted: Resources that the proxy holds.
         """
         self.proxy = proxy
         self.number = last_number
         self.accepted_number = last_number
         self.accepted = accepted
         self.newest = dict(accepted)
-        self.sets: dict[int, dict[Key, Resource]] = {last_number: dict(accepted)}  # that may be accepted, by number
+        # Sets that the proxy may still acknowledge, by generation number.
+        self.sets: dict[int, dict[Key, Resource]] = {last_number: dict(accepted)}
         self.rejected_number = 0
         self.is_writing = False
         self.retry_ms = 0.0
-        self.failures = 0  # in a row, to write
+        self.failures = 0  # consecutive failed writes
         self.last_received_ms = 0.0
 
     def next(self, tables: Tables, now_ms: float) -> Generation | None:
-        """The next generation, if anything is to be sent and none is being written."""
+        """Returns the next generation, or None if there is nothing to send or a write is in progress or backed off."""
         if self.is_writing or now_ms < self.retry_ms:
             return None
         ledger = tables.proxies[self.proxy]
         base = dict(self.accepted if self.rejected_number > self.accepted_number else self.newest)
         has_unknown = any(key not in base for key in ledger.acknowledged)
         if has_unknown and not ledger.assignments:
-            return None  # a set without what it holds from elsewhere would remove that; it is assigned a table soon
-        changes = tables.changes_to_send(self.proxy, now_ms, _wants_all, together=True)
+            # The proxy holds resources from another source.  A set without them would remove them; they can be
+            # included once the proxy is assigned a table, which follows soon.
+            return None
+        changes = tables.changes_to_send(self.proxy, now_ms, _accepts_all, together=True)
         if not changes:
             return None
         resources, changes = _apply(*self._complete(tables, base, changes))
@@ -81,9 +93,10 @@
     def _complete(
         self, tables: Tables, base: dict[Key, Resource], changes: list[Change]
     ) -> tuple[dict[Key, Resource], list[Change]]:
-        """A set and its changes with what the proxy holds from elsewhere (a stream, another controller).
+        """Adds the resources that the proxy holds from another source (a stream, another controller).
 
-        Only the versions of that are known; where another version is desired by now, that goes early.
+        Only their versions are known, not their contents; a resource whose desired version has changed since is
+        sent at its desired version now, ahead of its turn.
         """
         ledger = tables.proxies[self.proxy]
         changed = {change.key for change in changes}
@@ -96,15 +109,15 @@
                 if desired.version != version and key not in changed:
                     changes.append(Change(key, desired))
             elif base[key].version == desired.version:
-                base[key] = desired  # read back from files before, known now
+                base[key] = desired  # replaces the encoded content that was read from files
         return base, changes
 
     def mark_written(self) -> None:
-        """The generation that was being written is on disk."""
+        """Records that the pending generation is on disk."""
         self.is_writing, self.failures = False, 0
 
     def mark_failed(self, ledger: ProxyState | None, number: int, now_ms: float, backoff_ms: float) -> None:
-        """A generation could not be written, and so was never sent; the next has what is newest then."""
+        """Records that a generation could not be written; the next one contains the newest state instead."""
         self.is_writing = False
         self.sets.pop(number, None)
         if ledger:
@@ -114,18 +127,18 @@
         self.failures += 1
 
     def handle_ack(self, tables: Tables, number: int, reason: str, now_ms: float) -> AckResult:
-        """The proxy holds this generation, or rejects it for a reason."""
+        """Records that the proxy holds a generation or, with a reason, rejects it."""
         if number not in self.sets or number > self.number:
-            return AckResult([], None, f"generation {number} was never written")
+            return AckResult([], None, f"generation {number} is unknown")
         ledger = tables.proxies[self.proxy]
         in_flight = sorted(int(nonce) for nonce in ledger.in_flight_updates if int(nonce) <= number)
         if reason:
             return self._reject(tables, ledger, number, in_flight, reason, now_ms)
         if number < self.accepted_number:
-            return AckResult([], None, f"generation {number} is older than {self.accepted_number}, which it held")
+            return AckResult([], None, f"generation {number} is older than the accepted one, {self.accepted_number}")
         acknowledged: list[Change] = []
-        for each in in_flight:
-            acknowledged += tables.record_ack(self.proxy, str(each), now_ms)
+        for sent_number in in_flight:
+            acknowledged += tables.record_ack(self.proxy, str(sent_number), now_ms)
         self.accepted_number = number
         self.accepted = self.sets[number]
         self.sets = {each: resources for each, resources in self.sets.items() if each >= number}
@@ -135,37 +148,47 @@
         self, tables: Tables, ledger: ProxyState, number: int, in_flight: list[int], reason: str, now_ms: float
     ) -> AckResult:
         if not in_flight:
-            return AckResult([], None, "" if number == self.rejected_number else "it had accepted that one")
+            return AckResult([], None, "" if number == self.rejected_number else "generation was accepted before")
         newest = str(in_flight[-1])
-        ledger.merge_in_flight([str(each) for each in in_flight[:-1]], newest)
+        ledger.merge_in_flight([str(sent_number) for sent_number in in_flight[:-1]], newest)
         nack = tables.record_nack(self.proxy, newest, reason, now_ms)
         self.rejected_number = number
         self.sets = {each: resources for each, resources in self.sets.items() if each == self.accepted_number}
         self.newest = dict(self.accepted)
-        self.sets[number] = dict(self.accepted)  # its acknowledgement may come again
+        self.sets[number] = dict(self.accepted)  # the same rejection may be read again
         return AckResult([], nack, "")
 
     def numbers_to_keep(self) -> set[int]:
-        """Generations that must stay on disk: the newest, and the last that the proxy holds."""
+        """Returns the generations that must stay on disk: the newest, and the last one that the proxy accepted."""
         return {self.number, self.accepted_number}
 
 
 class PendingGeneration(NamedTuple):
-    """A generation on its way to the disk."""
+    """A generation that waits to be written.
+
+    Attributes:
+        directory: The proxy's directory.
+        generations: State of the proxy.
+        generation: The generation itself.
+        files: Its encoded files.
+        manifest: Its encoded manifest.
+        keep: Numbers of other generations that stay on disk.
+        size_bytes: Size of the manifest and of the files that differ from the previous generation.
+    """
 
     directory: str
     generations: ProxyGenerations
     generation: Generation
     files: list[GenerationFile]
     manifest: bytes
-    keep: set[int]  # other generations that stay on disk
-    size_bytes: int  # of what has changed
+    keep: set[int]
+    size_bytes: int
 
 
 def _apply(resources: dict[Key, Resource], changes: list[Change]) -> tuple[dict[Key, Resource], list[Change]]:
-    """A set with the changes in it; no changes where they would leave routes to a table that is not there.
+    """Applies changes to a set; returns no changes if they would leave routes to a table that is not in the set.
 
-    Parts of a rejected set are tried by themselves, and a part may hold routes without their table.
+    A rejected update is split and its parts are sent separately, so a part may contain routes without their table.
     """
     for key, resource in changes:
         if resource:
@@ -178,5 +201,5 @@
     return resources, []
 
 
-def _wants_all(key: Key) -> bool:
+def _accepts_all(key: Key) -> bool:
     return True
--- a/quillstep/files/registration.py
+++ b/quillstep/files/registration.py
@@ -1,4 +1,4 @@
-"""What a proxy says of itself in its hello file, and what is known of the generation that it holds."""
+"""Reads a proxy's registration (its hello file) and the generation that the proxy holds."""
 
 from typing import NamedTuple
 
@@ -9,36 +9,51 @@
 from quillstep.routing import Key, Resource
 
 HELLO, ACK = "hello.json", "ack.json"
-UNKNOWN_GENERATION = -1  # it holds some generation, and which is not known
+UNKNOWN_GENERATION = -1  # the proxy holds a generation whose number is not known
 
 
 class Registration(msgspec.Struct):
-    """A hello file: who the proxy is, the generation it holds here, and versions it holds from elsewhere."""
+    """The content of a hello file.
+
+    Attributes:
+        node: The proxy's node id.
+        zone: The zone of the proxy.
+        usual: The request rate the proxy expects, in requests per second.
+        generation: The generation that the proxy holds from this root, or 0.
+        versions: Versions of resources that the proxy holds from another source, by type URL and name.
+    """
 
     node: str
     zone: str = ""
-    usual: float = 0.0  # requests a second
-    generation: int = 0  # 0: none
-    versions: dict[str, dict[str, str]] = {}  # by type URL and name
+    usual: float = 0.0
+    generation: int = 0
+    versions: dict[str, dict[str, str]] = {}
 
 
 class RegisteredProxy(NamedTuple):
-    """A registration, where the proxy's generations stand, and what the one it holds is made of."""
+    """A registration together with the generations on disk that belong to it.
+
+    Attributes:
+        registration: The content of the hello file.
+        newest: The highest generation number on disk.
+        held: The generation that the proxy holds; 0 if it holds none, or one that cannot be read.
+        resources: The resources of the held generation.
+    """
 
     registration: Registration
     newest: int
-    held: int  # 0 where it holds none, or one that can't be read
+    held: int
     resources: dict[Key, Resource]
 
 
 def read_registration(disk: Disk, directory: str, data: bytes) -> RegisteredProxy | str:
-    """A hello file and what it refers to on disk; a text says what is wrong with it."""
+    """Reads a hello file and the generation it refers to; returns the reason as text if the file is invalid."""
     try:
         registration = msgspec.json.decode(data, type=Registration)
     except msgspec.DecodeError as error:
         return str(error)
     if safe_name(registration.node) != directory:
-        return f"it says it is {registration.node!r}"
+        return f"node: expected the node of this directory, got {registration.node!r}"
     registration = _with_ack(disk, directory, registration)
     newest = disk.newest(directory)
     claimed = disk.generation(directory, registration.generation) if registration.generation > 0 else None
@@ -51,10 +66,10 @@
 
 
 def _with_ack(disk: Disk, directory: str, registration: Registration) -> Registration:
-    """A registration with what its proxy has acknowledged since.
+    """Updates a registration with a later acknowledgement.
 
-    Guards against a controller that starts over and takes a proxy that has followed it for long, by its old hello
-    file, for a new one that holds nothing.
+    A proxy writes its hello file only when it registers.  Without the acknowledgement, a restarted controller would
+    take a proxy that has followed it for a long time for a new one that holds nothing.
     """
     registered = disk.stamp(directory, HELLO)
     ack = disk.read(ACK, directory)
--- a/quillstep/files/watcher.py
+++ b/quillstep/files/watcher.py
@@ -1,4 +1,4 @@
-"""The thread that reads what proxies write, and says that their controller is alive."""
+"""The thread that polls the files written by proxies and keeps the controller's alive file up to date."""
 
 import threading
 import time
@@ -11,21 +11,22 @@
 from quillstep.files.events import AcknowledgementRead, FileEvent, LoadReportRead, RegistrationRead
 from quillstep.files.registration import ACK, HELLO, read_registration
 
-ALIVE_INTERVAL_SHARE = 0.1  # of the idle timeout, between two signs of life
-FRESH_MS = 100.0  # in which a directory may change twice under one time stamp
+ALIVE_INTERVAL_SHARE = 0.1  # interval between two updates of the alive file, as a share of the idle timeout
+TIMESTAMP_AMBIGUITY_MS = 100.0  # within this time, a directory may change twice under the same time stamp
 
 
 class DirectoryWatcher:
-    """Polls the proxies' directories and puts an event for each file that has changed.
+    """Polls the proxies' directories and publishes an event for each file that has changed.
 
-    `put` blocks while the deciding thread's queue is full.  All but `stop` belongs to the watcher's thread.
+    `put` blocks while the decision thread's queue is full.  Except for `start` and `stop`, all methods run in the
+    watcher's thread.
     """
 
     def __init__(self, disk: Disk, settings: FileSettings, put: Callable[[FileEvent], None]) -> None:
         self.disk, self.settings, self.put = disk, settings, put
         self.stopping = threading.Event()
-        self.stamps: dict[tuple[str, str], Stamp | None] = {}  # by directory and file; of the directory itself by ""
-        self.errors: dict[str, str] = {}  # logged last, by directory
+        self.stamps: dict[tuple[str, str], Stamp | None] = {}  # by directory and file name; "" for the directory itself
+        self.errors: dict[str, str] = {}  # the error logged last, by directory
         self.log = structlog.get_logger("files")
 
     def start(self) -> None:
@@ -33,18 +34,18 @@
         threading.Thread(target=self.run, name="file-watcher", daemon=True).start()
 
     def stop(self) -> None:
-        """Ends the thread, without waiting: it may be blocked in `put`, which nobody takes from any more."""
+        """Stops the thread without waiting for it: it may be blocked in `put` on a queue that is no longer read."""
         self.stopping.set()
 
     def run(self) -> None:
-        """Until `stop`."""
-        alive_ms = 0.0
+        """Polls until `stop` is called."""
+        touched_ms = 0.0
         while not self.stopping.wait(self.settings.poll_interval_ms / 1000.0):
             try:
                 now_ms = time.monotonic() * 1000.0
-                if now_ms - alive_ms > ALIVE_INTERVAL_SHARE * self.settings.idle_timeout_ms:
-                    self.disk.alive()
-                    alive_ms = time.monotonic() * 1000.0
+                if now_ms - touched_ms > ALIVE_INTERVAL_SHARE * self.settings.idle_timeout_ms:
+                    self.disk.touch_alive_file()
+                    touched_ms = time.monotonic() * 1000.0
                 for directory in self.disk.proxies():
                     self._poll(directory)
             except OSError as error:
@@ -60,9 +61,9 @@
             self._log_once(directory, str(error))
 
     def _may_have_changed(self, directory: str) -> bool:
-        """By the directory's own stamp, unless it is so fresh that another change may share it."""
+        """Compares the directory's stamp; a recent one is not trusted, as another change may have the same."""
         stamp = self.disk.stamp(directory, "")
-        is_settled = stamp is not None and _age_ms(stamp) > FRESH_MS
+        is_settled = stamp is not None and _age_ms(stamp) > TIMESTAMP_AMBIGUITY_MS
         is_unchanged = is_settled and self.stamps.get((directory, "")) == stamp
         self.stamps[directory, ""] = stamp if is_settled else None
         return not is_unchanged
@@ -84,13 +85,13 @@
             return
         for name in self.disk.reports(directory):
             file = self.disk.read(name, directory, "load")
-            self.disk.drop_report(directory, name)
+            self.disk.remove_report(directory, name)
             if file:
                 self.put(LoadReportRead(directory, file.data))
         self.stamps[directory, "load"] = self.disk.stamp(directory, "load")
 
     def _log_once(self, directory: str, error: str) -> None:
-        """Logs what can't be read, once for each state of it."""
+        """Logs an error of a directory unless it equals the one logged last."""
         if self.errors.get(directory) != error:
             self.errors[directory] = error
             self.log.warning("path rejected", proxy=directory, reason=error)
--- a/quillstep/files/writer.py
+++ b/quillstep/files/writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes generations, many with one sync of the disk."""
+"""The thread that writes generations to disk, with one sync for each batch."""
 
 import queue
 import threading
@@ -9,31 +9,31 @@
 from quillstep.files.events import GenerationWritten
 from quillstep.files.proxy_generations import PendingGeneration
 
-MAX_BATCH = 512  # generations between two syncs
-CLEANUP_SWAPS = 2000  # between two cleanups of files that no generation links
+MAX_BATCH_GENERATIONS = 512  # generations written with one sync
+SWAPS_PER_CLEANUP = 2000  # swaps between two cleanups of objects that no generation links to
 
 
 class GenerationWriter:
-    """Writes the generations of its queue; `put` gets an event for each that is written or has failed."""
+    """Writes queued generations, and publishes an event by `put` for each one that is written or has failed."""
 
     def __init__(self, disk: Disk, put: Callable[[GenerationWritten], None]) -> None:
         self.disk, self.put = disk, put
-        self.queue: queue.SimpleQueue[PendingGeneration | None] = queue.SimpleQueue()  # None: stop
-        self.swaps = 0  # since the last cleanup
+        self.queue: queue.SimpleQueue[PendingGeneration | None] = queue.SimpleQueue()  # None stops the thread
+        self.swaps_since_cleanup = 0
 
     def start(self) -> None:
         """Starts the thread."""
         threading.Thread(target=self.run, name="file-writer", daemon=True).start()
 
     def stop(self) -> None:
-        """Ends the thread, without waiting: the disk may be slow, and `put` may be blocked."""
+        """Stops the thread without waiting for it: the disk may be slow, and `put` may be blocked."""
         self.queue.put(None)
 
     def run(self) -> None:
-        """Until `stop`."""
+        """Writes batches of generations until `stop` is called."""
         while (first := self.queue.get()) is not None:
             batch = [first]
-            while len(batch) < MAX_BATCH and not self.queue.empty():
+            while len(batch) < MAX_BATCH_GENERATIONS and not self.queue.empty():
                 pending = self.queue.get()
                 if pending is None:
                     return
@@ -41,8 +41,8 @@
             self._write(batch)
 
     def _write(self, batch: list[PendingGeneration]) -> None:
-        """Prepares all, syncs once, then swaps each in; what fails fails for its proxy alone."""
-        prepared = [pending for pending in batch if self._try(pending, self._prepare)]
+        """Prepares all generations, syncs once, then swaps each in; an error of one affects its proxy only."""
+        prepared = [pending for pending in batch if self._run_step(pending, self._prepare)]
         try:
             self.disk.sync()
         except OSError as error:
@@ -50,11 +50,11 @@
                 self._report(pending, str(error))
             return
         for pending in prepared:
-            if self._try(pending, self._swap_in):
+            if self._run_step(pending, self._swap_in):
                 self._report(pending, "")
-        self.swaps += len(prepared)
-        if self.swaps >= CLEANUP_SWAPS:
-            self.swaps = 0
+        self.swaps_since_cleanup += len(prepared)
+        if self.swaps_since_cleanup >= SWAPS_PER_CLEANUP:
+            self.swaps_since_cleanup = 0
             self.disk.clear_objects()
 
     def _prepare(self, pending: PendingGeneration) -> None:
@@ -63,8 +63,8 @@
     def _swap_in(self, pending: PendingGeneration) -> None:
         self.disk.swap_in(pending.directory, pending.generation.number, pending.keep)
 
-    def _try(self, pending: PendingGeneration, step: Callable[[PendingGeneration], None]) -> bool:
-        """Does one generation's step; False where it fails, which is its event."""
+    def _run_step(self, pending: PendingGeneration, step: Callable[[PendingGeneration], None]) -> bool:
+        """Runs a step for one generation; if it fails, publishes the error and returns False."""
         try:
             step(pending)
         except (OSError, UnusableFileError) as error:
--- a/quillstep/load_reports/readers/session.py
+++ b/quillstep/load_reports/readers/session.py
@@ -17,7 +17,7 @@
 from quillstep.load_reports.messages import ReportRequest
 from quillstep.load_reports.validation import ReportAccount
 from quillstep.xds.grpc import INVALID_ARGUMENT, PERMISSION_DENIED, UNAVAILABLE
-from quillstep.xds.load_stats import life_of, load_request, read_report
+from quillstep.xds.load_stats import incarnation_of, load_request, read_report
 
 JOIN_POLL_PERIODS = 0.1  # between two checks whether a proxy has joined whose reports came first
 SILENT_PERIODS = 3.0  # after which a stream without an incarnation may lose its name to another
@@ -202,7 +202,7 @@
 
         A name that has joined in another incarnation, or that another stream speaks for, can't be claimed.
         """
-        name, incarnation = request.node.id, life_of(request.node)
+        name, incarnation = request.node.id, incarnation_of(request.node)
         if not name:
             self._end(key, INVALID_ARGUMENT, "the first request names no node")
             return False
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -18,7 +18,7 @@
 from quillstep.xds.client import MAX_MESSAGE_BYTES
 from quillstep.xds.http2 import GrpcConnection, MessageReceived, ProtocolError, StreamEnded
 from quillstep.xds.load_stats import LATENCY_BUCKET_PREFIX
-from quillstep.xds.peer import dial
+from quillstep.xds.peer import connect
 from quillstep.xds.server import LOAD
 
 CONNECT_TIMEOUT_MS = 250.0
@@ -37,7 +37,7 @@
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.sock = dial(address, CONNECT_TIMEOUT_MS)
+        self.sock = connect(address, CONNECT_TIMEOUT_MS)
         self.sock.settimeout(None)  # it blocks, but for what says it must not
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.http2 = GrpcConnection(True, MAX_MESSAGE_BYTES)
--- a/quillstep/xds/__init__.py
+++ b/quillstep/xds/__init__.py
@@ -1,1 +1,1 @@
-"""The streaming front: xDS (delta and state of the world), load reports, over HTTP/2 on blocking sockets."""
+"""The xDS front: discovery streams (delta and state-of-the-world) and load reports as gRPC over HTTP/2."""
--- a/quillstep/xds/client.py
+++ b/quillstep/xds/client.py
@@ -1,28 +1,28 @@
-"""A small gRPC client on a blocking socket: what a controller needs to follow endpoint discovery."""
+"""A minimal gRPC client on a blocking socket, with which a controller follows endpoint discovery."""
 
 import contextlib
 import queue
 from collections.abc import Iterator
 
 from quillstep.xds.http2 import Event, GrpcConnection
-from quillstep.xds.peer import DialledConnection, dial
+from quillstep.xds.peer import ClientConnection, connect
 
 MAX_MESSAGE_BYTES = 16 * 2**20
 MAX_HEADER_BYTES = 64 * 1024
 MAX_UNSENT_BYTES = 4 * 2**20
 MAX_QUEUED_EVENTS = 1024
-CLOSE_TIMEOUT_S = 1.0  # for room in a full queue
+CLOSE_TIMEOUT_S = 1.0  # how long to wait for space in a full event queue when the connection closes
 
 
 class GrpcClient:
-    """One connection as its client.  `events` gives what arrives until the connection ends."""
+    """A client connection; `events` yields what the server sends until the connection closes."""
 
     def __init__(self, address: str, timeout_ms: float, idle_timeout_ms: float = 15000.0) -> None:
         self.address = address
-        sock = dial(address, timeout_ms)
+        sock = connect(address, timeout_ms)
         self.queue: queue.Queue[Event | None] = queue.Queue(MAX_QUEUED_EVENTS)
         self.reason = ""
-        self.connection = DialledConnection(
+        self.connection = ClientConnection(
             sock,
             GrpcConnection(True, MAX_MESSAGE_BYTES, MAX_HEADER_BYTES),
             self._on_event,
@@ -33,10 +33,10 @@
         self.connection.start()
 
     def open(self, path: str) -> int:
-        """Opens a stream to a method; returns its number.
+        """Opens a stream to a method and returns the stream's number.
 
         Raises:
-            ConnectionError: The connection has ended.
+            ConnectionError: The connection is closed.
         """
         opened: list[int] = []
         self.connection.with_codec(lambda codec: opened.append(codec.open(path, self.address)))
@@ -45,22 +45,22 @@
         return opened[0]
 
     def send(self, stream: int, message: bytes) -> bool:
-        """Queues a message; False if the connection has ended."""
+        """Queues a message; returns False if the connection is closed."""
         return self.connection.send(stream, message)
 
     def events(self) -> Iterator[Event]:
-        """What arrives, until the connection ends."""
+        """Yields events until the connection closes."""
         while (event := self.queue.get()) is not None:
             yield event
 
     def close(self) -> None:
-        """Ends the connection."""
-        self.connection.close("closed by its owner")
+        """Closes the connection."""
+        self.connection.close("closed by the client")
 
-    def _on_event(self, connection: DialledConnection, event: Event) -> None:
+    def _on_event(self, connection: ClientConnection, event: Event) -> None:
         self.queue.put(event)
 
-    def _on_closed(self, connection: DialledConnection, reason: str) -> None:
+    def _on_closed(self, connection: ClientConnection, reason: str) -> None:
         self.reason = reason
         with contextlib.suppress(queue.Full):
             self.queue.put(None, timeout=CLOSE_TIMEOUT_S)
--- a/quillstep/xds/delta.py
+++ b/quillstep/xds/delta.py
@@ -1,8 +1,8 @@
-"""One delta stream (`DeltaAggregatedResources`), without I/O: requests in, responses out, tables between them.
+"""One delta stream (`DeltaAggregatedResources`), without I/O.
 
-Versions are the resources' own, nonces are the stream's.  A response is the changes of one type and one revision; its
-`system_version_info` is `epoch/revision/ordered`, by which the sockets' record tells which responses make one message
-of the channel, and when that was ordered (milliseconds).
+Versions belong to resources, nonces to the stream.  A response carries the changes of one type and one revision.  Its
+`system_version_info` is `epoch/revision/ordered`: from it, the socket record tells which responses form one message
+of the update channel, and when that revision was made (milliseconds).
 """
 
 from collections.abc import Iterable
@@ -17,19 +17,19 @@
 from quillstep.xds.stream import RequestResult, Response, Stream
 
 SERVED_TYPES = frozenset(resources.TYPES.values())
-WILDCARD_TYPES = (resources.LDS, resources.CDS)  # no names in a first request for these mean all
+WILDCARD_TYPES = (resources.LDS, resources.CDS)  # a first request without names subscribes to all resources
 
 
 @dataclass(slots=True)
 class Subscription:
-    """What a stream subscribes to of one type: names, globs of collections, or all."""
+    """A stream's subscription to one type: names, glob collections, or all resources."""
 
     names: set[str] = field(default_factory=set)
     globs: set[str] = field(default_factory=set)
     is_wildcard: bool = False
 
     def covers(self, key: Key) -> bool:
-        """Whether a key is subscribed to."""
+        """Returns whether a key is subscribed to."""
         if self.is_wildcard or resources.name(key) in self.names:
             return True
         return bool(self.globs) and key[0] in (WEIGHT, EJECTED) and resources.collection(key) in self.globs
@@ -42,22 +42,22 @@
         super().__init__(*shared)
         self.subscriptions: dict[str, Subscription] = {}  # by type URL
 
-    # requests
+    # Requests
 
     def initial_versions(self, request: discovery_pb2.DeltaDiscoveryRequest) -> dict[Key, str]:
-        """What the first request says that the proxy holds.
+        """Returns the versions that the proxy holds according to its first request.
 
         Raises:
-            StreamError: It names no node.
+            StreamError: The request does not name a node.
         """
         self._check_node(request)
         return _initial_versions(request)
 
     def handle_request(self, request: discovery_pb2.DeltaDiscoveryRequest, now_ms: float) -> RequestResult:
-        """Records a request; returns what it acknowledged or rejected.
+        """Handles a request; returns the changes that it acknowledges or rejects.
 
         Raises:
-            StreamError: The stream has to end.
+            StreamError: The request exceeds a limit, and the stream must be closed.
         """
         type_url = request.type_url
         if type_url not in SERVED_TYPES:
@@ -79,7 +79,7 @@
         return result
 
     def _subscribe(self, type_url: str, subscription: Subscription, names: Iterable[str]) -> None:
-        """Subscribes to names; one that is subscribed to again is sent again, as the protocol has it."""
+        """Subscribes to names; a name that is subscribed to again is sent again, as the protocol requires."""
         acknowledged: list[Key] = []
         to_send: list[Key] = []
         for name in names:
@@ -99,7 +99,7 @@
         self.tables.subscribe(self.proxy, to_send, True)
 
     def _subscribe_covered(self, type_url: str, subscription: Subscription) -> None:
-        """Subscribes to all that a wildcard or glob covers; what is acknowledged already is not sent again."""
+        """Subscribes to all keys that a wildcard or glob covers; acknowledged resources are not sent again."""
         keys = [key for key in self.tables.desired_keys(self.proxy) if resources.type_url(key) == type_url]
         self.tables.subscribe(self.proxy, [key for key in keys if subscription.covers(key)], False)
 
@@ -119,25 +119,28 @@
         )
 
     def is_subscribed(self, key: Key) -> bool:
-        """Whether the proxy has subscribed to this key; a key that is not ours is only ever removed."""
+        """Returns whether the proxy has subscribed to this key.
+
+        Resources that this controller does not define can only be removed, for any subscription to their type.
+        """
         subscription = self.subscriptions.get(resources.type_url(key))
         return subscription is not None and (key[0] == FOREIGN or subscription.covers(key))
 
-    # responses
+    # Responses
 
     def pump(self, now_ms: float) -> list[Response]:
-        """What may be sent now, in order; bounded by what may be in flight, and by what the proxy applies at once.
+        """Returns the responses that may be sent now, in order.
 
-        While an acknowledgement is late only ejections are sent: all other changes merge meanwhile, and what is
-        superseded is never sent.
+        They are limited by the number of updates in flight and by how much the proxy can apply at once.  While an
+        acknowledgement is late, only ejections are sent; other changes are merged, and superseded ones never sent.
         """
-        responses = self._take_errors()
+        responses = self._pop_errors()
         ledger = self.tables.proxies[self.proxy]
         is_late = ledger.has_late_ack(now_ms)
         if type_url := ledger.probe_type_url(now_ms):
             responses.append(self._send(ChangesOfType(type_url, []), now_ms))
         while len(ledger.in_flight_updates) < self.limits.max_in_flight:
-            is_split = bool(ledger.split_updates)  # parts of a rejected update are small, and go by themselves
+            is_split = bool(ledger.split_updates)  # parts of a rejected update are small, and each is sent separately
             changes = self.tables.changes_to_send(self.proxy, now_ms, self.is_subscribed)
             if not is_split:
                 if is_late:
@@ -153,7 +156,7 @@
         return responses
 
     def _send(self, group: "ChangesOfType", now_ms: float) -> Response:
-        """Records changes as sent, and makes their response."""
+        """Records changes as sent, and returns the response that carries them."""
         type_url, changes = group
         nonce = self._next_nonce()
         self.tables.record_sent(self.proxy, nonce, changes, now_ms, type_url)
@@ -169,16 +172,17 @@
 
 
 class ChangesOfType(NamedTuple):
-    """Changes that go in one response."""
+    """The changes that one response carries."""
 
     type_url: str
     changes: list[Change]
 
 
 def group_by_type(changes: list[Change]) -> list[ChangesOfType]:
-    """Changes by type, so that what must go first does; weights and ejections share a type and a response.
+    """Groups changes by type and by update or removal; what must be sent first stays first.
 
-    One response is applied as a whole: an endpoint's ejection and the weights that replace it are never apart.
+    Weights and ejections share a type, so they share a response.  The proxy applies a response as a whole, so an
+    endpoint's ejection always takes effect together with the weights that compensate for it.
     """
     groups: dict[tuple[str, bool], ChangesOfType] = {}
     for change in changes:
--- a/quillstep/xds/events.py
+++ b/quillstep/xds/events.py
@@ -1,4 +1,4 @@
-"""Events that the xDS server hands to the deciding thread."""
+"""Events that the xDS server publishes to the decision thread."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 
 
 class StreamRequest(msgspec.Struct, frozen=True, gc=False):
-    """A message has come on an open stream, as a protobuf message and as the bytes that were sent."""
+    """A message has arrived on an open stream; `data` is its encoded form as received."""
 
     peer: GrpcPeer
     stream: int
@@ -25,7 +25,7 @@
 
 
 class StreamEnded(msgspec.Struct, frozen=True, gc=False):
-    """A stream has ended, or its connection has."""
+    """A stream or its connection has closed."""
 
     peer: GrpcPeer
     stream: int
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -1,4 +1,4 @@
-"""The streaming front in the deciding thread: requests to ledgers, responses to peers, and the reports among them."""
+"""The xDS front's side in the decision thread: handles requests on streams, and sends updates as responses."""
 
 from typing import Any, NamedTuple
 
@@ -8,14 +8,14 @@
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.events import StreamEnded, StreamEvent, StreamOpened
 from quillstep.xds.grpc import RESOURCE_EXHAUSTED, UNAVAILABLE
-from quillstep.xds.load_stats import life_of, load_request, read_report
+from quillstep.xds.load_stats import incarnation_of, load_request, read_report
 from quillstep.xds.proxy_front import FrontContext, ProxyFront
 from quillstep.xds.server import DELTA, LOAD, Peer, Server
 from quillstep.xds.sotw import SotwStream
 from quillstep.xds.stream import Response, StreamError
 
 MAINTENANCE_INTERVAL_MS = 500.0
-REDIALLED = "the proxy dialled anew"
+REPLACED_REASON = "the proxy dialled anew"  # sent as a status message and recorded
 DELAY_EVENTS = {IN_TIME: "update in time", LATE: "update late", STALLED: "update stalled", LOST: "update lost"}
 
 DiscoveryStream = DeltaStream | SotwStream
@@ -29,17 +29,17 @@
 
 
 class XdsFront(ProxyFront):
-    """All streams of one controller."""
+    """All discovery streams of one controller."""
 
     def __init__(self, context: FrontContext) -> None:
         super().__init__(context, logger="xds", maintenance_interval_ms=MAINTENANCE_INTERVAL_MS)
         self.server: Server | None = None
         self.streams: dict[StreamKey, DiscoveryStream] = {}
-        self.by_proxy: dict[int, StreamKey] = {}  # where each proxy's stream is
-        self.reporters: dict[StreamKey, str] = {}  # whose load reports arrive on each stream
-        self.full: list[Peer] = []  # peers that had no room at the last pump
+        self.by_proxy: dict[int, StreamKey] = {}  # the newest stream of each proxy
+        self.reporters: dict[StreamKey, str] = {}  # node ids of proxies, by the stream that carries their load reports
+        self.full_peers: list[Peer] = []  # peers whose send buffer was full at the last pump
 
-    # events
+    # Events
 
     def handle_event(self, event: StreamEvent, now_ms: float) -> None:
         """Handles one event of the server."""
@@ -54,11 +54,11 @@
             try:
                 self._handle_request(key, event.message, now_ms)
             except StreamError as error:
-                self.log.warning("stream ended", proxy=self._node_of(key), reason=str(error))
+                self.log.warning("stream closed", proxy=self._node_of(key), reason=str(error))
                 self._finish(key, error.status, str(error), now_ms)
 
     def drop(self, proxy: int, reason: str, now_ms: float) -> None:
-        """Ends the stream of a proxy that another front has now."""
+        """Closes the stream of a proxy that has joined another front."""
         if proxy in self.by_proxy:
             self._finish(self.by_proxy[proxy], UNAVAILABLE, reason, now_ms)
 
@@ -77,7 +77,7 @@
         if stream.proxy < 0:
             self._join(key, stream, request, now_ms)
         elif self.by_proxy.get(stream.proxy) != key:
-            return  # the proxy has dialled anew; this is a late request of the old stream
+            return  # a late request on an old stream: the proxy has opened a new one
         acknowledged, nack = stream.handle_request(request, now_ms)
         node = self.nodes[stream.proxy]
         if acknowledged:
@@ -89,28 +89,28 @@
             self.retry_ms[stream.proxy] = self.tables.proxies[stream.proxy].split_retry_ms
 
     def _join(self, key: StreamKey, stream: DiscoveryStream, request: Any, now_ms: float) -> None:
-        """A stream's first request, which names its proxy."""
+        """Joins the proxy that a stream's first request names; closes its previous stream, if any."""
         held = stream.initial_versions(request)
         node = request.node
         is_fresh = not held and not getattr(request, "version_info", "")
         before = self.hooks.joined_number(node.id)
         if before is not None and before in self.by_proxy:
-            self.log.info("stream replaced", proxy=node.id, reason=REDIALLED)
-            self._finish(self.by_proxy[before], UNAVAILABLE, REDIALLED, now_ms)
+            self.log.info("stream replaced", proxy=node.id, reason=REPLACED_REASON)
+            self._finish(self.by_proxy[before], UNAVAILABLE, REPLACED_REASON, now_ms)
         usual = node.metadata.fields["usual"].number_value if "usual" in node.metadata.fields else 0.0
         zone = node.locality.zone
-        stream.proxy = self.hooks.add_proxy(node.id, zone, usual, held, is_fresh, self, life_of(node))
+        stream.proxy = self.hooks.add_proxy(node.id, zone, usual, held, is_fresh, self, incarnation_of(node))
         self.by_proxy[stream.proxy] = key
         self._record_joined(stream.proxy, node.id, zone, is_fresh, len(held), now_ms)
 
     def _finish(self, key: StreamKey, status: int, text: str, now_ms: float) -> None:
-        """Ends a stream with a status that its peer can read."""
+        """Closes a stream with a gRPC status."""
         assert self.server
         self.server.finish(*key, status, text)
         self._end(key, text, now_ms)
 
     def _end(self, key: StreamKey, reason: str, now_ms: float) -> None:
-        """A stream has ended, and if it is its proxy's newest the proxy has left."""
+        """Handles the end of a stream; if it was the newest one of its proxy, the proxy has left."""
         self.reporters.pop(key, None)
         stream = self.streams.pop(key, None)
         if stream is None or self.by_proxy.get(stream.proxy) != key:
@@ -120,7 +120,7 @@
         self._record_left(stream.proxy, reason, now_ms)
 
     def _handle_report(self, key: StreamKey, request: lrs_pb2.LoadStatsRequest, data: bytes) -> None:
-        """A report among the other events: only where no reader takes them."""
+        """Handles a load report that arrives as an event: the case without a report reader."""
         if key not in self.reporters:
             self.reporters[key] = request.node.id
             key.peer.send(key.stream, load_request(self.settings.fleet.proxies.report_interval_ms, True))
@@ -130,11 +130,11 @@
                 proxy, read_report(request, data, self.hooks.class_indexes, self.hooks.endpoint_numbers)
             )
 
-    # what is sent
+    # Updates
 
     def pump(self, now_ms: float, changed: set[int]) -> None:
-        """Sends what may be sent to every proxy of this front that has changes, or is to be tried again."""
-        self.full = []
+        """Sends pending updates to each proxy of this front that has changes or whose retry time has come."""
+        self.full_peers = []
         super().pump(now_ms, changed)
 
     def _send_changes(self, proxy: int, now_ms: float) -> None:
@@ -142,8 +142,8 @@
         if key is None:
             return
         if key.peer.unsent_bytes() > self.settings.limits.max_unsent_bytes:
-            self.full.append(key.peer)
-            self.tables.pending_proxies.add(proxy)  # the newest state goes when there is room, no backlog
+            self.full_peers.append(key.peer)
+            self.tables.pending_proxies.add(proxy)  # the newest state is sent once there is space, without a backlog
             return
         for response in self.streams[key].pump(now_ms):
             self._send(proxy, key, response, now_ms)
@@ -167,7 +167,7 @@
         key.peer.send(key.stream, response.message)
 
     def _maintain(self, now_ms: float) -> None:
-        """Ends streams that acknowledge nothing: an update that is never held must not look like one in flight."""
+        """Closes streams without acknowledgements: an update that is never applied must not stay in flight for ever."""
         max_age_ms = self.settings.limits.ack_timeout_ms
         for proxy, key in list(self.by_proxy.items()):
             self._log_overdue_ejections(proxy, now_ms)
@@ -175,20 +175,20 @@
             for delay in ledger.new_ack_delays(now_ms, key.peer.last_received_ms):
                 self._record_ack_delay(proxy, delay, now_ms)
             if ledger.has_late_ack(now_ms):
-                self.retry_ms[proxy] = now_ms  # it may have to be probed
+                self.retry_ms[proxy] = now_ms  # a probe may be due
             oldest_ms = ledger.oldest_sent_ms()
             if oldest_ms is not None and now_ms - oldest_ms > max_age_ms:
                 text = f"no acknowledgement within {max_age_ms:g} ms"
-                self.log.warning("stream ended", proxy=self.nodes[proxy], reason=text)
+                self.log.warning("stream closed", proxy=self.nodes[proxy], reason=text)
                 assert self.server
                 self.server.finish(*key, RESOURCE_EXHAUSTED, text)
                 key.peer.close(text)
                 self._end(key, text, now_ms)
 
     def _record_ack_delay(self, proxy: int, delay: AckDelay, now_ms: float) -> None:
-        """Records what is known of a response whose acknowledgement is late, or has come at last."""
+        """Records and logs the cause of a late acknowledgement, or that acknowledgements are in time again."""
         node, waiting_ms = self.nodes[proxy], round(delay.waiting_ms, 1)
         self.tap("verdict", now_ms, proxy=node, nonce=delay.nonce, kind=delay.status, waits=waiting_ms)
         log = self.log.info if delay.status == IN_TIME else self.log.warning
-        reason = delay.reason or "it is answered in time again"
+        reason = delay.reason or "acknowledged in time again"
         log(DELAY_EVENTS[delay.status], proxy=node, version=delay.nonce, waits_ms=waiting_ms, reason=reason)
--- a/quillstep/xds/grpc.py
+++ b/quillstep/xds/grpc.py
@@ -1,6 +1,6 @@
-"""gRPC's message framing and status codes, without I/O.
+"""gRPC message framing and status codes, without I/O.
 
-Source: "gRPC over HTTP2" and "Status codes and their use in gRPC" of the published gRPC documentation.
+See "gRPC over HTTP2" and "Status codes and their use in gRPC" in the gRPC documentation.
 """
 
 import struct
@@ -10,11 +10,11 @@
 OK, INVALID_ARGUMENT, PERMISSION_DENIED, RESOURCE_EXHAUSTED = 0, 3, 7, 8
 UNIMPLEMENTED, INTERNAL, UNAVAILABLE = 12, 13, 14
 
-PREFIX = struct.Struct(">BI")  # whether the message is compressed, and its length
+PREFIX = struct.Struct(">BI")  # compressed flag, message length in bytes
 
 
 class FramingError(QuillstepError):
-    """A frame can't be read; `status` is the gRPC status to answer with."""
+    """A message frame is invalid; `status` is the gRPC status to answer with."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -22,22 +22,22 @@
 
 
 def frame(message: bytes) -> bytes:
-    """One message, uncompressed, behind its prefix."""
+    """Returns an uncompressed message with its prefix."""
     return PREFIX.pack(0, len(message)) + message
 
 
 class FrameDecoder:
-    """Cuts a stream of bytes into messages of `max_message_bytes` at most."""
+    """Splits a byte stream into messages of at most `max_message_bytes`."""
 
     def __init__(self, max_message_bytes: int) -> None:
         self.max_message_bytes = max_message_bytes
         self.buffered = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that are complete now.
+        """Returns the messages that are completed by `data`.
 
         Raises:
-            FramingError: A message is compressed or too large.
+            FramingError: A message is compressed or larger than the limit.
         """
         self.buffered += data
         messages = []
--- a/quillstep/xds/http2.py
+++ b/quillstep/xds/http2.py
@@ -1,4 +1,4 @@
-"""One HTTP/2 connection that carries gRPC streams, without I/O: bytes in, events out, bytes out (h2 does HTTP/2)."""
+"""One HTTP/2 connection that carries gRPC streams, without I/O, on top of the h2 library."""
 
 import contextlib
 from collections import deque
@@ -17,31 +17,31 @@
 from quillstep.net.connection import Connection
 from quillstep.xds.grpc import INTERNAL, OK, UNAVAILABLE, FrameDecoder, FramingError, frame
 
-MAX_STREAMS = 16  # on one connection
+MAX_STREAMS = 16  # concurrent streams on one connection
 CONNECTION_WINDOW_BYTES = 2**20
-SERVER_STREAM_WINDOW_BYTES = 2**16 - 1  # what waits of a peer's reports is never more
+SERVER_STREAM_WINDOW_BYTES = 2**16 - 1  # bounds the unread load reports of one peer
 MAX_HEADER_BYTES = 16384
-MAX_GOODBYE_BYTES = 4096
-MAX_STATUS_TEXT = 200  # characters
+MAX_GOAWAY_BYTES = 4096
+MAX_STATUS_CHARS = 200  # a longer grpc-message is cut
 PING_DATA = b"quillste"
 
 
 class StreamOpened(msgspec.Struct, frozen=True, gc=False):
-    """A peer has opened a stream to a method."""
+    """The peer has opened a stream; `path` names the method."""
 
     stream: int
     path: str
 
 
 class MessageReceived(msgspec.Struct, frozen=True, gc=False):
-    """A message has arrived."""
+    """A complete message has arrived on a stream."""
 
     stream: int
     data: bytes
 
 
 class StreamEnded(msgspec.Struct, frozen=True, gc=False):
-    """A stream has ended, with a gRPC status and its text."""
+    """A stream has closed with a gRPC status; `reason` is the status message."""
 
     stream: int
     status: int
@@ -51,20 +51,20 @@
 Event = StreamOpened | MessageReceived | StreamEnded
 
 
-def header_texts(headers: Any) -> dict[str, str]:
-    """Header fields as text; what is not ASCII is kept readable, it is only ever logged."""
+def decode_headers(headers: Any) -> dict[str, str]:
+    """Returns header fields as text, decoded as Latin-1: that never fails, and other values are only logged."""
     return {bytes(name).decode("latin-1"): bytes(value).decode("latin-1") for name, value in headers or ()}
 
 
-class _Unacknowledged(msgspec.Struct, gc=False):
-    """What arrived on a stream with manual flow control and is not acknowledged yet."""
+class _UnacknowledgedMessages(msgspec.Struct, gc=False):
+    """Messages that have arrived on a stream with manual flow control and are not acknowledged yet."""
 
     size_bytes: int = 0
     messages: int = 0
 
 
 class GrpcConnection:
-    """Either end of a connection; not safe for threads, its owner holds a lock."""
+    """Client or server side of a connection.  Not thread-safe: its owner calls it under a lock."""
 
     def __init__(self, is_client: bool, max_message_bytes: int, max_header_bytes: int = MAX_HEADER_BYTES) -> None:
         config = h2.config.H2Configuration(client_side=is_client, header_encoding=None)
@@ -81,12 +81,12 @@
         )
         self.h2.decoder.max_header_list_size = max_header_bytes
         self.decoders: dict[int, FrameDecoder] = {}
-        self.send_queues: dict[int, deque[bytes]] = {}  # framed messages that flow control holds back
-        self.finishing: dict[int, tuple[int, str]] = {}  # status of streams that end once their messages are sent
-        self.answered: set[int] = set()  # streams whose response headers are sent
+        self.send_queues: dict[int, deque[bytes]] = {}  # framed messages that wait for a flow control window
+        self.pending_trailers: dict[int, tuple[int, str]] = {}  # statuses to send once a stream's messages are sent
+        self.headers_sent: set[int] = set()  # streams whose response headers are sent
         self.unsent_bytes = 0
-        self.is_registered = False  # the first request has come
-        self.unacknowledged: dict[int, _Unacknowledged] = {}  # of streams with manual flow control
+        self.is_registered = False  # whether the peer has opened a stream
+        self.unacknowledged: dict[int, _UnacknowledgedMessages] = {}  # streams with manual flow control
         self._handlers: dict[type[Any], Callable[[Any], list[Event]]] = {
             h2.events.RequestReceived: self._on_request,
             h2.events.DataReceived: self._on_data,
@@ -94,25 +94,25 @@
             h2.events.ResponseReceived: self._on_response_headers,
             h2.events.StreamEnded: self._on_stream_end,
             h2.events.StreamReset: self._on_stream_reset,
-            h2.events.ConnectionTerminated: self._on_termination,
+            h2.events.ConnectionTerminated: self._on_goaway,
         }
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(CONNECTION_WINDOW_BYTES)
 
-    # what the peer sends
+    # Receiving
 
     def receive(self, data: bytes) -> list[Event]:
-        """The events that these bytes complete.
+        """Returns the events that are completed by `data`.
 
         Raises:
-            ProtocolError: The peer broke the protocol.
+            ProtocolError: The peer violated the protocol; the connection cannot continue.
         """
         try:
             received = self.h2.receive_data(data)
         except (h2.exceptions.ProtocolError, h2.exceptions.H2Error) as error:
             raise ProtocolError(f"{type(error).__name__}: {error}") from error
-        except Exception as error:  # whatever else a hostile peer makes h2 or hpack raise ends its connection
-            raise ProtocolError(f"unreadable: {type(error).__name__}: {error}") from error
+        except Exception as error:  # malicious input can make h2 and hpack raise other errors; close the connection
+            raise ProtocolError(f"invalid HTTP/2 data: {type(error).__name__}: {error}") from error
         events: list[Event] = []
         for each in received:
             handler = self._handlers.get(type(each))
@@ -122,13 +122,13 @@
         return events
 
     def _on_request(self, received: h2.events.RequestReceived) -> list[Event]:
-        headers = header_texts(received.headers)
+        headers = decode_headers(received.headers)
         stream = received.stream_id or 0
         self.decoders[stream] = FrameDecoder(self.max_message_bytes)
         content_type = headers.get("content-type", "")
         if headers.get(":method") != "POST" or not content_type.startswith("application/grpc"):
             self.h2.send_headers(stream, [(":status", "415")], end_stream=True)
-            self._forget(stream)
+            self._discard_stream(stream)
             return []
         return [StreamOpened(stream, headers.get(":path", ""))]
 
@@ -147,7 +147,7 @@
         return [MessageReceived(stream, message) for message in messages]
 
     def _on_response_headers(self, received: Any) -> list[Event]:
-        headers = header_texts(received.headers)
+        headers = decode_headers(received.headers)
         stream = received.stream_id or 0
         http_status = headers.get(":status", "200")
         if http_status != "200":
@@ -162,28 +162,28 @@
         stream = received.stream_id or 0
         if self.decoders.pop(stream, None) is None:
             return []
-        if not self.is_client and stream not in self.finishing:
+        if not self.is_client and stream not in self.pending_trailers:
             self.finish(stream, OK, "")
         return [StreamEnded(stream, OK, "")]
 
     def _on_stream_reset(self, received: h2.events.StreamReset) -> list[Event]:
         stream = received.stream_id or 0
-        self._forget(stream)
+        self._discard_stream(stream)
         return [StreamEnded(stream, UNAVAILABLE, f"reset with code {received.error_code}")]
 
-    def _on_termination(self, received: h2.events.ConnectionTerminated) -> list[Event]:
-        raise ProtocolError(f"the peer says goodbye, code {received.error_code}")
+    def _on_goaway(self, received: h2.events.ConnectionTerminated) -> list[Event]:
+        raise ProtocolError(f"the peer sent GOAWAY with code {received.error_code}")
 
-    # flow control
+    # Flow control
 
     def use_manual_flow_control(self, stream: int, max_message_bytes: int) -> None:
-        """Lets a stream's peer send more only as its messages are acknowledged, none larger than this."""
-        self.unacknowledged[stream] = _Unacknowledged()
+        """Opens a stream's window only by `acknowledge_message`, and sets the size limit of its messages."""
+        self.unacknowledged[stream] = _UnacknowledgedMessages()
         if stream in self.decoders:
             self.decoders[stream].max_message_bytes = max_message_bytes
 
     def acknowledge_message(self, stream: int) -> None:
-        """A message of a stream with manual flow control was read: its peer may send as much again."""
+        """Opens the window of a stream with manual flow control by the size of one message, after it was read."""
         unacknowledged = self.unacknowledged.get(stream)
         if not unacknowledged or not unacknowledged.messages:
             return
@@ -191,25 +191,25 @@
         unacknowledged.size_bytes -= size
         unacknowledged.messages -= 1
         if size and stream in self.decoders:
-            with contextlib.suppress(h2.exceptions.ProtocolError):  # the stream may have ended
+            with contextlib.suppress(h2.exceptions.ProtocolError):  # the stream may be closed
                 self.h2.increment_flow_control_window(size, stream)
 
     def _acknowledge_data(self, stream: int, size_bytes: int, messages: int) -> None:
-        """Lets the peer send as much again: at once, or with manual flow control once the messages are read."""
+        """Opens the windows by the received size: at once, or under manual flow control once messages are read."""
         if not size_bytes:
             return
         unacknowledged = self.unacknowledged.get(stream)
         if unacknowledged is None or not messages:
             self.h2.acknowledge_received_data(size_bytes, stream)
             return
-        self.h2.increment_flow_control_window(size_bytes)  # other streams of this connection don't wait for this one
+        self.h2.increment_flow_control_window(size_bytes)  # other streams on the connection must not wait
         unacknowledged.size_bytes += size_bytes
         unacknowledged.messages += messages
 
-    # streams
+    # Streams
 
     def open(self, path: str, authority: str) -> int:
-        """As a client: opens a stream to this method; returns its number."""
+        """Client only: opens a stream to a method; returns the stream's number."""
         stream: int = self.h2.get_next_available_stream_id()
         headers = [
             (":method", "POST"),
@@ -224,58 +224,58 @@
         return stream
 
     def accept(self, stream: int) -> None:
-        """As a server: answers a stream's opening."""
+        """Server only: accepts a stream by sending the response headers."""
         self.h2.send_headers(stream, [(":status", "200"), ("content-type", "application/grpc")])
-        self.answered.add(stream)
+        self.headers_sent.add(stream)
 
     def send(self, stream: int, message: bytes) -> None:
-        """Queues a message."""
+        """Queues a message on a stream."""
         framed = frame(message)
         self.send_queues.setdefault(stream, deque()).append(framed)
         self.unsent_bytes += len(framed)
 
     def finish(self, stream: int, status: int, text: str) -> None:
-        """As a server: ends a stream with a status, after what was sent."""
-        self.finishing[stream] = (status, text)
+        """Server only: closes a stream with a status once its queued messages are sent."""
+        self.pending_trailers[stream] = (status, text)
 
     def reset(self, stream: int) -> None:
-        """As a client: cancels a stream."""
-        with contextlib.suppress(h2.exceptions.ProtocolError):  # it may have ended already
+        """Client only: cancels a stream."""
+        with contextlib.suppress(h2.exceptions.ProtocolError):  # the stream may be closed already
             self.h2.reset_stream(stream, h2.errors.ErrorCodes.CANCEL)
-        self._forget(stream)
+        self._discard_stream(stream)
 
-    def _forget(self, stream: int) -> None:
+    def _discard_stream(self, stream: int) -> None:
         self.unacknowledged.pop(stream, None)
         self.decoders.pop(stream, None)
-        self.finishing.pop(stream, None)
+        self.pending_trailers.pop(stream, None)
         for message in self.send_queues.pop(stream, ()):
             self.unsent_bytes -= len(message)
 
-    # what is sent
+    # Sending
 
     def ping(self) -> None:
         """Queues a ping."""
         self.h2.ping(PING_DATA)
 
     def goodbye(self) -> bytes:
-        """What the protocol has to say to a peer that broke it."""
-        return self.pending_output()[:MAX_GOODBYE_BYTES]
+        """Returns the last output for a peer that violated the protocol, with the GOAWAY frame."""
+        return self.pending_output()[:MAX_GOAWAY_BYTES]
 
     def pending_output(self) -> bytes:
-        """Removes and returns the answers that h2 has made, without any queued messages."""
+        """Removes and returns the frames that h2 has produced, without any queued messages."""
         data: bytes = self.h2.data_to_send()
         return data
 
     def pump(self) -> bytes:
-        """Removes and returns the bytes that may be written now, as far as the peer's windows reach."""
+        """Removes and returns the bytes that may be written now, within the peer's flow control windows."""
         for stream in list(self.send_queues):
             try:
                 self._send_queued(stream)
             except h2.exceptions.ProtocolError:
-                self._forget(stream)  # the stream has ended
-        for stream, (status, text) in list(self.finishing.items()):
+                self._discard_stream(stream)  # the stream is closed
+        for stream, (status, text) in list(self.pending_trailers.items()):
             if not self.send_queues.get(stream):
-                del self.finishing[stream]
+                del self.pending_trailers[stream]
                 self._send_trailers(stream, status, text)
         return self.pending_output()
 
@@ -294,17 +294,17 @@
         del self.send_queues[stream]
 
     def _send_trailers(self, stream: int, status: int, text: str) -> None:
-        trailers = [("grpc-status", str(status)), ("grpc-message", text.replace("\n", " ")[:MAX_STATUS_TEXT])]
-        if stream not in self.answered:
+        trailers = [("grpc-status", str(status)), ("grpc-message", text.replace("\n", " ")[:MAX_STATUS_CHARS])]
+        if stream not in self.headers_sent:
             trailers = [(":status", "200"), ("content-type", "application/grpc"), *trailers]
-        with contextlib.suppress(h2.exceptions.ProtocolError):  # the peer may have reset it
+        with contextlib.suppress(h2.exceptions.ProtocolError):  # the peer may have reset the stream
             self.h2.send_headers(stream, trailers, end_stream=True)
-        self.answered.discard(stream)
+        self.headers_sent.discard(stream)
         self.unacknowledged.pop(stream, None)
         self.decoders.pop(stream, None)
 
 
-GrpcPeer = Connection[GrpcConnection]  # a connection that was accepted
+GrpcPeer = Connection[GrpcConnection]  # an accepted connection
 
 __all__ = [
     "Event",
@@ -314,5 +314,5 @@
     "ProtocolError",
     "StreamEnded",
     "StreamOpened",
-    "header_texts",
+    "decode_headers",
 ]
--- a/quillstep/xds/load_stats.py
+++ b/quillstep/xds/load_stats.py
@@ -1,4 +1,4 @@
-"""Load reports as protobuf messages, and as the plain values of `quillstep.load_reports`."""
+"""Decodes load reports (LRS messages) into the types of `quillstep.load_reports`, and encodes LRS responses."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple, Protocol
@@ -11,23 +11,23 @@
 from quillstep.load_reports.validation import LoadReport
 from quillstep.routing import Key
 
-# Names of load metrics: what a proxy measures beside the protocol's own counts.
-LATENCY_BUCKET_PREFIX = "took_le_"  # one metric for each bucket, its bound in the name
+# Names of the load metrics that proxies report in addition to the counts of LRS.
+LATENCY_BUCKET_PREFIX = "took_le_"  # one metric per latency bucket; the name ends with the bucket's bound
 ARRIVED_METRIC = "arrived"
 UNANSWERED_METRIC = "unanswered"
 LATENCY_METRIC = "took_ms"
 LOAD_METRIC = "util"
-MAX_NUMBER = 2**53  # of a report: whole numbers up to here are exact as the doubles of the protocol
+MAX_REPORT_NUMBER = 2**53  # report numbers are sent as doubles, which represent integers exactly up to this value
 
 
 class Hooks(Protocol):
-    """The controller, as its fronts see it."""
+    """The interface of the controller that the fronts use."""
 
-    class_indexes: dict[str, int]  # by name
+    class_indexes: dict[str, int]  # by class name
 
     @property
     def endpoint_numbers(self) -> Mapping[tuple[str, int], int]:
-        """Listed endpoints by address."""
+        """The numbers of the listed endpoints, by host and port."""
 
     def add_proxy(
         self,
@@ -39,27 +39,27 @@
         front: Any = None,
         incarnation: str = "",
     ) -> int:
-        """Takes in a proxy that has joined by this front, and returns its number; another front drops it."""
+        """Adds a proxy that has joined through a front and returns its number; any other front drops the proxy."""
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left."""
+        """Removes a proxy that has left."""
 
     def joined_number(self, node: str) -> int | None:
-        """The number of a proxy that is joined."""
+        """Returns the number of a joined proxy, or None if it has not joined."""
 
     def add_load_report(self, proxy: int, report: LoadReport) -> None:
-        """Takes in a load report of a joined proxy."""
+        """Adds a load report of a joined proxy."""
 
 
 def load_request(period_ms: float, is_full: bool) -> bytes:
-    """What a proxy is asked for: how often to report, and whether with a row for each endpoint."""
-    answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=is_full)
-    answer.load_reporting_interval.FromMilliseconds(round(period_ms))
-    return answer.SerializeToString()
+    """Returns the LRS response that requests reports every `period_ms`, with per-endpoint rows if `is_full`."""
+    response = lrs_pb2.LoadStatsResponse(send_all_clusters=True, report_endpoint_granularity=is_full)
+    response.load_reporting_interval.FromMilliseconds(round(period_ms))
+    return response.SerializeToString()
 
 
-def life_of(node: Any) -> str:
-    """A proxy's incarnation, or nothing: its load reports must name the same one."""
+def incarnation_of(node: Any) -> str:
+    """Returns a proxy's incarnation, or an empty string; its load reports must name the same one."""
     return node.metadata.fields["life"].string_value if "life" in node.metadata.fields else ""
 
 
@@ -69,10 +69,16 @@
     class_indexes: Mapping[str, int],
     endpoints: Mapping[tuple[str, int], int],
 ) -> LoadReport:
-    """A load report as plain values, nothing of it checked.
+    """Decodes a load report without validating its values.
 
-    A proxy may number its reports and stamp them with its own clock, in its node's metadata:
+    A proxy may number its reports and add time stamps of its own clock, in the metadata of its node:
     `report: {number, until_ms, sent_ms}`.
+
+    Args:
+        request: The decoded message.
+        data: The encoded message; its hash identifies the report.
+        class_indexes: Indexes of the request classes, by name.
+        endpoints: Numbers of the listed endpoints, by host and port.
     """
     report = LoadReport(-1, None, None, 0.0, xxhash.xxh3_64_intdigest(data) >> 1)
     if request.HasField("node") and "report" in request.node.metadata.fields:
@@ -94,19 +100,19 @@
 
 
 def _read_stamps(report: LoadReport, fields: Any) -> None:
-    """Reads a report's number and time stamps from its metadata."""
+    """Reads a report's number and time stamps from the node's metadata."""
     stamps = {name: fields[name].number_value for name in ("number", "until_ms", "sent_ms") if name in fields}
     number = stamps.get("number", -1.0)
-    report.number = int(number) if 0 <= number < MAX_NUMBER else -1
+    report.number = int(number) if 0 <= number < MAX_REPORT_NUMBER else -1
     report.end_ms, report.sent_ms = stamps.get("until_ms"), stamps.get("sent_ms")
 
 
 class _Counts(NamedTuple):
-    """Requests of one class."""
+    """Request counts of one class."""
 
     arrived: int
     unanswered: int
-    has_arrivals: bool  # the proxy counts requests apart from attempts
+    has_arrivals: bool  # whether the proxy counts requests separately from attempts
 
 
 def _read_localities(
@@ -115,7 +121,7 @@
     class_index: int | None,
     endpoints: Mapping[tuple[str, int], int],
 ) -> _Counts:
-    """Reads one class: its latencies and endpoint rows into the report, its requests as counts."""
+    """Reads the stats of one class: adds latencies and endpoint rows to the report, returns the request counts."""
     arrived = unanswered = 0
     has_arrivals = False
     for locality in localities:
@@ -138,7 +144,7 @@
 def _read_endpoint(
     report: LoadReport, row: load_report_pb2.UpstreamEndpointStats, endpoints: Mapping[tuple[str, int], int]
 ) -> None:
-    """Reads the row of one endpoint, if it has any attempts."""
+    """Reads the row of one endpoint; a row without attempts is skipped."""
     succeeded, failed = row.total_successful_requests, row.total_error_requests
     succeeded_ms, load = 0.0, None
     for metric in row.load_metric_stats:
--- a/quillstep/xds/peer.py
+++ b/quillstep/xds/peer.py
@@ -1,6 +1,6 @@
-"""A connection that was dialled: a reader and a writer thread with small stacks, bounded both ways.
+"""A client connection: one reader and one writer thread with small stacks, and bounded buffers both ways.
 
-Few connections are dialled; those that are accepted have no threads of their own (`net/poller.py`).
+A process has few client connections.  Accepted connections have no threads of their own; see `net/poller.py`.
 """
 
 import contextlib
@@ -8,28 +8,28 @@
 import threading
 from collections.abc import Callable
 
-from quillstep.xds.http2 import MAX_GOODBYE_BYTES, Event, GrpcConnection, ProtocolError
+from quillstep.xds.http2 import MAX_GOAWAY_BYTES, Event, GrpcConnection, ProtocolError
 
 STACK_BYTES = 256 * 1024
 CHUNK_BYTES = 64 * 1024
-LAST_WRITE_TIMEOUT_S = 0.2
+FINAL_WRITE_TIMEOUT_S = 0.2
 
 
-class DialledConnection:
-    """A connection from its dial to its end.
+class ClientConnection:
+    """A connection opened by this process.
 
-    `on_event(connection, event)` is called in the reader's thread for each event and may block, which holds up this
-    connection alone; `on_closed(connection, reason)` once, in the reader's thread.  `lock` guards the codec, `answers`,
-    `reason` and `is_stopping`.  The threads end when the connection does; who closes it does not wait for them, as the
-    reader may be blocked in `on_event`.  Times are milliseconds.
+    `on_event(connection, event)` is called in the reader thread for each event; it may block, which delays only this
+    connection.  `on_closed(connection, reason)` is called once, in the reader thread.  `lock` guards the codec,
+    `protocol_output`, `reason` and `is_stopping`.  Both threads end when the connection closes; `close` does not wait
+    for them, as the reader may be blocked in `on_event`.
     """
 
     def __init__(
         self,
         sock: socket.socket,
         codec: GrpcConnection,
-        on_event: Callable[["DialledConnection", Event], None],
-        on_closed: Callable[["DialledConnection", str], None],
+        on_event: Callable[["ClientConnection", Event], None],
+        on_closed: Callable[["ClientConnection", str], None],
         *,
         write_timeout_ms: float = 5000.0,
         idle_timeout_ms: float = 15000.0,
@@ -41,7 +41,7 @@
         self.ping_interval_ms, self.max_unsent_bytes = ping_interval_ms, max_unsent_bytes
         self.lock = threading.Lock()
         self.wake = threading.Condition(self.lock)
-        self.answers = bytearray()  # what the protocol itself answers
+        self.protocol_output = bytearray()  # HTTP/2 control frames to send, without queued messages
         self.reason = ""
         self.is_stopping = False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -52,35 +52,35 @@
         ]
 
     def start(self) -> None:
-        """Starts both threads."""
+        """Starts the reader and writer threads."""
         for thread in self.threads:
             thread.start()
 
     def unsent_bytes(self) -> int:
-        """Bytes that wait for the peer."""
-        return self.codec.unsent_bytes + len(self.answers)
+        """Returns how many bytes wait to be sent."""
+        return self.codec.unsent_bytes + len(self.protocol_output)
 
     def send(self, stream: int, message: bytes) -> bool:
-        """Queues a message; False if the connection has ended, or is closed since too much waits for its peer."""
+        """Queues a message; returns False if the connection is closed, or is closed now as too many bytes wait."""
         with self.wake:
             if self.is_stopping:
                 return False
             self.codec.send(stream, message)
-            is_over = self.codec.unsent_bytes > self.max_unsent_bytes + 2 * len(message)
+            is_over_limit = self.codec.unsent_bytes > self.max_unsent_bytes + 2 * len(message)
             self.wake.notify()
-        if is_over:
-            self.close("it reads more slowly than its bound allows")
-        return not is_over
+        if is_over_limit:
+            self.close(f"unsent data: size limit of {self.max_unsent_bytes} bytes reached")
+        return not is_over_limit
 
     def with_codec(self, action: Callable[[GrpcConnection], None]) -> None:
-        """Calls `action` with the codec under the lock; the writer then sends what it made."""
+        """Calls `action` with the codec under the lock; the writer then sends the output."""
         with self.wake:
             if not self.is_stopping:
                 action(self.codec)
                 self.wake.notify()
 
     def close(self, reason: str) -> None:
-        """Ends the connection; its threads follow."""
+        """Closes the connection; both threads then end."""
         with self.wake:
             if self.is_stopping:
                 return
@@ -90,15 +90,15 @@
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def _read(self) -> None:
-        reason = "it closed the connection"
+        reason = "the peer closed the connection"
         try:
             self._read_until_end()
         except TimeoutError:
-            reason = "it was silent for too long"
+            reason = f"idle for {self.idle_timeout_ms / 1000.0:g} s"
         except ProtocolError as error:
             reason = str(error)
             with self.lock:
-                self.answers += self.codec.pending_output()  # our goodbye, if it still reads
+                self.protocol_output += self.codec.pending_output()  # includes the GOAWAY frame
         except OSError as error:
             reason = type(error).__name__
         self._finish(self.reason or reason)
@@ -111,21 +111,21 @@
                 return
             with self.wake:
                 events = self.codec.receive(data)
-                self.answers += self.codec.pending_output()
-                if len(self.answers) > self.max_unsent_bytes:
-                    raise ProtocolError("it asks for more answers than it reads")
+                self.protocol_output += self.codec.pending_output()
+                if len(self.protocol_output) > self.max_unsent_bytes:
+                    raise ProtocolError("the peer causes more control frames than it reads")
                 self.wake.notify()
             for event in events:
                 self.on_event(self, event)
 
     def _finish(self, reason: str) -> None:
         with self.wake:
-            last = bytes(self.answers[:MAX_GOODBYE_BYTES])
+            last = bytes(self.protocol_output[:MAX_GOAWAY_BYTES])
             self.reason, self.is_stopping = reason, True
             self.wake.notify()
         if last:
             with contextlib.suppress(OSError):
-                self.sock.settimeout(LAST_WRITE_TIMEOUT_S)
+                self.sock.settimeout(FINAL_WRITE_TIMEOUT_S)
                 self.sock.send(last)
         for sock in (self.sock, self.write_sock):
             with contextlib.suppress(OSError):
@@ -137,17 +137,17 @@
         self.write_sock.settimeout(self.write_timeout_ms / 1000.0)
         try:
             while (data := self._wait_for_output()) is not None:
-                for at in range(0, len(data), CHUNK_BYTES):
-                    self.write_sock.sendall(data[at : at + CHUNK_BYTES])
+                for offset in range(0, len(data), CHUNK_BYTES):
+                    self.write_sock.sendall(data[offset : offset + CHUNK_BYTES])
         except TimeoutError:
-            self.close("it takes no bytes")
+            self.close("write timed out")
         except OSError:
-            self.close("the connection broke")
-        except Exception as error:  # a broken protocol state must end this connection, not the thread silently
+            self.close("write failed")
+        except Exception as error:  # an invalid protocol state must close the connection, not end the thread unnoticed
             self.close(f"{type(error).__name__}: {error}")
 
     def _wait_for_output(self) -> bytes | None:
-        """Waits for something to send, with a ping after a silence; None where the connection ends."""
+        """Waits for output, with a ping after each idle ping interval; returns None once the connection closes."""
         with self.wake:
             data = self._outgoing()
             if not data and not self.is_stopping:
@@ -157,16 +157,17 @@
             return None if self.is_stopping else data
 
     def _outgoing(self) -> bytes:
-        data = bytes(self.answers)
-        self.answers.clear()
+        data = bytes(self.protocol_output)
+        self.protocol_output.clear()
         return data + self.codec.pump()
 
 
-def dial(address: str, timeout_ms: float) -> socket.socket:
-    """A connection to `host:port`.
+def connect(address: str, timeout_ms: float) -> socket.socket:
+    """Opens a connection to `host:port`.
 
     Raises:
-        OSError: There is none.
+        OSError: The connection cannot be opened.
+        ValueError: The port is not an integer.
     """
     host, _, port = address.rpartition(":")
     return socket.create_connection((host.strip("[]"), int(port)), timeout_ms / 1000.0)
--- a/quillstep/xds/proxy_front.py
+++ b/quillstep/xds/proxy_front.py
@@ -1,6 +1,6 @@
-"""What all fronts share: who carries updates to proxies, and what every front logs of them.
+"""The base class of fronts, which send updates to proxies, with the logging common to all of them.
 
-A front only carries: what a proxy should hold and what may be sent is decided by the tables.
+A front only transports updates: the tables decide what a proxy should hold and what may be sent.
 """
 
 from collections.abc import Callable
@@ -14,66 +14,75 @@
 from quillstep.xds import resources
 from quillstep.xds.load_stats import Hooks
 
-MAX_LOGGED_EJECTIONS = 10000  # overdue ejections that are remembered as logged
-OVERDUE_GRACE_SHARE = 0.5  # of the drain grace, after which an ejection's acknowledgement is overdue
-MAX_REASON = 500  # characters of a proxy's reason that are logged
+MAX_LOGGED_EJECTIONS = 10000  # size limit of the set that prevents an overdue ejection from being logged twice
+OVERDUE_GRACE_SHARE = 0.5  # an unacknowledged ejection is overdue after this share of the drain grace
+MAX_REASON_CHARS = 500  # a proxy's rejection reason is cut to this length in the log
 
 
 class FrontContext(NamedTuple):
-    """What every front needs of its controller."""
+    """The parts of a controller that every front uses.
+
+    Attributes:
+        settings: The controller's settings.
+        tables: The desired state of each proxy.
+        hooks: The controller's callbacks.
+        epoch: The controller's incarnation, part of nonces and versions.
+        ordered_ms: Returns when a revision of the tables was made.
+        tap: Records joins, updates and acknowledgements in the socket record.
+    """
 
     settings: ControllerSettings
-    tables: Tables  # what each proxy should hold
+    tables: Tables
     hooks: Hooks
-    epoch: str  # the controller's incarnation, in nonces and versions
-    ordered_ms: Callable[[int], float]  # when a revision of the tables was made
-    tap: Callable[..., None]  # records what passes between controller and proxies
+    epoch: str
+    ordered_ms: Callable[[int], float]
+    tap: Callable[..., None]
 
 
 class ProxyFront:
-    """The proxies of one front; belongs to the deciding thread."""
+    """The proxies of one front.  All methods run in the decision thread."""
 
     def __init__(self, context: FrontContext, *, logger: str, maintenance_interval_ms: float) -> None:
-        """A front without proxies.
+        """Initializes a front without proxies.
 
         Args:
             context: The controller's side.
             logger: Name of the front's logger.
-            maintenance_interval_ms: Time between two checks for proxies that have stopped answering.
+            maintenance_interval_ms: Time between two checks for proxies that no longer respond.
         """
         self.settings, self.tables, self.hooks, self.epoch, self.ordered_ms, self.tap = context
         settings = context.settings
         self.encoder = resources.Encoder(settings.fleet.classes, settings.fleet.proxies.attempt_timeout_factor)
-        self.nodes: dict[int, str] = {}  # names of proxies
-        self.retry_ms: dict[int, float] = {}  # when to try again to send to a proxy
+        self.nodes: dict[int, str] = {}  # node ids by proxy number
+        self.retry_ms: dict[int, float] = {}  # time of the next attempt to send, by proxy number
         self.maintenance_interval_ms = maintenance_interval_ms
-        self.maintained_ms = 0.0
+        self.last_maintenance_ms = 0.0
         self.logged_ejections: set[tuple[str, int]] = set()
         self.log = structlog.get_logger(logger)
 
     def next_ms(self) -> float:
-        """When there is something to do without any event."""
+        """Returns the time at which `pump` must run even without an event."""
         retry_ms = min(self.retry_ms.values(), default=float("inf"))
-        return min(retry_ms, self.maintained_ms + self.maintenance_interval_ms)
+        return min(retry_ms, self.last_maintenance_ms + self.maintenance_interval_ms)
 
     def pump(self, now_ms: float, changed: set[int]) -> None:
-        """Sends what may be sent to every proxy of this front that has changes, or is to be tried again."""
+        """Sends pending updates to each proxy of this front that has changes or whose retry time has come."""
         for proxy, retry_ms in list(self.retry_ms.items()):
             if retry_ms <= now_ms:
                 del self.retry_ms[proxy]
                 changed.add(proxy)
         for proxy in sorted(changed):
             self._send_changes(proxy, now_ms)
-        if now_ms - self.maintained_ms > self.maintenance_interval_ms:
-            self.maintained_ms = now_ms
+        if now_ms - self.last_maintenance_ms > self.maintenance_interval_ms:
+            self.last_maintenance_ms = now_ms
             self._maintain(now_ms)
 
     def _send_changes(self, proxy: int, now_ms: float) -> None:
-        """Sends what may be sent to one proxy, which may be another front's."""
+        """Sends pending updates to one proxy; does nothing if the proxy belongs to another front."""
         raise NotImplementedError
 
     def _maintain(self, now_ms: float) -> None:
-        """Ends proxies that have stopped answering."""
+        """Disconnects proxies that no longer respond."""
         raise NotImplementedError
 
     def _record_joined(self, proxy: int, node: str, zone: str, fresh: bool, held: int, now_ms: float) -> None:
@@ -87,19 +96,19 @@
         self.hooks.remove_proxy(proxy)
 
     def _log_nack(self, proxy: int, nack: Nack, version: Any) -> None:
-        """Logs what a proxy rejected, why, and what comes of it."""
+        """Logs what a proxy rejected, the reason, and how the controller proceeds."""
         names = [resources.name(change.key) for change in nack.changes]
         self.log.warning(
             "version rejected",
             proxy=self.nodes[proxy],
             table=names[0] + (f" and {len(names) - 1} more" if len(names) > 1 else ""),
             version=version,
-            reason=nack.reason[:MAX_REASON],
+            reason=nack.reason[:MAX_REASON_CHARS],
             next=_next_step(nack),
         )
 
     def _log_overdue_ejections(self, proxy: int, now_ms: float) -> None:
-        """Logs once of each ejection that half the grace has passed without its acknowledgement: it is not done."""
+        """Logs once each ejection without acknowledgement after half of the drain grace: it may not be in effect."""
         grace_ms = OVERDUE_GRACE_SHARE * self.settings.fleet.rules.drain_grace_ms
         for overdue in self.tables.proxies[proxy].overdue_ejections(now_ms, grace_ms):
             if overdue in self.logged_ejections:
@@ -112,8 +121,8 @@
 
 
 def _next_step(nack: Nack) -> str:
-    """What comes of a rejected update, in words."""
+    """Describes how the controller proceeds after a rejected update."""
     if not nack.is_isolated:
-        return "tried in parts"
+        return "split and retried in parts"
     is_retried = any(change.key[0] in NACK_BACKOFF_FACTORS and change.resource for change in nack.changes)
-    return "tried again after a back-off" if is_retried else "set apart until it changes"
+    return "retried after a back-off" if is_retried else "not sent again until it changes"
--- a/quillstep/xds/server.py
+++ b/quillstep/xds/server.py
@@ -1,4 +1,4 @@
-"""Turns what peers of the streaming front send into events for the deciding thread."""
+"""The xDS server: accepts streams and publishes their messages as events for the decision thread."""
 
 import threading
 from collections.abc import Callable
@@ -27,25 +27,25 @@
 
 
 class ReportReader(Protocol):
-    """Who takes load reports, apart from all other events; none of these may block."""
+    """Receives the messages of load report streams instead of the event queue.  No method may block."""
 
     max_message_bytes: int
 
     def open_stream(self, connection: Peer, stream: int) -> None:
-        """A report stream has opened."""
+        """Handles a new load report stream."""
 
     def add_message(self, connection: Peer, stream: int, data: bytes) -> None:
-        """A message has arrived on a report stream."""
+        """Handles a message on a load report stream."""
 
     def end_stream(self, connection: Peer, stream: int) -> None:
-        """A report stream has ended."""
+        """Handles the end of a load report stream."""
 
 
 class Server:
-    """The front's streams.
+    """The server side of all xDS streams.
 
-    `put` hands one event over and blocks while the queue is full; load reports go to `report_reader` where there is
-    one, so that no acknowledgement waits behind them.
+    `put` publishes one event and blocks while the queue is full.  If there is a `report_reader`, load reports go to
+    it instead, so that acknowledgements do not wait behind them.
     """
 
     def __init__(
@@ -70,15 +70,15 @@
         self.streams: dict[Peer, set[int]] = {}
 
     def start(self) -> None:
-        """Starts the thread that reads and writes all connections."""
+        """Starts the thread that serves all connections."""
         threading.Thread(target=self.poller.run, name="xds-server", daemon=True).start()
 
     def stop(self) -> None:
-        """Ends the thread, without waiting: it may be blocked in `put`, which nobody takes from any more."""
+        """Stops the thread without waiting for it: it may be blocked in `put` on a queue that is no longer read."""
         self.poller.stop()
 
     def finish(self, peer: Peer, stream: int, status: int, text: str) -> None:
-        """Ends one stream with a status that its peer can read."""
+        """Closes a stream with a gRPC status."""
         self.methods.pop((peer, stream), None)
         peer.with_codec(lambda codec: codec.finish(stream, status, text))
 
@@ -91,7 +91,7 @@
             case StreamEnded(stream, status, reason):
                 if method := self.methods.pop((peer, stream), None):
                     if status:
-                        self.log.warning("stream ended", reason=reason, code=status)
+                        self.log.warning("stream closed", reason=reason, code=status)
                     self._end(peer, stream, method, reason)
 
     def _on_opened(self, peer: Peer, stream: int, method: str) -> None:
@@ -120,14 +120,16 @@
             message = REQUESTS[method].FromString(data)
         except DecodeError:
             reason = "a message that is no request"
-            self.log.warning("stream ended", reason=reason, method=method)
+            self.log.warning("stream closed", reason=reason, method=method)
             self.finish(peer, stream, INVALID_ARGUMENT, reason)
             self.put(events.StreamEnded(peer, stream, reason))
             return
         self.put(events.StreamRequest(peer, stream, message, data))
 
     def _on_report(self, reader: ReportReader, peer: Peer, stream: int, data: bytes) -> None:
-        if len(data) > reader.max_message_bytes:  # it came with its stream's opening, ahead of the limit
+        if (
+            len(data) > reader.max_message_bytes
+        ):  # received together with the stream's headers, before its limit was set
             reason = "a report that is too large"
             self.finish(peer, stream, RESOURCE_EXHAUSTED, reason)
             self._end(peer, stream, LOAD, reason)
@@ -143,7 +145,7 @@
     def _on_closed(self, peer: Peer, reason: str) -> None:
         streams = sorted(self.streams.pop(peer, ()))
         if not streams or not peer.is_registered:
-            self.log.warning("connection ended", reason=reason)
+            self.log.warning("connection closed", reason=reason)
         for stream in streams:
             if method := self.methods.pop((peer, stream), None):
                 self._end(peer, stream, method, reason)
--- a/quillstep/xds/sotw.py
+++ b/quillstep/xds/sotw.py
@@ -1,7 +1,7 @@
-"""One state-of-the-world stream (`StreamAggregatedResources`), without I/O, for clients that know no deltas.
+"""One state-of-the-world stream (`StreamAggregatedResources`), without I/O, for clients without delta support.
 
-A response is all resources of one type that the client subscribes to; weights and ejections are inside the assignment.
-`version_info` is the hash of all that the response holds; the ledger knows which keys that means.
+A response carries all resources of one type that the client subscribes to; weights and ejections are part of the
+assignment.  `version_info` is a hash of the response's resources; the proxy's state records which keys were sent.
 """
 
 from typing import Any
@@ -22,7 +22,7 @@
     resources.RDS: (ROUTES,),
 }
 TYPE_URLS = {kind: type_url for type_url, kinds in KINDS.items() for kind in kinds}
-WILDCARD_TYPES = (resources.CDS, resources.LDS)  # no names in a request for these mean all
+WILDCARD_TYPES = (resources.CDS, resources.LDS)  # a request without names subscribes to all resources
 
 
 class SotwStream(Stream):
@@ -32,23 +32,23 @@
 
     def __init__(self, *shared: Any) -> None:
         super().__init__(*shared)
-        self.names: dict[str, set[str]] = {}  # by type URL; an empty set means all where that is allowed
-        self.nonces: dict[str, str] = {}  # of the newest response by type URL
+        self.names: dict[str, set[str]] = {}  # by type URL; for wildcard types, an empty set means all resources
+        self.nonces: dict[str, str] = {}  # nonce of the newest response, by type URL
 
     def initial_versions(self, request: discovery_pb2.DiscoveryRequest) -> dict[Key, str]:
-        """Nothing: a client of this kind sends no versions of single resources, and is sent all anew.
+        """Returns no versions: these clients do not report versions of single resources, and are sent everything.
 
         Raises:
-            StreamError: The request names no node.
+            StreamError: The request does not name a node.
         """
         self._check_node(request)
         return {}
 
     def handle_request(self, request: discovery_pb2.DiscoveryRequest, now_ms: float) -> RequestResult:
-        """Records a request; returns what it acknowledged or rejected.
+        """Handles a request; returns the changes that it acknowledges or rejects.
 
         Raises:
-            StreamError: The stream has to end.
+            StreamError: The request exceeds a limit, and the stream must be closed.
         """
         type_url = request.type_url
         if type_url not in KINDS:
@@ -56,7 +56,7 @@
             return RequestResult([], None)
         result = self._handle_ack(request, now_ms)
         if request.response_nonce and request.response_nonce != self.nonces.get(type_url):
-            return result  # it answers an older response: its names are superseded
+            return result  # the response it answers is outdated, and so are its resource names
         names = set(request.resource_names) - {"*"}
         self._check_subscriptions(len(names))
         before = self.names.get(type_url)
@@ -69,7 +69,7 @@
         return result
 
     def is_subscribed(self, key: Key) -> bool:
-        """Whether the proxy has subscribed to this key, or to the assignment that holds it."""
+        """Returns whether the proxy has subscribed to this key, or to the assignment that contains it."""
         type_url = TYPE_URLS.get(key[0])
         names = self.names.get(type_url) if type_url else None
         if names is None or type_url is None:
@@ -80,8 +80,8 @@
         return name in names or (not names and type_url in WILDCARD_TYPES)
 
     def pump(self, now_ms: float) -> list[Response]:
-        """What may be sent now: one response a type, and none of a type while one is in flight."""
-        responses = self._take_errors()
+        """Returns the responses that may be sent now: one per type, and none while one of that type is in flight."""
+        responses = self._pop_errors()
         ledger = self.tables.proxies[self.proxy]
         changes = self.tables.changes_to_send(self.proxy, now_ms, self.is_subscribed)
         for type_url, kinds in KINDS.items():
@@ -95,7 +95,7 @@
         return responses
 
     def _send(self, type_url: str, changes: list[Change], now_ms: float) -> Response:
-        """Records changes as sent, and makes the response that holds them."""
+        """Records changes as sent, and returns the response that carries them."""
         nonce = self._next_nonce()
         packed = self._state(type_url)
         version = xxhash.xxh3_64_hexdigest(b"".join(each.SerializeToString() for each in packed))
@@ -109,7 +109,7 @@
         return Response(response.SerializeToString(), revision, type_url, nonce, len(changes), 0)
 
     def _state(self, type_url: str) -> list[any_pb2.Any]:
-        """All resources of a type that the client subscribes to, packed."""
+        """Returns all resources of a type that the client subscribes to, packed in `Any`."""
         ledger = self.tables.proxies[self.proxy]
         packed = []
         for key in self.tables.desired_keys(self.proxy):
@@ -128,7 +128,7 @@
         return packed
 
     def _endpoints(self, table: int) -> list[resources.AssignedEndpoint]:
-        """The endpoints of a table."""
+        """Returns the endpoints of a table, in the order of its weights."""
         assigned = []
         for endpoint in self.tables.tables[table].weights:
             weight: Resource | None = self.tables.shared_resource((WEIGHT, table, endpoint))
--- a/quillstep/xds/stream.py
+++ b/quillstep/xds/stream.py
@@ -1,4 +1,4 @@
-"""What both kinds of discovery streams share, without I/O: nonces, acks and nacks, errors, responses."""
+"""The base class of delta and state-of-the-world streams, without I/O: nonces, acks and nacks, errors, responses."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -11,25 +11,34 @@
 
 
 class Response(NamedTuple):
-    """A response to send, and what the sockets' record says of it."""
+    """A response to send, and its description for the socket record.
+
+    Attributes:
+        message: The encoded response.
+        revision: Revision of the tables.
+        type_url: Type of the resources.
+        nonce: The response's nonce.
+        updated: How many resources the response contains.
+        removed: How many resources it removes.
+    """
 
     message: bytes
-    revision: int  # of the tables
+    revision: int
     type_url: str
     nonce: str
-    updated: int  # resources in it
+    updated: int
     removed: int
 
 
 class RequestResult(NamedTuple):
-    """What a request acknowledged, and what it rejected."""
+    """The changes that a request acknowledged, and what it rejected."""
 
     acknowledged: list[Change]
     nack: Nack | None
 
 
 class StreamError(QuillstepError):
-    """What a peer requested ends its stream, with this gRPC status."""
+    """A request is invalid or exceeds a limit; its stream is closed with the gRPC status `status`."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -37,9 +46,9 @@
 
 
 class Stream:
-    """One stream of one proxy; belongs to the deciding thread."""
+    """One discovery stream of one proxy.  All methods run in the decision thread."""
 
-    sends_full_state = False  # whether it can't send less than all resources of a type
+    sends_full_state = False  # whether each response contains all resources of a type
 
     def __init__(
         self,
@@ -49,37 +58,37 @@
         epoch: str,
         ordered_ms: Callable[[int], float],
     ) -> None:
-        """A stream that belongs to no proxy yet.
+        """Initializes a stream that is not assigned to a proxy yet.
 
         Args:
-            tables: What each proxy should hold.
-            encoder: Makes resources.
-            limits: What a stream may cost.
-            epoch: The controller's incarnation, in nonces and versions.
-            ordered_ms: When a revision of the tables was made.
+            tables: The desired state of each proxy.
+            encoder: Encodes resources.
+            limits: Limits of a stream.
+            epoch: The controller's incarnation, part of nonces and versions.
+            ordered_ms: Returns when a revision of the tables was made.
         """
         self.tables, self.encoder, self.limits, self.epoch = tables, encoder, limits, epoch
         self.ordered_ms = ordered_ms
-        self.proxy = -1  # set when it has joined
+        self.proxy = -1  # set once the proxy has joined
         self.nonce_count = 0
-        self.errors: list[Response] = []  # to be sent with the next responses
+        self.errors: list[Response] = []  # sent ahead of the next responses
 
     def _next_nonce(self) -> str:
         self.nonce_count += 1
         return f"{self.epoch}.{self.nonce_count}"
 
     def _version_info(self, revision: int) -> str:
-        """Which revision a response belongs to, and when that was made."""
+        """Returns the version info of a response: its revision, and when that was made."""
         return f"{self.epoch}/{revision}/{self.ordered_ms(revision):.1f}"
 
     @staticmethod
     def _check_node(request: Any) -> None:
-        """The first request of a stream must name its node."""
+        """Raises StreamError unless a stream's first request names its node."""
         if not request.node.id:
             raise StreamError(INVALID_ARGUMENT, "the first request names no node")
 
     def _handle_ack(self, request: Any, now_ms: float) -> RequestResult:
-        """Records what a request acknowledges, or rejects and why."""
+        """Records the acknowledgement or rejection that a request carries, if any."""
         nonce = request.response_nonce
         if not nonce:
             return RequestResult([], None)
@@ -89,15 +98,15 @@
         return RequestResult(self.tables.record_ack(self.proxy, nonce, now_ms), None)
 
     def _check_subscriptions(self, count: int) -> None:
-        """Raises StreamError where a peer subscribes to more names than it may."""
-        most = self.limits.max_subscriptions
-        if count > most:
-            raise StreamError(RESOURCE_EXHAUSTED, f"more than {most} names subscribed of one type")
+        """Raises StreamError if a peer subscribes to more names of one type than allowed."""
+        max_count = self.limits.max_subscriptions
+        if count > max_count:
+            raise StreamError(RESOURCE_EXHAUSTED, f"more than {max_count} names subscribed of one type")
 
     def _reject_type(self, request: Any, names: list[str], response: Any) -> None:
-        """Answers a type that is not served so that the peer can read it; its stream goes on."""
+        """Queues an error response for a type that is not served; the stream stays open."""
         if request.response_nonce:
-            return  # its acknowledgement of that answer
+            return  # the acknowledgement of an earlier error response
         response.type_url, response.nonce = request.type_url, self._next_nonce()
         for name in names or ["*"]:
             error = response.resource_errors.add()
@@ -106,6 +115,6 @@
             error.error_detail.message = f"this pilot serves no {request.type_url or 'resources without a type'}"
         self.errors.append(Response(response.SerializeToString(), 0, request.type_url, response.nonce, 0, 0))
 
-    def _take_errors(self) -> list[Response]:
+    def _pop_errors(self) -> list[Response]:
         errors, self.errors = self.errors, []
         return errors
--- a/tests/files/test_disk.py
+++ b/tests/files/test_disk.py
@@ -105,7 +105,7 @@
 
 def test_a_second_controller_on_one_root_is_rejected(tmp_path):
     disk = Disk(str(tmp_path))
-    with pytest.raises(UnusableFileError, match="written by another pilot"):
+    with pytest.raises(UnusableFileError, match="locked by another controller"):
         Disk(str(tmp_path))
     disk.close()
     Disk(str(tmp_path)).close()
@@ -119,7 +119,7 @@
     command = [sys.executable, "-m", "quillstep.cli", "controller", "--settings", str(path)]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
     assert done.returncode == 2
-    assert done.stderr.strip() == f"quillstep: {path}: files.root: {tmp_path / 'root'} is written by another pilot"
+    assert done.stderr.strip() == f"quillstep: {path}: files.root: {tmp_path / 'root'}: locked by another controller"
     disk.close()
 
 
@@ -153,7 +153,7 @@
 def test_a_root_that_everybody_may_write_is_rejected(tmp_path):
     (tmp_path / "wide").mkdir()
     (tmp_path / "wide").chmod(0o777)
-    with pytest.raises(UnusableFileError, match="everybody"):
+    with pytest.raises(UnusableFileError, match="writable by all users"):
         Disk(str(tmp_path / "wide"))
 
 
--- a/tests/xds/test_streams.py
+++ b/tests/xds/test_streams.py
@@ -303,7 +303,7 @@
     client.until(routed)
     client.close()
     lines = log.read_text().splitlines()[before:]
-    assert any("connection ended" in line or "stream ended" in line for line in lines)
+    assert any("connection closed" in line or "stream closed" in line for line in lines)
 
 
 def frame_types(data):
