--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -44,7 +44,9 @@
         self.generations: dict[str, ProxyGenerations] = {}  # joined proxies, by directory
         self.directories: dict[int, str] = {}  # directories of joined proxies, by proxy number
         self.registered: dict[str, RegisteredProxy] = {}  # joined and idle proxies, by directory
-        self.digests: dict[str, dict[str, str]] = {}  # by directory, then by file name in the newest generation
+        self.digests: dict[
+            str, dict[str, str]
+        ] = {}  # file digests of the newest generations, by directory and file name
 
     def start(self) -> None:
         """Starts the watcher's and the writer's threads."""
--- a/quillstep/xds/delta.py
+++ b/quillstep/xds/delta.py
@@ -40,7 +40,7 @@
 
     def __init__(self, *shared: Any) -> None:
         super().__init__(*shared)
-        self.subscriptions: dict[str, Subscription] = {}  # by type URL
+        self.subscriptions: dict[str, Subscription] = {}  # keyed by type URL
 
     # Requests
 
--- a/quillstep/xds/http2.py
+++ b/quillstep/xds/http2.py
@@ -52,7 +52,7 @@
 
 
 def decode_headers(headers: Any) -> dict[str, str]:
-    """Returns header fields as text, decoded as Latin-1: that never fails, and other values are only logged."""
+    """Returns header fields decoded as Latin-1, which accepts any bytes; values outside ASCII are only logged."""
     return {bytes(name).decode("latin-1"): bytes(value).decode("latin-1") for name, value in headers or ()}
 
 
--- a/quillstep/xds/load_stats.py
+++ b/quillstep/xds/load_stats.py
@@ -23,7 +23,7 @@
 class Hooks(Protocol):
     """The interface of the controller that the fronts use."""
 
-    class_indexes: dict[str, int]  # by class name
+    class_indexes: dict[str, int]  # keyed by class name
 
     @property
     def endpoint_numbers(self) -> Mapping[tuple[str, int], int]:
--- a/quillstep/xds/resources.py
+++ b/quillstep/xds/resources.py
@@ -49,7 +49,7 @@
 SERVICE_UNAVAILABLE = 503  # HTTP status
 DROP_SCALE = 10000  # drop shares are sent in ten-thousandths
 MAX_CACHED_RESOURCES = 65536  # encoded resources in the cache
-RESOURCE_API_V3 = 2  # RESOURCE_API_V3 in xDS's enumeration ApiVersion
+RESOURCE_API_V3 = 2  # V3 in the enumeration envoy.config.core.v3.ApiVersion
 
 
 class AssignedEndpoint(NamedTuple):
@@ -125,7 +125,7 @@
 
     def __init__(self, classes: Sequence[ClassSettings], attempt_timeout_factor: float) -> None:
         self.classes, self.attempt_timeout_factor = classes, attempt_timeout_factor
-        self.encoded: dict[tuple[Key, str], bytes] = {}  # by key and version
+        self.encoded: dict[tuple[Key, str], bytes] = {}  # cached encodings, by key and version
 
     def encode(self, key: Key, resource: Resource) -> bytes:
         """Returns a `Resource` encoded as field 2 of a delta response: tag, length, bytes."""
@@ -185,7 +185,9 @@
             if allowed < 1.0:
                 drop = assignment.policy.drop_overloads.add(category=self.classes[class_index].name)
                 drop.drop_percentage.numerator = round((1.0 - max(0.0, allowed)) * DROP_SCALE)
-                drop.drop_percentage.denominator = 1  # TEN_THOUSAND in xDS's enumeration DenominatorType
+                drop.drop_percentage.denominator = (
+                    1  # TEN_THOUSAND in the enumeration envoy.type.v3.FractionalPercent.DenominatorType
+                )
 
     def _routes(self, routes: Resource) -> route_pb2.RouteConfiguration:
         """Returns the routes: the table, the retry policy and the admitted rate of each class."""
--- a/quillstep/xds/sotw.py
+++ b/quillstep/xds/sotw.py
@@ -32,7 +32,7 @@
 
     def __init__(self, *shared: Any) -> None:
         super().__init__(*shared)
-        self.names: dict[str, set[str]] = {}  # by type URL; for wildcard types, an empty set means all resources
+        self.names: dict[str, set[str]] = {}  # keyed by type URL; an empty set means all for wildcard types
         self.nonces: dict[str, str] = {}  # nonce of the newest response, by type URL
 
     def initial_versions(self, request: discovery_pb2.DiscoveryRequest) -> dict[Key, str]:
--- a/tests/files/test_disk.py
+++ b/tests/files/test_disk.py
@@ -1,4 +1,4 @@
-"""The file front's disk: writers killed at every step of a swap, paths placed by others."""
+"""The file front's disk: a writer killed at each step of a swap, and paths placed by other users."""
 
 import os
 import signal
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from file_generations import contents, packed
+from file_generations import sample_generation, sample_resources
 from memory_fleet import MemoryPilot, pilot_record
 
 from quillstep.config.controller import FileSettings
@@ -20,7 +20,7 @@
 import os, signal, sys
 sys.path.insert(0, "tests")
 from memory_fleet import MemoryPilot
-from file_generations import packed
+from file_generations import sample_generation
 from quillstep.files.disk import Disk
 
 def step(name):
@@ -29,77 +29,78 @@
 
 armed = False
 disk = Disk(sys.argv[1], step=step)
-pilot = MemoryPilot()
+controller = MemoryPilot()
 os.makedirs(sys.argv[1] + "/p", exist_ok=True)
-disk.swap("p", 1, *packed(pilot, 1, 5.0), set())
+disk.swap("p", 1, *sample_generation(controller, 1, 5.0), set())
 armed = True
-disk.swap("p", 2, *packed(pilot, 2, 7.0), {1})
+disk.swap("p", 2, *sample_generation(controller, 2, 7.0), {1})
 """
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_writer_killed_at_any_step_leaves_the_old_set_or_the_new_one_complete(tmp_path, step):
+def test_a_writer_killed_at_any_step_leaves_the_old_or_the_new_generation_complete(tmp_path, step):
     root = tmp_path / "root"
-    done = subprocess.run([sys.executable, "-c", WRITER, str(root), step], timeout=60, check=False)
-    assert done.returncode == -signal.SIGKILL
-    told, files = read_generation(root / "p")
-    found = read_resources(files)
-    pilot = MemoryPilot()
-    swapped = STEPS.index(step) >= STEPS.index("swapped")
-    assert told.generation == (2 if swapped else 1)
-    assert {k: c.version for k, c in found.items()} == {
-        k: c.version for k, c in contents(7.0 if swapped else 5.0).items()
+    writer = subprocess.run([sys.executable, "-c", WRITER, str(root), step], timeout=60, check=False)
+    assert writer.returncode == -signal.SIGKILL
+    manifest, files = read_generation(root / "p")
+    resources = read_resources(files)
+    controller = MemoryPilot()
+    is_swapped = STEPS.index(step) >= STEPS.index("swapped")
+    assert manifest.generation == (2 if is_swapped else 1)
+    assert {k: c.version for k, c in resources.items()} == {
+        k: c.version for k, c in sample_resources(7.0 if is_swapped else 5.0).items()
     }
-    disk = Disk(str(root))  # the next start clears up and goes on
+    disk = Disk(str(root))  # the next start removes incomplete files and writes the next generation
     number = disk.newest("p") + 1
-    disk.swap("p", number, *packed(pilot, number, 9.0), {told.generation})
+    disk.swap("p", number, *sample_generation(controller, number, 9.0), {manifest.generation})
     after, files = read_generation(root / "p")
     assert after.generation == number
-    assert read_resources(files)[WEIGHT, 0, 12].version == contents(9.0)[WEIGHT, 0, 12].version
-    assert sorted(os.listdir(root / "p" / "generations")) == sorted({str(told.generation), str(number)})
+    assert read_resources(files)[WEIGHT, 0, 12].version == sample_resources(9.0)[WEIGHT, 0, 12].version
+    assert sorted(os.listdir(root / "p" / "generations")) == sorted({str(manifest.generation), str(number)})
     assert not [name for name in os.listdir(root / ".objects") if name.startswith("new-")]
     disk.close()
 
 
 def test_one_changed_weight_writes_one_small_file_and_links_the_rest(tmp_path):
-    pilot, disk = MemoryPilot(), Disk(str(tmp_path))
+    controller, disk = MemoryPilot(), Disk(str(tmp_path))
     (tmp_path / "p").mkdir()
-    disk.swap("p", 1, *packed(pilot, 1, 5.0), set())
+    disk.swap("p", 1, *sample_generation(controller, 1, 5.0), set())
     before = set(os.listdir(tmp_path / ".objects"))
-    disk.swap("p", 2, *packed(pilot, 2, 7.0), {1})
+    disk.swap("p", 2, *sample_generation(controller, 2, 7.0), {1})
     new = set(os.listdir(tmp_path / ".objects")) - before
     assert len(new) == 1
-    whole = sum(len(file.data) for file in packed(pilot, 2, 7.0)[0])
-    assert (tmp_path / ".objects" / new.pop()).stat().st_size < whole / 3
-    disk.swap("p", 3, *packed(pilot, 3, 9.0), {2})
-    assert disk.clear_objects() == 1  # what only generation 1 held
+    total_bytes = sum(len(file.data) for file in sample_generation(controller, 2, 7.0)[0])
+    assert (tmp_path / ".objects" / new.pop()).stat().st_size < total_bytes / 3
+    disk.swap("p", 3, *sample_generation(controller, 3, 9.0), {2})
+    assert disk.clear_objects() == 1  # the object that only generation 1 linked to
     disk.close()
 
 
-def test_a_reader_in_the_middle_of_swaps_never_sees_a_torn_or_mixed_set(tmp_path):
-    pilot, disk = MemoryPilot(), Disk(str(tmp_path), fsync=False)
+def test_a_reader_during_swaps_never_sees_a_truncated_or_mixed_generation(tmp_path):
+    controller, disk = MemoryPilot(), Disk(str(tmp_path), fsync=False)
     (tmp_path / "p").mkdir()
-    disk.swap("p", 1, *packed(pilot, 1, 1.0), set())
-    number, outcomes = 1, {"whole": 0, "cleared": 0}
+    disk.swap("p", 1, *sample_generation(controller, 1, 1.0), set())
+    number, outcomes = 1, {"complete": 0, "cleared": 0}
 
-    for most in [1, 2, 5] * 20:  # so many swaps while one set is read; the reader's is cleared at the third
-        swaps = iter(range(most))
+    # The number of swaps during one read; the generation that is being read is removed at the third.
+    for max_swaps in [1, 2, 5] * 20:
+        swaps = iter(range(max_swaps))
 
         def swap(swaps=swaps):
             nonlocal number
             if next(swaps, None) is not None:
                 number += 1
-                disk.swap("p", number, *packed(pilot, number, float(number)), {number - 1})
+                disk.swap("p", number, *sample_generation(controller, number, float(number)), {number - 1})
 
         try:
-            told, files = read_generation(tmp_path / "p", between=swap)
+            manifest, files = read_generation(tmp_path / "p", between=swap)
         except FileNotFoundError:
-            outcomes["cleared"] += 1  # it will read the newer one
+            outcomes["cleared"] += 1  # a reader starts again with the newer generation
             continue
-        outcomes["whole"] += 1
-        expected = contents(float(told.generation))
+        outcomes["complete"] += 1
+        expected = sample_resources(float(manifest.generation))
         assert {k: c.version for k, c in read_resources(files).items()} == {k: c.version for k, c in expected.items()}
-    assert outcomes["whole"] >= 20 and outcomes["cleared"] >= 20
+    assert outcomes["complete"] >= 20 and outcomes["cleared"] >= 20
     disk.close()
 
 
@@ -111,46 +112,48 @@
     Disk(str(tmp_path)).close()
 
 
-def test_a_controller_on_a_root_in_use_ends_with_a_clear_error(tmp_path):
+def test_a_controller_on_a_locked_root_exits_with_a_clear_error(tmp_path):
     disk = Disk(str(tmp_path / "root"))
-    record = pilot_record(files=FileSettings(root=str(tmp_path / "root")))
+    settings = pilot_record(files=FileSettings(root=str(tmp_path / "root")))
     path = tmp_path / "p.cue"
-    path.write_bytes(msgspec.json.encode(record.model_dump()))
+    path.write_bytes(msgspec.json.encode(settings.model_dump()))
     command = [sys.executable, "-m", "quillstep.cli", "controller", "--settings", str(path)]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
-    assert done.returncode == 2
-    assert done.stderr.strip() == f"quillstep: {path}: files.root: {tmp_path / 'root'}: locked by another controller"
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
+    assert completed.returncode == 2
+    assert (
+        completed.stderr.strip() == f"quillstep: {path}: files.root: {tmp_path / 'root'}: locked by another controller"
+    )
     disk.close()
 
 
-def lay_link(root):
+def place_link(root):
     os.symlink("/tmp", root / "p")
 
 
-def lay_wide(root):
+def place_world_writable_directory(root):
     (root / "p").mkdir()
     (root / "p").chmod(0o777)
 
 
-def lay_file(root):
+def place_file(root):
     (root / "p").write_text("x")
 
 
-def lay_inner_link(root):
+def place_link_inside(root):
     (root / "p").mkdir()
     os.symlink("/tmp", root / "p" / "generations")
 
 
-@pytest.mark.parametrize("lay", [lay_link, lay_wide, lay_file, lay_inner_link])
-def test_paths_placed_by_others_are_rejected(tmp_path, lay):
-    pilot, disk = MemoryPilot(), Disk(str(tmp_path))
-    lay(tmp_path)
+@pytest.mark.parametrize("place", [place_link, place_world_writable_directory, place_file, place_link_inside])
+def test_paths_placed_by_other_users_are_rejected(tmp_path, place):
+    controller, disk = MemoryPilot(), Disk(str(tmp_path))
+    place(tmp_path)
     with pytest.raises(UnusableFileError):
-        disk.swap("p", 1, *packed(pilot, 1, 1.0), set())
+        disk.swap("p", 1, *sample_generation(controller, 1, 1.0), set())
     disk.close()
 
 
-def test_a_root_that_everybody_may_write_is_rejected(tmp_path):
+def test_a_world_writable_root_is_rejected(tmp_path):
     (tmp_path / "wide").mkdir()
     (tmp_path / "wide").chmod(0o777)
     with pytest.raises(UnusableFileError, match="writable by all users"):
@@ -158,7 +161,7 @@
 
 
 @pytest.mark.parametrize("name", ["hello.json", "ack.json"])
-def test_a_proxys_file_is_not_read_through_links_nor_beyond_its_bound(tmp_path, name):
+def test_a_proxys_file_is_not_read_through_links_nor_beyond_the_size_limit(tmp_path, name):
     disk = Disk(str(tmp_path))
     (tmp_path / "p").mkdir()
     os.symlink("/etc/hostname", tmp_path / "p" / name)
@@ -172,7 +175,7 @@
 
 
 @pytest.mark.parametrize("node", ["../../etc", "..", ".lock", "a/b", "\n", "å", "proxy/1"])
-def test_no_proxys_name_leaves_the_root_or_meets_anothers(node):
+def test_a_proxys_directory_stays_below_the_root_and_is_not_shared(node):
     name = safe_name(node)
     assert "/" not in name and not name.startswith(".") and name.isascii()
     assert safe_name("proxy/1") != safe_name("proxy%2f1")
