--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -44,9 +44,7 @@
         self.generations: dict[str, ProxyGenerations] = {}  # joined proxies, by directory
         self.directories: dict[int, str] = {}  # directories of joined proxies, by proxy number
         self.registered: dict[str, RegisteredProxy] = {}  # joined and idle proxies, by directory
-        self.digests: dict[
-            str, dict[str, str]
-        ] = {}  # file digests of the newest generations, by directory and file name
+        self.digests: dict[str, dict[str, str]] = {}  # newest generations' file digests, by directory and name
 
     def start(self) -> None:
         """Starts the watcher's and the writer's threads."""
--- a/quillstep/files/watcher.py
+++ b/quillstep/files/watcher.py
@@ -25,7 +25,7 @@
     def __init__(self, disk: Disk, settings: FileSettings, put: Callable[[FileEvent], None]) -> None:
         self.disk, self.settings, self.put = disk, settings, put
         self.stopping = threading.Event()
-        self.stamps: dict[tuple[str, str], Stamp | None] = {}  # keyed by directory and file name, or "" for itself
+        self.stamps: dict[tuple[str, str], Stamp | None] = {}  # by directory and name; "" is the directory itself
         self.errors: dict[str, str] = {}  # the error logged last, by directory
         self.log = structlog.get_logger("files")
 
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -93,13 +93,13 @@
         held = stream.initial_versions(request)
         node = request.node
         is_fresh = not held and not getattr(request, "version_info", "")
-        before = self.hooks.joined_number(node.id)
-        if before is not None and before in self.by_proxy:
+        previous = self.hooks.joined_number(node.id)
+        if previous is not None and previous in self.by_proxy:
             self.log.info("stream replaced", proxy=node.id, reason=REPLACED_REASON)
-            self._finish(self.by_proxy[before], UNAVAILABLE, REPLACED_REASON, now_ms)
-        usual = node.metadata.fields["usual"].number_value if "usual" in node.metadata.fields else 0.0
+            self._finish(self.by_proxy[previous], UNAVAILABLE, REPLACED_REASON, now_ms)
+        rate_per_s = node.metadata.fields["usual"].number_value if "usual" in node.metadata.fields else 0.0
         zone = node.locality.zone
-        stream.proxy = self.hooks.add_proxy(node.id, zone, usual, held, is_fresh, self, incarnation_of(node))
+        stream.proxy = self.hooks.add_proxy(node.id, zone, rate_per_s, held, is_fresh, self, incarnation_of(node))
         self.by_proxy[stream.proxy] = key
         self._record_joined(stream.proxy, node.id, zone, is_fresh, len(held), now_ms)
 
--- a/quillstep/xds/resources.py
+++ b/quillstep/xds/resources.py
@@ -185,9 +185,7 @@
             if allowed < 1.0:
                 drop = assignment.policy.drop_overloads.add(category=self.classes[class_index].name)
                 drop.drop_percentage.numerator = round((1.0 - max(0.0, allowed)) * DROP_SCALE)
-                drop.drop_percentage.denominator = (
-                    1  # TEN_THOUSAND in the enumeration envoy.type.v3.FractionalPercent.DenominatorType
-                )
+                drop.drop_percentage.denominator = 1  # FractionalPercent.TEN_THOUSAND
 
     def _routes(self, routes: Resource) -> route_pb2.RouteConfiguration:
         """Returns the routes: the table, the retry policy and the admitted rate of each class."""
--- a/quillstep/xds/server.py
+++ b/quillstep/xds/server.py
@@ -127,9 +127,7 @@
         self.put(events.StreamRequest(peer, stream, message, data))
 
     def _on_report(self, reader: ReportReader, peer: Peer, stream: int, data: bytes) -> None:
-        if (
-            len(data) > reader.max_message_bytes
-        ):  # received together with the stream's headers, before its limit was set
+        if len(data) > reader.max_message_bytes:  # arrived with the stream's headers, before the limit was set
             reason = "a report that is too large"
             self.finish(peer, stream, RESOURCE_EXHAUSTED, reason)
             self._end(peer, stream, LOAD, reason)
