--- a/quillstep/load_reports/readers/session.py
+++ b/quillstep/load_reports/readers/session.py
@@ -17,7 +17,7 @@
 from quillstep.load_reports.messages import ReportRequest
 from quillstep.load_reports.validation import ReportAccount
 from quillstep.xds.grpc import INVALID_ARGUMENT, PERMISSION_DENIED, UNAVAILABLE
-from quillstep.xds.load_stats import life_of, load_request, read_report
+from quillstep.xds.load_stats import incarnation_of, load_request, read_report
 
 JOIN_POLL_PERIODS = 0.1  # interval between checks whether a proxy whose reports arrived first has joined
 IDLE_PERIODS = 3.0  # idle time after which a stream's name may be claimed by a stream without an incarnation
@@ -210,7 +210,7 @@
         A name that has joined with another incarnation can't be claimed; nor, without an incarnation, can a name that
         has another active stream.
         """
-        name, incarnation = request.node.id, life_of(request.node)
+        name, incarnation = request.node.id, incarnation_of(request.node)
         if not name:
             self._end(key, INVALID_ARGUMENT, "the first request names no node")
             return False
