--- a/quillstep/testbed/__init__.py
+++ b/quillstep/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside: endpoints, proxies, a roster.  Processes of their own, never imported by the program."""
+"""Stand-ins for endpoints, proxies and endpoint discovery: separate processes that a controller never imports."""
--- a/quillstep/testbed/file_subscriber.py
+++ b/quillstep/testbed/file_subscriber.py
@@ -1,6 +1,7 @@
-"""How a stand-in proxy follows files: says hello, reads each generation whole, acknowledges or refuses, reports load.
+"""A stand-in proxy's subscription by files: it writes a hello file, then reads, applies and answers each generation.
 
-It looks every few milliseconds, late by its settings; a pilot that gives no sign of life is left for the next.
+It polls the directory, with a random delay before it reads.  A controller whose keep-alive file is too old is left for
+the next one.
 """
 
 import contextlib
@@ -8,6 +9,7 @@
 import os
 import threading
 import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -19,186 +21,211 @@
 from quillstep.files.disk import safe_name
 from quillstep.files.generation_files import MANIFEST, Manifest, decode
 from quillstep.net.clock import now_ms
-from quillstep.testbed.proxy_interface import ProxyInterface
-from quillstep.testbed.xds_subscriber import MESSAGES, drop_shares_of, line_of, routes_of
+from quillstep.testbed.proxy_interface import Address, ProxyInterface, Route, TableEntry
+from quillstep.testbed.xds_subscriber import MESSAGES, drop_shares_of, routes_of, table_entry_of
 from quillstep.xds.resources import CDS, COLLECTION, EDS, LEDS, RDS
 
 POLL_INTERVAL_S = 0.03
-POLLS_PER_LIVENESS_CHECK = 8  # looks between two at its pilot's sign of life
-LIVENESS_TIMEOUT_MS = 1500.0  # a pilot without a sign of life for so long is left
-GONE = (health_check_pb2.DRAINING, health_check_pb2.UNHEALTHY)
+POLLS_PER_LIVENESS_CHECK = 8
+LIVENESS_TIMEOUT_MS = 1500.0  # age of the keep-alive file from which a controller counts as down
+EJECTED_STATUSES = (health_check_pb2.DRAINING, health_check_pb2.UNHEALTHY)
 
 
-def put(path: Path, data: bytes) -> None:
-    """Write a file whole."""
+def write_atomically(path: Path, data: bytes) -> None:
+    """Write a file and rename it into place, so that a reader never sees part of it."""
     new = path.with_suffix(".new")
     new.write_bytes(data)
-    os.replace(new, path)
+    new.replace(path)
 
 
 class ReportFiles:
-    """Where load reports go, a file each."""
+    """A directory that load reports are written to, one file each."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.count = folder, 0
 
     @staticmethod
     def unsent() -> int:
+        """Return 0: files are written at once."""
         return 0
 
     def send(self, data: bytes) -> None:
+        """Write one report."""
         self.count += 1
-        put(self.folder / f"{time.time_ns():020d}-{self.count % 1000:03d}.pb", data)
+        write_atomically(self.folder / f"{time.time_ns():020d}-{self.count % 1000:03d}.pb", data)
 
 
 class FileSubscriber:
-    """One proxy's way with files; `roots` are its pilots' roots in the sequence of dialling."""
+    """One proxy's subscription by files.
+
+    `start` begins a daemon thread, which `stop` ends.  Faults are set from another thread, each until a time in
+    milliseconds on the monotonic clock.
+    """
 
     def __init__(self, proxy: ProxyInterface, roots: list[str]) -> None:
+        """Subscribe for `proxy`; `roots` are its controllers' root directories, tried in turn."""
         self.proxy, self.roots = proxy, roots
-        self.held = proxy.held
-        self.stalled_ms = self.refuses_ms = 0.0
-        self.late_ms = proxy.host.proxies["dial_ms"] * 0.1
-        self.ended = threading.Event()
-        self.load_stream: ReportFiles | None = None  # below the root it follows
-        self.done = 0  # the newest generation it has answered
+        self.routing = proxy.routing
+        self.stalled_until_ms = self.reject_until_ms = 0.0
+        self.max_read_delay_ms = proxy.host.proxy_settings["dial_ms"] * 0.1
+        self.stopping = threading.Event()
+        self.report_stream: ReportFiles | None = None  # below the root that is followed
+        self.last_handled = 0  # the newest generation that was answered
         self.accepted: dict[str, int] = {}  # generation by root
-        self.dials = 0
+        self.connect_attempts = 0
 
     def start(self) -> None:
-        self.thread = threading.Thread(target=self.run, daemon=True)
+        """Start the thread that follows the controllers."""
+        self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def end(self) -> None:
-        self.ended.set()
+    def stop(self) -> None:
+        """Stop the thread and wait for it; the routing state is retained."""
+        self.stopping.set()
         self.thread.join()
 
-    def record(self, **fields: Any) -> None:
+    def _record(self, **fields: Any) -> None:
         self.proxy.host.record.put(**{"at": now_ms(), "proxy": self.proxy.name, **fields})
 
-    def run(self) -> None:
-        while not self.ended.is_set():
-            root = self.roots[self.dials % len(self.roots)]
-            self.dials += 1
-            if self.alive(root):
-                self.follow(root)
-            self.ended.wait(self.proxy.host.proxies["dial_ms"] / 1000.0)
+    def _run(self) -> None:
+        while not self.stopping.is_set():
+            root = self.roots[self.connect_attempts % len(self.roots)]
+            self.connect_attempts += 1
+            if self._is_alive(root):
+                self._follow(root)
+            self.stopping.wait(self.proxy.host.proxy_settings["dial_ms"] / 1000.0)
 
     @staticmethod
-    def alive(root: str) -> bool:
+    def _is_alive(root: str) -> bool:
         try:
-            return time.time() - os.stat(f"{root}/.alive").st_mtime < LIVENESS_TIMEOUT_MS / 1000.0
+            return time.time() - Path(f"{root}/.alive").stat().st_mtime < LIVENESS_TIMEOUT_MS / 1000.0
         except OSError:
             return False
 
-    def follow(self, root: str) -> None:
-        here = Path(root) / safe_name(self.proxy.name)
-        (here / "load").mkdir(parents=True, exist_ok=True)
-        self.done = self.current(f"{here}/current")
+    def _follow(self, root: str) -> None:
+        directory = Path(root) / safe_name(self.proxy.name)
+        (directory / "load").mkdir(parents=True, exist_ok=True)
+        self.last_handled = self._current_generation(Path(f"{directory}/current"))
         generation = self.accepted.get(root, 0)
-        hello = {"node": self.proxy.name, "zone": self.proxy.zone, "usual": self.proxy.usual,
-                 "generation": 0, "versions": self.held.versions}  # fmt: skip
-        if generation and generation == self.done:
+        hello = {"node": self.proxy.name, "zone": self.proxy.zone, "usual": self.proxy.requests_per_s,
+                 "generation": 0, "versions": self.routing.versions}  # fmt: skip
+        if generation and generation == self.last_handled:
             hello.update(generation=generation)
-        put(here / "hello.json", msgspec.json.encode(hello))
-        self.record(what="stream", up=True, pilot=root)
-        self.load_stream = ReportFiles(here / "load")
-        link = f"{here}/current"
-        for look in itertools.count():
-            if self.ended.wait(POLL_INTERVAL_S) or (look % POLLS_PER_LIVENESS_CHECK == 0 and not self.alive(root)):
+        write_atomically(directory / "hello.json", msgspec.json.encode(hello))
+        self._record(what="stream", up=True, pilot=root)
+        self.report_stream = ReportFiles(directory / "load")
+        link = Path(f"{directory}/current")
+        for poll in itertools.count():
+            if self.stopping.wait(POLL_INTERVAL_S) or (
+                poll % POLLS_PER_LIVENESS_CHECK == 0 and not self._is_alive(root)
+            ):
                 break
-            if (left := self.stalled_ms - now_ms()) > 0:
-                self.ended.wait(left / 1000.0)
+            if (remaining_ms := self.stalled_until_ms - now_ms()) > 0:
+                self.stopping.wait(remaining_ms / 1000.0)
                 continue
-            if self.current(link) != self.done:
-                self.ended.wait(self.late_ms * self.proxy.draw() / 1000.0)
-                self.look(root, here)
-        self.load_stream = None
+            if self._current_generation(link) != self.last_handled:
+                self.stopping.wait(self.max_read_delay_ms * self.proxy.draw() / 1000.0)
+                self._handle_generation(root, directory)
+        self.report_stream = None
         with contextlib.suppress(OSError):
-            (here / "hello.json").unlink()
-        self.record(what="stream", up=False, pilot=root, reason="left it" if self.ended.is_set() else "silent")
+            (directory / "hello.json").unlink()
+        self._record(what="stream", up=False, pilot=root, reason="left it" if self.stopping.is_set() else "silent")
 
     @staticmethod
-    def current(link: str) -> int:
+    def _current_generation(link: Path) -> int:
         try:
-            name = os.readlink(link).rpartition("/")[2]
+            name = link.readlink().name
             return int(name) if name.isdigit() else 0
         except OSError:
             return 0
 
-    def look(self, root: str, here: Path) -> None:
-        """Read the generation that is current, apply it as a whole, answer."""
+    def _handle_generation(self, root: str, directory: Path) -> None:
+        """Read the current generation, apply or reject it as a whole, and write the acknowledgement."""
         try:
-            told, files = read_generation(here)
+            manifest, files = read_generation(directory)
         except FileNotFoundError:
-            return  # it was cleared away while we read: there is a newer one
-        except ValueError as trouble:
-            self.record(what="torn", reason=str(trouble))
+            return  # removed during the read, because a newer generation has replaced it
+        except ValueError as error:
+            self._record(what="torn", reason=str(error))
             return
         try:
             resources = read_resources(files)
-            broken = ""
-        except ValueError as found:
-            resources, broken = [], str(found)
+            invalid = ""
+        except ValueError as error:
+            resources, invalid = [], str(error)
         new: dict[str, dict[str, str]] = {}
         for url, name, version, _ in resources:
             new.setdefault(url, {})[name] = version
-        versions = self.held.versions
+        versions = self.routing.versions
         changed = [(n, v) for url in new for n, v in new[url].items() if versions.get(url, {}).get(n) != v]
         removed = [n for url, old in versions.items() for n in old if n not in new.get(url, {})]
-        note: dict[str, Any] = {"type": "files", "nonce": f"{told.origin}.g{told.generation}", "changed": changed,
-                "removed": removed, "bytes": sum(len(data) for data in files.values()),
-                "system": f"{told.origin}/{told.revision}/{told.ordered_ms:.1f}"}  # fmt: skip
+        row: dict[str, Any] = {"type": "files", "nonce": f"{manifest.origin}.g{manifest.generation}",
+                "changed": changed, "removed": removed, "bytes": sum(len(data) for data in files.values()),
+                "system": f"{manifest.origin}/{manifest.revision}/{manifest.ordered_ms:.1f}"}  # fmt: skip
         with self.proxy.lock:
-            time.sleep(self.proxy.host.proxies["line_ms"] * (len(changed) + len(removed)) / 1000.0)
-        answer: dict[str, Any] = {"generation": told.generation}
+            time.sleep(self.proxy.host.proxy_settings["line_ms"] * (len(changed) + len(removed)) / 1000.0)
+        ack: dict[str, Any] = {"generation": manifest.generation}
         try:
-            if broken or self.refuses_ms > now_ms():
-                raise ValueError(broken or "told to refuse")
+            if invalid or self.reject_until_ms > now_ms():
+                raise ValueError(invalid or "told to refuse")
             with self.proxy.lock:
-                self.apply(resources, new)
-                note["at"] = now_ms()  # whoever picks by it does so later: both hold the lock
-        except ValueError as trouble:
-            answer["refused"] = str(trouble)
-            self.record(what="refused", reason=str(trouble), **note)
+                self._apply(resources, new)
+                row["at"] = now_ms()  # before any choice by the new table, which takes the same lock
+        except ValueError as error:
+            ack["refused"] = str(error)
+            self._record(what="refused", reason=str(error), **row)
         else:
-            self.accepted = {root: told.generation}
-            self.record(what="applied", **note)
-            self.proxy.applied()
-        self.done = told.generation
-        put(here / "ack.json", msgspec.json.encode(answer))
-
-    def apply(self, resources: list[tuple[str, str, str, Any]], versions: dict[str, dict[str, str]]) -> None:
-        """All of a generation in place of all that was held."""
-        tables: dict[str, dict] = {name: {} for url, name, _, _ in resources if url == CDS}
-        outs, drops, routes, routes_version = {}, {}, {}, ""
+            self.accepted = {root: manifest.generation}
+            self._record(what="applied", **row)
+            self.proxy.on_update_applied()
+        self.last_handled = manifest.generation
+        write_atomically(directory / "ack.json", msgspec.json.encode(ack))
+
+    def _apply(self, resources: list[tuple[str, str, str, Any]], versions: dict[str, dict[str, str]]) -> None:
+        """Replace the routing state by a generation's resources.
+
+        Raises:
+            ValueError: A route can't be followed, or leads to a table that the generation lacks.
+        """
+        tables: dict[str, dict[str, TableEntry]] = {name: {} for url, name, _, _ in resources if url == CDS}
+        ejected_by_name: dict[str, Address] = {}
+        drop_shares: dict[str, dict[str, float]] = {}
+        routes: dict[str, Route] = {}
+        routes_version = ""
         for url, name, version, message in resources:
             group, _, _ = name.removeprefix(COLLECTION).partition("/")
             if url == EDS:
-                drops[name] = drop_shares_of(message)
+                drop_shares[name] = drop_shares_of(message)
             elif url == RDS:
                 routes, routes_version = routes_of(message), version
-            elif url == LEDS and group == "withdrawn" and message.health_status in GONE:
-                outs[name] = line_of(message, version)[0]
+            elif url == LEDS and group == "withdrawn" and message.health_status in EJECTED_STATUSES:
+                ejected_by_name[name] = table_entry_of(message, version)[0]
             elif url == LEDS and group in tables:
-                tables[group][name] = line_of(message, version)
+                tables[group][name] = table_entry_of(message, version)
         missing = {route.table for route in routes.values() if not route.closed} - set(tables)
         if missing:
             raise ValueError(f"routes to {sorted(missing)}, which are not there")
-        held = self.held
-        held.tables, held.outs, held.out, held.drops = tables, outs, set(outs.values()), drops
-        held.routes, held.routes_version = routes, routes_version
-        held.versions = versions
+        routing = self.routing
+        routing.tables, routing.ejected_by_name, routing.ejected, routing.drop_shares = (
+            tables, ejected_by_name, set(ejected_by_name.values()), drop_shares,
+        )  # fmt: skip
+        routing.routes, routing.routes_version = routes, routes_version
+        routing.versions = versions
 
     def report_address(self) -> None:
-        """Load reports go to files here."""
+        """Return None: load reports are written to files."""
 
-    def cut(self, until_ms: float) -> None:
-        self.stalled_ms = until_ms
+    def disconnect(self, until_ms: float) -> None:
+        """Read nothing until then, as if the file system had failed."""
+        self.stalled_until_ms = until_ms
 
 
 def read_resources(files: dict[str, bytes]) -> list[tuple[str, str, str, Any]]:
-    """Type, name, version and message of all resources of a generation; raises ValueError."""
+    """Return type, name, version and message of all resources in a generation's files.
+
+    Raises:
+        ValueError: A file can't be decoded, or a resource is of another type.
+    """
     found = []
     for file, data in files.items():
         response = decode(file, data)
@@ -211,30 +238,43 @@
     return found
 
 
-def read_generation(here: Path, between: Any = None) -> tuple[Manifest, dict[str, bytes]]:
-    """The current generation whole, from one directory descriptor.
+def read_generation(directory: Path, between: Callable[[], object] | None = None) -> tuple[Manifest, dict[str, bytes]]:
+    """Read the current generation through one directory descriptor, so that all files are of the same generation.
 
-    Raises FileNotFoundError if it was cleared away meanwhile, ValueError if it is torn.  `between` is called between
-    the manifest and each file, for tests that read in the middle of a swap.
+    Args:
+        directory: The proxy's directory.
+        between: Called after the manifest is read and before each file, for tests that swap generations meanwhile.
+
+    Returns:
+        The manifest, and the contents of its files by name.
+
+    Raises:
+        FileNotFoundError: The generation was removed during the read.
+        ValueError: The manifest is invalid, or a file differs from its digest.
     """
-    at = os.open(here / "current", os.O_RDONLY | os.O_DIRECTORY)
+    descriptor = os.open(directory / "current", os.O_RDONLY | os.O_DIRECTORY)
     try:
-        told = msgspec.json.decode(read_at(at, MANIFEST), type=Manifest)
+        manifest = msgspec.json.decode(read_at(descriptor, MANIFEST), type=Manifest)
         files = {}
-        for name, digest in told.files.items():
+        for name, digest in manifest.files.items():
             if between:
                 between()
-            files[name] = read_at(at, name)
+            files[name] = read_at(descriptor, name)
             if xxhash.xxh3_128_hexdigest(files[name]) != digest:
                 raise ValueError(f"{name} is not what the manifest says")
-        return told, files
-    except msgspec.DecodeError as trouble:
-        raise ValueError(f"{MANIFEST}: {trouble}") from None
+        return manifest, files
+    except msgspec.DecodeError as error:
+        raise ValueError(f"{MANIFEST}: {error}") from None
     finally:
-        os.close(at)
+        os.close(descriptor)
 
 
-def read_at(at: int, name: str) -> bytes:
-    held = os.open(name, os.O_RDONLY, dir_fd=at)
-    with os.fdopen(held, "rb") as file:
+def read_at(directory: int, name: str) -> bytes:
+    """Return the contents of a file below an open directory.
+
+    Raises:
+        OSError: The file can't be read.
+    """
+    descriptor = os.open(name, os.O_RDONLY, dir_fd=directory)
+    with os.fdopen(descriptor, "rb") as file:
         return file.read()
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -1,8 +1,9 @@
-"""How a stand-in proxy reports its load: as often and as fully as asked, numbered, stamped, nothing twice as new.
+"""Load reports of a stand-in proxy, at the interval and with the detail that its controller asks for.
 
-Its stream is its follower's, or one of its own to a reading process; then it needs no thread: it is looked at
-whenever a report is due.  While its pilot takes nothing, sums add up here.  A report whose stream broke under it is
-sent again under its number, for it may have been read or not.
+Reports are numbered and time-stamped, and each request is counted in one report only.  They use the subscription's
+stream, or a connection to a reader process, which is polled when a report is due and needs no thread.  While the peer
+does not read, stats accumulate here.  The last report of a broken stream is sent again under the same number, as it
+may or may not have been read.
 """
 
 import contextlib
@@ -22,219 +23,247 @@
 from quillstep.xds.server import LOAD
 
 CONNECT_TIMEOUT_MS = 250.0
-MAX_UNSENT_BYTES = 32 * 1024  # beyond it sums stay here and add up
-MAX_DELAYED_REPORTS = 64  # reports that are held back
+MAX_UNSENT_BYTES = 32 * 1024  # above it no report is made, and stats accumulate
+MAX_DELAYED_REPORTS = 64
 BUCKETS_MS = [5.0 * 2.0**at for at in range(12)]
-TOOK_NAMES = [f"{LATENCY_BUCKET_PREFIX}{bound:g}" for bound in BUCKETS_MS]
+LATENCY_METRICS = [f"{LATENCY_BUCKET_PREFIX}{bound:g}" for bound in BUCKETS_MS]
 
 
-def bucket(took_ms: float) -> int:
-    return next((at for at, bound in enumerate(BUCKETS_MS) if took_ms <= bound), len(BUCKETS_MS) - 1)
+def bucket_index(latency_ms: float) -> int:
+    """Return the index of the latency bucket; latencies above all bounds count in the last one."""
+    return next((at for at, bound in enumerate(BUCKETS_MS) if latency_ms <= bound), len(BUCKETS_MS) - 1)
 
 
 class DedicatedReportStream:
-    """A load report stream on a connection of its own, without threads: all calls come from the reporting thread."""
+    """A load report stream on its own connection, without threads: all calls come from the reporting thread."""
 
     def __init__(self, address: str) -> None:
+        """Connect to a reader process at `host:port`.
+
+        Raises:
+            OSError: The reader can't be reached.
+        """
         self.address = address
         self.sock = dial(address, CONNECT_TIMEOUT_MS)
-        self.sock.settimeout(None)  # it blocks, but for what says it must not
+        self.sock.settimeout(None)  # blocking; calls that must not block use MSG_DONTWAIT
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.http2 = GrpcConnection(True, MAX_MESSAGE_BYTES)
         self.stream = self.http2.open(LOAD, address)
-        self.out = bytearray()
+        self.output = bytearray()
 
     def unsent(self) -> int:
-        return len(self.out) + self.http2.unsent_bytes
+        """Return how many bytes wait to be sent."""
+        return len(self.output) + self.http2.unsent_bytes
 
     def send(self, data: bytes) -> None:
+        """Send one report, as far as the socket takes it without blocking.
+
+        Raises:
+            OSError: The connection is broken.
+        """
         self.http2.send(self.stream, data)
         self.flush()
 
     def flush(self) -> None:
-        """Raises OSError or ConnectionBroken where the stream has ended."""
-        self.out += self.http2.pump()
-        if self.out:
+        """Write pending output without blocking.
+
+        Raises:
+            OSError: The connection is broken.
+        """
+        self.output += self.http2.pump()
+        if self.output:
             with contextlib.suppress(BlockingIOError):
-                sent = self.sock.send(self.out, socket.MSG_DONTWAIT)
-                del self.out[:sent]
+                sent = self.sock.send(self.output, socket.MSG_DONTWAIT)
+                del self.output[:sent]
 
     def messages(self) -> list[bytes]:
-        """What has come; raises as `flush`."""
-        found = []
+        """Return the messages that have been received, without blocking.
+
+        Raises:
+            OSError: The connection is broken.
+            ProtocolError: The stream or the connection was closed.
+        """
+        received = []
         with contextlib.suppress(BlockingIOError):
             while True:
                 data = self.sock.recv(65536, socket.MSG_DONTWAIT)
                 if not data:
-                    raise ProtocolError("the pilot closed the connection")
+                    raise ProtocolError("the peer closed the connection")
                 for event in self.http2.receive(data):
                     if isinstance(event, MessageReceived):
-                        found.append(event.data)
+                        received.append(event.data)
                     elif isinstance(event, StreamEnded):
-                        raise ProtocolError(event.reason or "the pilot ended the stream")
+                        raise ProtocolError(event.reason or "the peer closed the stream")
         self.flush()
-        return found
+        return received
 
     def close(self) -> None:
+        """Close the connection."""
         self.sock.close()
 
 
 class LoadReporter:
-    """One proxy's reports."""
+    """The load reports of one proxy."""
 
     def __init__(self, proxy: ProxyInterface) -> None:
         self.proxy = proxy
-        self.usual_ms = self.period_ms = proxy.host.proxies["report_every_ms"]
-        self.full = True
+        self.default_period_ms = self.period_ms = proxy.host.proxy_settings["report_every_ms"]
+        self.is_full = True  # with stats for each endpoint
         self.number = 0
-        self.late_until = self.late_ms = self.heavy_until = self.cut_until = 0.0
-        self.held: list[tuple[float, lrs_pb2.LoadStatsRequest]] = []  # when to send what
+        # Faults that a scenario injects, each until a time on the monotonic clock.
+        self.delay_until_ms = self.delay_ms = self.padded_until_ms = self.disconnected_until_ms = 0.0
+        self.delayed: list[tuple[float, lrs_pb2.LoadStatsRequest]] = []  # reports by the time at which each is due
         self.last: lrs_pb2.LoadStatsRequest | None = None
-        self.own: DedicatedReportStream | None = None
-        self.said_to: Any = None  # the stream that the node was named on
+        self.dedicated: DedicatedReportStream | None = None
+        self.greeted_stream: Any = None  # the stream on which the node has been sent
         self.padding = b""
-        self.padded = 0
+        self.padded_endpoints = 0
 
-    # what is asked
-
-    def asked(self, data: bytes) -> None:
-        """A pilot's answer on the stream."""
+    def handle_response(self, data: bytes) -> None:
+        """Apply a controller's response: the reporting interval, and whether to report each endpoint."""
         with contextlib.suppress(DecodeError):
-            answer = lrs_pb2.LoadStatsResponse.FromString(data)
-            self.period_ms = max(1.0, answer.load_reporting_interval.ToNanoseconds() / 1e6)
-            self.full = answer.report_endpoint_granularity
-
-    # reporting
+            response = lrs_pb2.LoadStatsResponse.FromString(data)
+            self.period_ms = max(1.0, response.load_reporting_interval.ToNanoseconds() / 1e6)
+            self.is_full = response.report_endpoint_granularity
 
     def tick(self) -> float:
-        """What is due now; returns after how many milliseconds to come again."""
+        """Make a report and send the reports that are due; return the milliseconds until the next call."""
         now = now_ms()
-        stream = self.stream()
+        stream = self._stream()
         if stream is not None:
             with contextlib.suppress(OSError, ProtocolError):
-                self.attend(stream, now)
+                self._report(stream, now)
         return self.period_ms
 
-    def attend(self, stream: Any, now: float) -> None:
+    def _report(self, stream: Any, now: float) -> None:
         try:
             if isinstance(stream, DedicatedReportStream):
                 for data in stream.messages():
-                    self.asked(data)
-            if stream is not self.said_to:
-                self.greet(stream)
+                    self.handle_response(data)
+            if stream is not self.greeted_stream:
+                self._greet(stream)
             if stream.unsent() > MAX_UNSENT_BYTES:
                 return
-            if len(self.held) < MAX_DELAYED_REPORTS:
-                late = self.late_ms if self.late_until > now else 0.0
-                self.held.append((now + late, self.make(now)))
-            for due, request in list(self.held):
+            if len(self.delayed) < MAX_DELAYED_REPORTS:
+                delay_ms = self.delay_ms if self.delay_until_ms > now else 0.0
+                self.delayed.append((now + delay_ms, self._make_report(now)))
+            for due, request in list(self.delayed):
                 if due <= now:
-                    self.held.remove((due, request))
-                    self.send(stream, request, now)
+                    self.delayed.remove((due, request))
+                    self._send(stream, request, now)
         except (OSError, ProtocolError):
-            if stream is self.own and self.own:
-                self.own.close()
-                self.own = None
+            if stream is self.dedicated and self.dedicated:
+                self.dedicated.close()
+                self.dedicated = None
             raise
 
-    def greet(self, stream: Any) -> None:
-        """A new stream: say who this is, and again what the stream before may not have brought."""
+    def _greet(self, stream: Any) -> None:
+        """Send the node on a new stream, and the last report again, which the old stream may not have delivered."""
         opening = lrs_pb2.LoadStatsRequest()
         self.proxy.describe(opening.node)
         stream.send(opening.SerializeToString())
-        self.said_to = stream
-        self.period_ms, self.full = self.usual_ms, True
+        self.greeted_stream = stream
+        self.period_ms, self.is_full = self.default_period_ms, True
         if self.last is not None:
-            self.send(stream, self.last, now_ms())
+            self._send(stream, self.last, now_ms())
 
-    def send(self, stream: Any, request: lrs_pb2.LoadStatsRequest, now: float) -> None:
+    def _send(self, stream: Any, request: lrs_pb2.LoadStatsRequest, now: float) -> None:
         stamps = request.node.metadata.fields["report"].struct_value.fields
         stamps["sent_ms"].number_value = now
         self.last = request
-        stream.send(request.SerializeToString() + (self.pad() if self.heavy_until > now else b""))
+        stream.send(request.SerializeToString() + (self._pad() if self.padded_until_ms > now else b""))
 
-    def stream(self) -> Any:
-        """The stream to report on now; None while there is none."""
+    def _stream(self) -> Any:
+        """Return the stream to report on now; None while there is none."""
         proxy = self.proxy
         subscriber = proxy.subscriber
-        if subscriber is None or subscriber.stalled_ms > now_ms() or self.cut_until > now_ms():
-            self.drop()
+        if subscriber is None or subscriber.stalled_until_ms > now_ms() or self.disconnected_until_ms > now_ms():
+            self._close_dedicated()
             return None
         address = subscriber.report_address()
         if address is None:
-            self.drop()
-            return subscriber.load_stream
-        if self.own and self.own.address != address:
-            self.drop()
-        if self.own is None:
+            self._close_dedicated()
+            return subscriber.report_stream
+        if self.dedicated and self.dedicated.address != address:
+            self._close_dedicated()
+        if self.dedicated is None:
             with contextlib.suppress(OSError):
-                self.own = DedicatedReportStream(address)
-        return self.own
+                self.dedicated = DedicatedReportStream(address)
+        return self.dedicated
 
-    def drop(self) -> None:
-        if self.own:
-            self.own.close()
-            self.own = None
+    def _close_dedicated(self) -> None:
+        if self.dedicated:
+            self.dedicated.close()
+            self.dedicated = None
 
-    def make(self, now: float) -> lrs_pb2.LoadStatsRequest:
-        """What was met since the last report, which starts anew; by endpoint only where that is asked."""
+    def _make_report(self, now: float) -> lrs_pb2.LoadStatsRequest:
+        """Drain the proxy's stats into a report; stats of each endpoint only where the controller asks for them."""
         proxy = self.proxy
-        sums, came, covers_ms = proxy.hand_over()
+        endpoint_stats, class_stats, window_ms = proxy.drain_stats()
         self.number += 1
         request = lrs_pb2.LoadStatsRequest()
         stamps = request.node.metadata.fields["report"].struct_value.fields
         stamps["number"].number_value, stamps["until_ms"].number_value = self.number, now
-        names = sorted(set(came) | ({next(iter(proxy.host.classes))} if sums else set()))
-        for place, name in enumerate(names or list(proxy.host.classes)[:1]):
-            stats = request.cluster_stats.add(cluster_name=name)
-            stats.load_report_interval.FromNanoseconds(round(covers_ms * 1e6))
-            locality = stats.upstream_locality_stats.add()
+        names = sorted(set(class_stats) | ({next(iter(proxy.host.classes))} if endpoint_stats else set()))
+        for position, name in enumerate(names or list(proxy.host.classes)[:1]):
+            cluster = request.cluster_stats.add(cluster_name=name)
+            cluster.load_report_interval.FromNanoseconds(round(window_ms * 1e6))
+            locality = cluster.upstream_locality_stats.add()
             locality.locality.zone = proxy.zone
-            row = came.get(name)
-            arrived, unanswered, refused = row.counts if row else (0, 0, 0)
-            stats.total_dropped_requests = refused
+            stats = class_stats.get(name)
+            arrived, unanswered, shed = stats.counts if stats else (0, 0, 0)
+            cluster.total_dropped_requests = shed
             metrics: list[tuple[str, int, float]] = [
                 ("arrived", arrived, arrived),
                 ("unanswered", unanswered, unanswered),
             ]
-            metrics += [(TOOK_NAMES[at], *met) for at, met in sorted(row.took.items())] if row else []
+            metrics += [(LATENCY_METRICS[at], *each) for at, each in sorted(stats.latencies.items())] if stats else []
             for metric, count, total in metrics:
-                told = locality.load_metric_stats.add(metric_name=metric, total_metric_value=total)
-                told.num_requests_finished_with_metric = count
-            if place == 0 and self.full:
-                for address, each in sums.items():
-                    name_endpoint(locality.upstream_endpoint_stats.add(), address, each)
+                added = locality.load_metric_stats.add(metric_name=metric, total_metric_value=total)
+                added.num_requests_finished_with_metric = count
+            if position == 0 and self.is_full:
+                for address, row in endpoint_stats.items():
+                    fill_endpoint_stats(locality.upstream_endpoint_stats.add(), address, row)
         return request
 
-    def pad(self) -> bytes:
-        """Rows of all endpoints in this proxy's tables on which nothing has ended: what a report in full of a proxy
-        with much traffic weighs, without saying anything."""
-        if not self.full:
+    def _pad(self) -> bytes:
+        """Return empty stats of all endpoints in this proxy's tables.
+
+        They give a report the size of a busy proxy's full report without changing any count.
+        """
+        if not self.is_full:
             return b""
-        addresses = {row[0] for lines in [*self.proxy.held.tables.values()] for row in [*lines.values()]}
-        if len(addresses) != self.padded:
-            self.padded = len(addresses)
+        addresses = {entry[0] for entries in [*self.proxy.routing.tables.values()] for entry in [*entries.values()]}
+        if len(addresses) != self.padded_endpoints:
+            self.padded_endpoints = len(addresses)
             request = lrs_pb2.LoadStatsRequest()
             locality = request.cluster_stats.add(cluster_name="").upstream_locality_stats.add()
             for address in sorted(addresses):
                 row = locality.upstream_endpoint_stats.add(total_requests_in_progress=1)
-                name_endpoint(row, address, [0, 0, 0.0, {"cpu_utilization": [0, 0.0]}])
+                fill_endpoint_stats(row, address, [0, 0, 0.0, {"cpu_utilization": [0, 0.0]}])
             self.padding = request.SerializeToString()
         return self.padding
 
-    def address_of(self, addresses: list[str]) -> str:
-        """The same reading process each time."""
+    def select_reader(self, addresses: list[str]) -> str:
+        """Return the address of this proxy's reader process, the same one at each call."""
         return addresses[zlib.crc32(self.proxy.name.encode()) % len(addresses)]
 
 
-def name_endpoint(told: Any, address: tuple[str, int], met: list) -> None:
-    """A row: good, failed, time of the good ones, load figures by name."""
-    good, failed, good_ms, load = met
-    told.address.socket_address.address, told.address.socket_address.port_value = address
-    told.total_successful_requests, told.total_error_requests = good, failed
-    told.total_issued_requests = good + failed
-    metrics: dict[str, Any] = {"took_ms": [good, good_ms]}
+def fill_endpoint_stats(message: Any, address: tuple[str, int], stats: list[Any]) -> None:
+    """Fill in an `UpstreamEndpointStats` message.
+
+    Args:
+        message: The message to fill in.
+        address: Host and port of the endpoint.
+        stats: Successes, failures, total latency of the successes in milliseconds, and load metrics by name, each
+            with its count and total.
+    """
+    succeeded, failed, latency_ms, load = stats
+    message.address.socket_address.address, message.address.socket_address.port_value = address
+    message.total_successful_requests, message.total_error_requests = succeeded, failed
+    message.total_issued_requests = succeeded + failed
+    metrics: dict[str, Any] = {"took_ms": [succeeded, latency_ms]}
     metrics.update({"util" if name == "cpu_utilization" else name: value for name, value in load.items()})
     for metric, (count, total) in metrics.items():
-        row = told.load_metric_stats.add(metric_name=metric, total_metric_value=total)
+        row = message.load_metric_stats.add(metric_name=metric, total_metric_value=total)
         row.num_requests_finished_with_metric = count
--- a/quillstep/testbed/proxy_interface.py
+++ b/quillstep/testbed/proxy_interface.py
@@ -1,6 +1,6 @@
-"""What a stand-in proxy's parts know of each other: the tables that it holds, and the proxy as its parts see it.
+"""The routing state of a stand-in proxy, and the proxy as its subscriber and its load reporter see it.
 
-Subscribers and the load reporter are given a `ProxyInterface`, and never import the proxy itself.
+Subscribers and the load reporter depend on `ProxyInterface` and never import the proxy itself.
 """
 
 import threading
@@ -11,7 +11,7 @@
 from quillstep.testbed.process import EventLog
 
 Address = tuple[str, int]
-Line = tuple[Address, float, str]  # address, weight, version
+TableEntry = tuple[Address, float, str]  # address, weight, version
 
 
 @dataclass(slots=True)
@@ -19,65 +19,65 @@
     """Where requests of one class go, and how they are admitted and retried."""
 
     table: str
-    tries: int = 0  # the retry policy by its number
-    per_try_ms: float = 0.0
-    rate: float | None = None  # requests a second that are admitted; None: all
+    retry_policy: int = 0  # by its number
+    attempt_timeout_ms: float = 0.0  # 0: only the request's deadline applies
+    rate: float | None = None  # admitted requests per second; None: no limit
     burst: float = 1.0
-    closed: bool = False  # nothing is admitted
+    closed: bool = False  # no request is admitted
 
 
 @dataclass(slots=True)
-class HeldTables:
-    """What a proxy has been sent; it stays when its stream breaks."""
-
-    tables: dict[str, dict[str, Line]] = field(default_factory=dict)  # lines by table and name
-    out: set[Address] = field(default_factory=set)  # ejected endpoints
-    outs: dict[str, Address] = field(default_factory=dict)  # the same by resource name
-    drops: dict[str, dict[str, float]] = field(default_factory=dict)  # shares to be shed, by table and class
-    routes: dict[str, Route] = field(default_factory=dict)  # by class
+class RoutingState:
+    """What controllers have sent to a proxy; it is retained when the stream breaks."""
+
+    tables: dict[str, dict[str, TableEntry]] = field(default_factory=dict)  # entries by table and resource name
+    ejected: set[Address] = field(default_factory=set)
+    ejected_by_name: dict[str, Address] = field(default_factory=dict)  # the same endpoints, by resource name
+    drop_shares: dict[str, dict[str, float]] = field(default_factory=dict)  # shares to shed, by table and class
+    routes: dict[str, Route] = field(default_factory=dict)  # keyed by class
     routes_version: str = ""
-    versions: dict[str, dict[str, str]] = field(default_factory=dict)  # by type and resource name
+    versions: dict[str, dict[str, str]] = field(default_factory=dict)  # keyed by type and resource name
 
 
 class HostInterface(Protocol):
-    """The process that a proxy lives in."""
+    """The process that hosts a proxy."""
 
-    proxies: dict[str, Any]  # settings of all proxies
+    proxy_settings: dict[str, Any]  # shared by all proxies
     classes: dict[str, dict[str, Any]]
     record: EventLog
 
 
 class ReportStream(Protocol):
-    """Where load reports go."""
+    """Where load reports are sent."""
 
     def unsent(self) -> int:
-        """Return how many bytes wait to be taken."""
+        """Return how many bytes wait to be sent."""
 
     def send(self, data: bytes) -> None:
         """Send one report."""
 
 
 class SubscriberInterface(Protocol):
-    """How a proxy follows its controllers, as the load reporter sees it."""
+    """A proxy's subscription to its controllers, as the load reporter sees it."""
 
-    stalled_ms: float
+    stalled_until_ms: float
 
     @property
-    def load_stream(self) -> ReportStream | None:
+    def report_stream(self) -> ReportStream | None:
         """The subscription's own stream for load reports, if there is one."""
 
     def report_address(self) -> str | None:
-        """Return where load reports go, if not by the subscription's connection."""
+        """Return the address for load reports; None: they use the subscription's own stream."""
 
 
 class ReporterInterface(Protocol):
     """The load reporter, as subscribers see it."""
 
-    def asked(self, data: bytes) -> None:
-        """Take a controller's response on the stream of load reports."""
+    def handle_response(self, data: bytes) -> None:
+        """Apply a controller's response on the stream of load reports."""
 
-    def address_of(self, addresses: list[str]) -> str:
-        """Return the reader process that this proxy reports to."""
+    def select_reader(self, addresses: list[str]) -> str:
+        """Return the address of the reader process that this proxy reports to."""
 
 
 class ProxyInterface(Protocol):
@@ -85,29 +85,29 @@
 
     name: str
     zone: str
-    usual: float
-    row: dict[str, Any]
+    requests_per_s: float
+    setup: dict[str, Any]
     lock: threading.RLock
     draw: Callable[[], float]
-    held: HeldTables
+    routing: RoutingState
 
     @property
     def host(self) -> HostInterface:
-        """The process that it lives in."""
+        """The process that hosts the proxy."""
 
     @property
     def subscriber(self) -> SubscriberInterface | None:
-        """How it follows its controllers."""
+        """The subscription to controllers; None for a proxy without controllers."""
 
     @property
     def reporter(self) -> ReporterInterface:
-        """Its load reporter."""
+        """The proxy's load reporter."""
 
     def describe(self, node: Any) -> None:
-        """Write into a first request who this is."""
+        """Fill in the node of a stream's first request."""
 
-    def applied(self) -> None:
-        """Record what an update that was applied has changed."""
+    def on_update_applied(self) -> None:
+        """Record which classes have become unroutable or routable by an update."""
 
-    def hand_over(self) -> tuple[dict[Address, list[Any]], dict[str, Any], float]:
-        """Return the counts by endpoint and by class since the last report, and the window in milliseconds."""
+    def drain_stats(self) -> tuple[dict[Address, list[Any]], dict[str, Any], float]:
+        """Return the stats by endpoint and by class since the last report, and the window in milliseconds."""
