--- a/quillstep/invariants/__init__.py
+++ b/quillstep/invariants/__init__.py
@@ -1,4 +1,4 @@
-"""Invariants of a scenario, checked from what passed on the sockets and independent of any controller's state."""
+"""Invariants of a scenario, checked from the sockets' record and independent of any controller's state."""
 
 from quillstep.invariants.channel import longest_queue
 from quillstep.invariants.checks import check_invariants
--- a/quillstep/invariants/availability.py
+++ b/quillstep/invariants/availability.py
@@ -1,4 +1,4 @@
-"""Rule: a connected proxy always has an endpoint to choose while its controller lists one that is warm."""
+"""Rule: a connected proxy always has an endpoint to choose while its controller lists a warm one in service."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -17,14 +17,14 @@
 
 
 def proxies_without_endpoint(evidence: Evidence) -> Iterator[Violation]:
-    """Finds classes without an endpoint for longer than the grace, while an endpoint was in service and warm."""
-    streams, held_up = evidence.stream_spans(), evidence.held_up_proxies()
+    """Finds classes without an endpoint for longer than the grace period while an endpoint was in service and warm."""
+    streams, blocked = evidence.stream_spans(), evidence.blocked_proxies()
     histories = evidence.endpoint_histories()
     grace_ms = evidence.fleet.rules.no_endpoint_grace_ms
     for span in unroutable_spans(evidence):
         for stream in streams.get(span.proxy, ()):
             begin_ms, end_ms = max(span.begin_ms, stream.begin_ms), min(span.end_ms, stream.end_ms)
-            if end_ms - begin_ms <= grace_ms or overlaps(held_up.get(span.proxy, []), begin_ms, end_ms):
+            if end_ms - begin_ms <= grace_ms or overlaps(blocked.get(span.proxy, []), begin_ms, end_ms):
                 continue
             endpoint = usable_endpoint(evidence, histories, span, stream, begin_ms, end_ms)
             if endpoint is not None:
@@ -36,7 +36,7 @@
 
 
 def unroutable_spans(evidence: Evidence) -> list[UnroutableSpan]:
-    """All times during which a proxy had no endpoint for a class; one that did not end lasts until the record's end."""
+    """Returns when proxies had no endpoint for a class; a span that did not end lasts until the record's end."""
     begins: dict[tuple[str, str], float] = {}
     spans = []
     for row in evidence.unroutable:
@@ -51,7 +51,7 @@
 
 
 def overlaps(intervals: list[Interval], begin_ms: float, end_ms: float) -> bool:
-    """Whether one of the intervals shares time with the given one."""
+    """Returns whether one of the intervals overlaps the given one."""
     return any(interval.begin_ms < end_ms and interval.end_ms > begin_ms for interval in intervals)
 
 
@@ -63,7 +63,7 @@
     begin_ms: float,
     end_ms: float,
 ) -> int | None:
-    """An endpoint that the stream's controller listed in service and warm at both ends of a time."""
+    """Returns an endpoint that the stream's controller knew to be in service and warm at both times, if any."""
     home_zone_only = any(row.home_zone_only for row in evidence.fleet.classes if row.name == span.class_name)
     zone = evidence.proxy_zones.get(span.proxy) if home_zone_only else None
     warm_up_ms = evidence.fleet.rules.warm_up_ms
@@ -76,7 +76,7 @@
 
 
 def is_warm(history: EndpointHistory, at_ms: float, warm_up_ms: float) -> bool:
-    """Whether the endpoint was listed in service at a time and had not started within `warm_up_ms`."""
+    """Returns whether the endpoint was in service at a time and had not started within the last `warm_up_ms`."""
     status = history.status_at(at_ms)
     if status is None or not status.in_service:
         return False
--- a/quillstep/invariants/channel.py
+++ b/quillstep/invariants/channel.py
@@ -1,4 +1,4 @@
-"""Rule: the queue of a controller's update channel and the messages to one proxy stay within the settings."""
+"""Rule: the queue of a controller's update channel and the messages to each proxy stay within the settings."""
 
 from collections import defaultdict, deque
 from collections.abc import Iterator
@@ -15,19 +15,19 @@
 
     proxy: str
     queued_ms: float
-    sent_ms: float  # of the first response
+    sent_ms: float  # when the first response was sent
     lines: float
 
 
 class QueuePeak(NamedTuple):
-    """The most lines that were queued at once, and when."""
+    """The largest number of lines queued at the same time, and when."""
 
     lines: float
     at_ms: float
 
 
 def exceeded_channel_limits(evidence: Evidence) -> Iterator[Violation]:
-    """Finds controllers whose queue was too long, and proxies that got too many messages within the window."""
+    """Finds controllers whose queue was too long, and proxies that got too many messages within one window."""
     max_lines = evidence.fleet.channel.max_queued_lines
     for controller, messages in channel_messages(evidence).items():
         peak = queue_peak(messages)
@@ -39,7 +39,7 @@
 
 
 def exceeded_message_quotas(evidence: Evidence, controller: str, messages: list[ChannelMessage]) -> Iterator[Violation]:
-    """Finds proxies that got more messages from one controller within the window than allowed."""
+    """Finds proxies that got more messages from one controller within one window than allowed."""
     channel = evidence.fleet.channel
     windows: dict[str, deque[float]] = defaultdict(deque)
     for message in sorted(messages, key=lambda message: message.sent_ms):
@@ -57,7 +57,7 @@
 
 
 def channel_messages(evidence: Evidence) -> dict[str, list[ChannelMessage]]:
-    """The messages that each incarnation of a controller sent; a proxy that connects again counts them anew."""
+    """Returns the messages by controller incarnation; update numbers start again at each connection of a proxy."""
     overhead = evidence.fleet.channel.lines_per_message
     connections: dict[str, int] = defaultdict(int)
     messages: dict[str, dict[tuple[str, int, int], ChannelMessage]] = defaultdict(dict)
@@ -75,7 +75,7 @@
 
 
 def queue_peak(messages: list[ChannelMessage]) -> QueuePeak:
-    """The longest queue; a message that left at once was never queued."""
+    """Returns the longest queue; a message that was sent at once was never queued."""
     queued = [message for message in messages if message.sent_ms > message.queued_ms]
     changes = [(message.queued_ms, message.lines) for message in queued]
     changes += [(message.sent_ms, -message.lines) for message in queued]
@@ -88,5 +88,5 @@
 
 
 def longest_queue(evidence: Evidence) -> float:
-    """The most lines that were queued at once in any controller's channel."""
+    """Returns the largest number of lines queued at the same time in any controller's channel."""
     return max((queue_peak(messages).lines for messages in channel_messages(evidence).values()), default=0.0)
--- a/quillstep/invariants/checks.py
+++ b/quillstep/invariants/checks.py
@@ -19,6 +19,6 @@
 
 
 def check_invariants(evidence: Evidence) -> list[Violation]:
-    """Returns all violations in order of time."""
+    """Returns all violations, ordered by time."""
     violations = [violation for check in CHECKS for violation in check(evidence)]
     return sorted(violations, key=lambda violation: violation.at_ms)
--- a/quillstep/invariants/draining.py
+++ b/quillstep/invariants/draining.py
@@ -1,4 +1,4 @@
-"""Rule: connected proxies stop using an endpoint within the grace after their controller learns that it leaves."""
+"""Rule: connected proxies stop using an endpoint within the grace period after their controller learns of its drain."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -8,22 +8,22 @@
 
 
 class LateAttempt(NamedTuple):
-    """An attempt at an endpoint that the proxy's controller knew as draining or terminated."""
+    """An attempt at an endpoint that the proxy's controller knew to be draining or terminated."""
 
     request: Row
     sent_ms: float
     endpoint: int
-    notified_ms: float  # the controller learned of the drain
-    able_ms: float  # the proxy could follow: it was connected and nothing kept it from reading
+    notified_ms: float  # when the controller learned of the drain
+    able_ms: float  # since when the proxy was connected and not blocked from reading
 
     @property
     def delay_ms(self) -> float:
-        """Time from when the proxy could have known until the attempt."""
+        """Time from when the proxy could have known of the drain until the attempt."""
         return self.sent_ms - max(self.notified_ms, self.able_ms)
 
 
 def attempts_after_drain(evidence: Evidence) -> Iterator[Violation]:
-    """Finds attempts that connected proxies sent to a draining or terminated endpoint after the grace."""
+    """Finds attempts that connected proxies sent to a draining or terminated endpoint after the grace period."""
     grace_ms = evidence.fleet.rules.drain_grace_ms
     for attempt in late_attempts(evidence):
         excess_ms = attempt.delay_ms - grace_ms
@@ -36,8 +36,8 @@
 
 
 def late_attempts(evidence: Evidence) -> Iterator[LateAttempt]:
-    """Attempts of connected proxies at endpoints that their controller knew as draining or terminated."""
-    streams, held_up = evidence.stream_spans(), evidence.held_up_proxies()
+    """Yields attempts of connected proxies at endpoints that their controller knew to be draining or terminated."""
+    streams, blocked = evidence.stream_spans(), evidence.blocked_proxies()
     histories = evidence.endpoint_histories()
     for row in evidence.requests:
         proxy = row["proxy"]
@@ -51,20 +51,20 @@
             if status is None or status.in_service:
                 continue
             leaving_ms = max(status.since_ms, stream.begin_ms)
-            held_until_ms = ends_of_hold_ups(held_up.get(proxy, []), leaving_ms, attempt.sent_ms)
+            held_until_ms = ends_of_blocks(blocked.get(proxy, []), leaving_ms, attempt.sent_ms)
             able_ms = max([stream.begin_ms, *held_until_ms])
             yield LateAttempt(row, attempt.sent_ms, endpoint, status.since_ms, able_ms)
 
 
-def ends_of_hold_ups(held_up: list[Interval], leaving_ms: float, sent_ms: float) -> list[float]:
-    """Ends of the times between a drain and an attempt in which the scenario kept the proxy from reading.
+def ends_of_blocks(blocked: list[Interval], leaving_ms: float, sent_ms: float) -> list[float]:
+    """Returns the ends of the intervals between a drain and an attempt in which the scenario blocked the proxy.
 
-    Such time does not count: the grace runs from its end.
+    A blocked proxy can't read the update, so the grace period counts from the end of such an interval.
     """
-    overlapping = (span for span in held_up if span.begin_ms <= sent_ms and span.end_ms >= leaving_ms)
+    overlapping = (span for span in blocked if span.begin_ms <= sent_ms and span.end_ms >= leaving_ms)
     return [min(span.end_ms, sent_ms) for span in overlapping]
 
 
 def longest_drain_ms(evidence: Evidence) -> float:
-    """The longest time from when a proxy could know of a drain to its last attempt at that endpoint."""
+    """Returns the longest time from when a proxy could know of a drain to its last attempt at that endpoint."""
     return max((attempt.delay_ms for attempt in late_attempts(evidence)), default=0.0)
--- a/quillstep/invariants/duplicates.py
+++ b/quillstep/invariants/duplicates.py
@@ -1,4 +1,4 @@
-"""Rule: a request has its effect at most once, unless its class is safe or its idempotency key covers the retry."""
+"""Rule: a request takes effect at most once, unless its class is safe or its idempotency key covers the retry."""
 
 from collections.abc import Iterator
 from typing import Any, NamedTuple
@@ -18,7 +18,7 @@
 
 
 def unsafe_retries(evidence: Evidence) -> Iterator[Violation]:
-    """Finds attempts that proxies sent after an earlier one may have run, outside what the class allows."""
+    """Finds attempts that the class does not allow, as an earlier attempt of the request may have run."""
     classes = {row.name: row for row in evidence.fleet.classes}
     unsafe_since = {row["kind"]: row["at"] for row in evidence.commands if row["do"] == "tighten"}
     for row in evidence.requests:
@@ -32,7 +32,7 @@
 def unsafe_retries_of(
     row: Row, class_: ClassSettings, unsafe_from_ms: float, evidence: Evidence
 ) -> Iterator[Violation]:
-    """Finds one request's attempts that its class does not allow; the class is unsafe from `unsafe_from_ms` on."""
+    """Finds the attempts of one request that its class does not allow; the class is unsafe from `unsafe_from_ms` on."""
     executed: Execution | None = None
     for attempt in Attempt.all_of(row):
         endpoint = evidence.endpoints_by_address.get(attempt.address, 0)
@@ -49,7 +49,7 @@
 
 
 def repeated_effects(evidence: Evidence) -> Iterator[Violation]:
-    """Finds requests, other than safe ones, that took effect at endpoints more than once."""
+    """Finds requests of classes that are not safe which took effect at endpoints more than once."""
     classes = {row.name: row for row in evidence.fleet.classes}
     effects: dict[str, dict[str, Any]] = {}
     for row in evidence.served_requests:
--- a/quillstep/invariants/evidence.py
+++ b/quillstep/invariants/evidence.py
@@ -1,7 +1,7 @@
-"""The record of a scenario: JSON lines of endpoints, proxies, discovery and controllers' sockets.
+"""The record of a scenario: JSON lines from endpoints, proxies, discovery and the controllers' sockets.
 
-All times are milliseconds of the machine's monotonic clock, which is the same in all processes.  Rows keep the
-names under which they were written; this module is where they get the names of the field.
+All times are milliseconds on the machine's monotonic clock, which all processes share.  Rows keep the keys under which
+they were written; this module files them under the terms of the field.
 """
 
 from bisect import bisect_right
@@ -18,8 +18,8 @@
 Row: TypeAlias = dict[str, Any]  # one decoded line of the record
 
 IN_SERVICE = "in_service"
-HOLD_UP_COMMANDS = ("stall", "reads_nothing", "refuse")
-# Where a row goes by its `what`, whoever wrote it; requests and controllers' rows go by their writer.
+BLOCKING_COMMANDS = ("stall", "reads_nothing", "refuse")
+# Field of `Evidence` by the row's `what`.  Requests and controllers' rows are filed by their writer instead.
 FIELD_OF_ROW = {
     "told": "discovery_updates",
     "stream": "stream_changes",
@@ -47,12 +47,12 @@
     controller: str
 
     def contains(self, at_ms: float) -> bool:
-        """Whether the stream was open at a time."""
+        """Returns whether the stream was open at a time."""
         return self.begin_ms <= at_ms < self.end_ms
 
 
 class Attempt(NamedTuple):
-    """One attempt of a proxy at an endpoint; the order of the fields is the record's."""
+    """One attempt of a proxy at an endpoint, with the fields in the order of the record."""
 
     address: str
     sent_ms: float
@@ -62,7 +62,7 @@
 
     @classmethod
     def all_of(cls, request: Row) -> Iterator["Attempt"]:
-        """The attempts of a request's row, in the order in which they were sent."""
+        """Yields the attempts of a request's row in the order in which they were sent."""
         for attempt in request["tries"]:
             yield cls(*attempt)
 
@@ -71,12 +71,12 @@
     """What a controller knew of an endpoint at a time."""
 
     state: str
-    started_ms: float  # the endpoint's last start; 0: it has run since before the scenario
-    since_ms: float  # since when it has been listed in service, or not in service
+    started_ms: float  # the endpoint's last start; 0: before the scenario
+    since_ms: float  # start of the current period in service or not in service
 
     @property
     def in_service(self) -> bool:
-        """Whether the endpoint is listed for use."""
+        """Whether the endpoint is listed in service."""
         return self.state == IN_SERVICE
 
 
@@ -89,13 +89,13 @@
         self._starts_ms: list[float] = []
 
     def add(self, at_ms: float, state: str, started_ms: float) -> None:
-        """Appends a notification, which is not earlier than the last one."""
+        """Appends a notification; they must be added in order of time."""
         self._times_ms.append(at_ms)
         self._states.append(state)
         self._starts_ms.append(started_ms)
 
     def status_at(self, at_ms: float) -> EndpointStatus | None:
-        """What the controller knew at a time; None before the first notification."""
+        """Returns what the controller knew at a time; None before the first notification."""
         last = bisect_right(self._times_ms, at_ms) - 1
         if last < 0:
             return None
@@ -106,7 +106,7 @@
         return EndpointStatus(state, self._starts_ms[last], self._times_ms[first])
 
     def first_start_notice_ms(self, started_ms: float) -> float | None:
-        """When the controller was first notified of a start at `started_ms` or later; None if it never was."""
+        """Returns when the controller was first notified of a start at `started_ms` or later; None if it never was."""
         for at_ms, start_ms in zip(self._times_ms, self._starts_ms, strict=True):
             if start_ms >= started_ms:
                 return at_ms
@@ -115,27 +115,27 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """The record's rows as they were written, by kind, and what is known of the fleet.
+    """The record's rows as they were written, by kind, and what the checks need to know of the fleet.
 
     Attributes:
         fleet: Settings of the classes, the rules and the channel.
         endpoints_by_address: Endpoint numbers by `host:port`.
         endpoint_zones: Zones by endpoint.
-        endpoint_capacities: Cores times speed by endpoint.
+        endpoint_capacities: Number of cores times their speed, by endpoint.
         proxy_zones: Zones by proxy.
-        controllers: Names of controllers by the address (or folder) that proxies follow.
+        controllers: Names of controllers by the address or the folder by which proxies follow them.
         requests: Requests as proxies saw them, with their attempts.
         served_requests: Requests as endpoints saw them.
         endpoint_starts: Starts of endpoints.
         discovery_updates: Endpoint states that discovery sent to controllers.
-        stream_changes: Streams of proxies that opened or ended.
-        unroutable: Proxies that had no endpoint to choose for a class, or have one again.
+        stream_changes: Openings and closings of proxies' streams.
+        unroutable: Times at which a proxy lost its last endpoint for a class, or got one again.
         applied_updates: Updates that proxies applied.
-        rejected_updates: Updates that proxies refused.
-        lost_responses: Responses that proxies dropped unread.
+        rejected_updates: Updates that proxies rejected.
+        lost_responses: Responses that proxies discarded unread.
         commands: Faults as they were injected.
-        channel_rows: What controllers' sockets carried: responses, acks, nacks and streams.
-        retry_policy_changes: Proxies for which a tighter retry policy came into force, or did not.
+        channel_rows: Responses, acks, nacks and streams on the controllers' sockets.
+        retry_policy_changes: Whether a tighter retry policy is in effect at a proxy.
         end_ms: The time of the last row.
     """
 
@@ -160,10 +160,10 @@
     end_ms: float = 0.0
 
     def add(self, writer: str, row: Row) -> None:
-        """Files a row under its kind; rows of no interest here are dropped.
+        """Files a row under its kind; rows that no check needs are dropped.
 
         Args:
-            writer: Kind of the process that wrote the row, as its file is named: pilot, endpoints, proxies or roster.
+            writer: Kind of the process that wrote the row, as in the file's name: pilot, endpoints, proxies or roster.
             row: One decoded line of the record.
         """
         what = row["what"]
@@ -175,7 +175,7 @@
             getattr(self, FIELD_OF_ROW[what]).append(row)
 
     def sort(self) -> "Evidence":
-        """Orders the rows of each kind by time, finds the record's end, and returns the evidence itself."""
+        """Sorts the rows of each kind by time, sets the record's end, and returns the evidence itself."""
         for rows in (
             self.requests,
             self.served_requests,
@@ -196,7 +196,7 @@
         return self
 
     def stream_spans(self) -> dict[str, list[StreamSpan]]:
-        """When each proxy was connected to which controller; a stream that did not end includes the record's end."""
+        """Returns when each proxy was connected to which controller; an open stream lasts past the record's end."""
         spans: dict[str, list[StreamSpan]] = defaultdict(list)
         opened: dict[str, tuple[float, str]] = {}
         for row in self.stream_changes:
@@ -212,17 +212,17 @@
         return spans
 
     def endpoint_histories(self) -> dict[tuple[str, int], EndpointHistory]:
-        """What each controller was notified of each endpoint, by controller and endpoint."""
+        """Returns the notifications of each endpoint by controller and endpoint."""
         histories: dict[tuple[str, int], EndpointHistory] = defaultdict(EndpointHistory)
         for row in self.discovery_updates:
             histories[row["pilot"], row["endpoint"]].add(row["at"], row["state"], row.get("started", 0.0))
         return histories
 
-    def held_up_proxies(self) -> dict[str, list[Interval]]:
-        """When the scenario itself kept proxies from reading: they cannot follow an update meanwhile."""
+    def blocked_proxies(self) -> dict[str, list[Interval]]:
+        """Returns when the scenario blocked proxies from reading, so that they could not apply updates."""
         intervals: dict[str, list[Interval]] = defaultdict(list)
         for row in self.commands:
-            if "proxy" in row and row["do"] in HOLD_UP_COMMANDS:
+            if "proxy" in row and row["do"] in BLOCKING_COMMANDS:
                 intervals[row["proxy"]].append(Interval(row["at"], row["until"]))
         return intervals
 
@@ -230,10 +230,10 @@
 def read_evidence(folder: Path, evidence: Evidence) -> Evidence:
     """Adds all rows of a folder's JSON lines to the evidence and sorts it.
 
-    A process that is killed may leave its last line torn; such a line is left out.
+    A process that is killed may leave a truncated last line, which is skipped.
 
     Raises:
-        msgspec.DecodeError: A whole line is not JSON.
+        msgspec.DecodeError: A complete line is not JSON.
     """
     for path in sorted(folder.glob("*.jsonl")):
         writer = path.name.partition("-")[0]
--- a/quillstep/invariants/violation.py
+++ b/quillstep/invariants/violation.py
@@ -1,4 +1,4 @@
-"""The rules by name and the finding that one of them was broken."""
+"""The rules by name, and violations of them."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class Violation(NamedTuple):
-    """One broken rule: when, where and by which request."""
+    """A violation of a rule: when, where and by which request."""
 
     rule: Rule
     at_ms: float
@@ -25,7 +25,7 @@
     request: str = ""
 
     def to_row(self) -> dict[str, str | float]:
-        """The violation under the keys of printed and stored results."""
+        """Returns the violation under the keys of printed and stored results."""
         row = self._asdict()
         row["exchange"] = row.pop("request")
         return row
--- a/quillstep/invariants/warm_up.py
+++ b/quillstep/invariants/warm_up.py
@@ -1,4 +1,4 @@
-"""Rule: an endpoint that warms up gets no more work than its slow start allows."""
+"""Rule: an endpoint that is warming up gets no more work than its slow start allows."""
 
 from collections import defaultdict, deque
 from collections.abc import Iterator
@@ -8,8 +8,9 @@
 from quillstep.invariants.evidence import EndpointHistory, Evidence, Row, StreamSpan
 from quillstep.invariants.violation import Rule, Violation
 
-CHANCE_ALLOWANCE = 1.1  # arrivals are random: the budget may be exceeded by this factor
-MIN_INFORMED_SHARE = 2.0 / 3.0  # of the work, by proxies whose controller knew, for the overload to be its fault
+CHANCE_ALLOWANCE = 1.1  # arrivals are random: the work may exceed the budget by this factor
+# Smallest share of the work that must come from proxies whose controller knew of the start, to blame an overload on it.
+MIN_INFORMED_SHARE = 2.0 / 3.0
 START_TOLERANCE_MS = 50.0  # discovery and the endpoint record the same start at slightly different times
 EXECUTED = ("run", "fell", "silent")
 
@@ -19,7 +20,7 @@
 
     at_ms: float
     work_ms: float
-    was_informed: bool  # the proxy's controller had known of the endpoint's start for the grace
+    was_informed: bool  # the proxy's controller had known of the start for the grace period
 
 
 def overloaded_while_warming_up(evidence: Evidence) -> Iterator[Violation]:
@@ -43,7 +44,7 @@
     streams: dict[str, list[StreamSpan]],
     histories: dict[tuple[str, int], EndpointHistory],
 ) -> Violation | None:
-    """The first time after a start at which the work of a window exceeds the budget, if any."""
+    """Returns the first window after a start whose work exceeds the budget; None if there is none."""
     rules = evidence.fleet.rules
     endpoint, started_ms = start["endpoint"], start["at"]
     cores = evidence.endpoint_capacities.get(endpoint, 1.0)
@@ -66,7 +67,7 @@
 
 
 def work_budget_ms(rules: InvariantSettings, age_ms: float, cores: float) -> float:
-    """Work allowed within one window at an age: the capacity rises linearly from `initial_capacity` to all of it."""
+    """Returns the work allowed within one window: the capacity rises linearly from `initial_capacity` to 1."""
     capacity = rules.initial_capacity + (1.0 - rules.initial_capacity) * age_ms / rules.warm_up_ms
     return rules.overload_multiple * capacity * cores * rules.overload_window_ms
 
@@ -78,7 +79,7 @@
     started_ms: float,
     grace_ms: float,
 ) -> bool:
-    """Whether the controller of a request's proxy had known of the endpoint's start for the grace."""
+    """Returns whether the controller of a request's proxy had known of the start for the grace period."""
     stream = next((span for span in streams.get(row["proxy"], ()) if span.contains(row["at"])), None)
     history = histories.get((stream.controller, row["endpoint"])) if stream else None
     if history is None or started_ms - START_TOLERANCE_MS <= 0:
--- a/quillstep/testbed/discovery_server.py
+++ b/quillstep/testbed/discovery_server.py
@@ -1,7 +1,7 @@
-"""A stand-in for xDS endpoint discovery: the whole fleet as one collection, delayed by its settings.
+"""A stand-in for xDS endpoint discovery.  It serves the whole fleet as one collection and delays every change.
 
-Its parent sends it each change of an endpoint; it sends the change to each subscriber after a delay drawn for it, in
-order, and logs what it sent to whom.
+Its parent sends it each change of an endpoint.  It forwards the change to every subscriber after a random delay, in
+order, and records what it sent to whom.
 """
 
 import heapq
@@ -25,28 +25,28 @@
 HEALTH_STATUS = {"in_service": health_check_pb2.HEALTHY, "terminating": health_check_pb2.DRAINING}
 MAX_QUEUED_EVENTS = 4096
 MAX_WAIT_S = 1.0
-WEIGHT_UNITS = 100  # of the wire's whole numbers, for a listed weight of 1
-MIN_DELAY, MAX_DELAY = 0.5, 1.5  # of a change, relative to the settings' delay
+WEIGHT_UNITS = 100  # integer weight on the wire that stands for a listed weight of 1
+MIN_DELAY_FACTOR, MAX_DELAY_FACTOR = 0.5, 1.5  # bounds of the random factor on the configured delay
 
 
 class Subscriber:
-    """One controller's stream: the versions that it holds, and when its next change may be sent at the earliest."""
+    """One controller's stream: the versions that it holds, and the earliest time for its next change."""
 
     def __init__(self, peer: Peer, stream: int, node: str, held_versions: dict[str, str]) -> None:
         self.peer, self.stream, self.node = peer, stream, node
-        self.held_versions = held_versions  # by resource name
+        self.held_versions = held_versions  # keyed by resource name
         self.next_due_ms = 0.0
         self.nonce = 0
 
 
 class EndpointChanged(NamedTuple):
-    """The parent's command: what an endpoint is from now on."""
+    """The parent's command: an endpoint's new state."""
 
     row: dict[str, Any]
 
 
 class PendingChange(NamedTuple):
-    """A change that is to be sent later; ordered by time, then by number."""
+    """A change to send later; ordered by due time, then by number."""
 
     due_ms: float
     number: int
@@ -55,10 +55,10 @@
 
 
 class DiscoveryServer:
-    """The endpoint list, its subscribers and the changes under way; all belong to the thread that calls `run`."""
+    """The endpoint list, its subscribers and the pending changes; only the thread that calls `run` uses them."""
 
     def __init__(self, setup: dict[str, Any]) -> None:
-        """Listen, and answer the parent with the address."""
+        """Listen, and send the address to the parent."""
         threading.stack_size(STACK_BYTES)
         self.delay_ms = setup["late_ms"]
         self.draw_uniform = random.Random(setup["seed"]).uniform
@@ -66,7 +66,7 @@
         self.endpoints: dict[int, dict[str, Any]] = {row["id"]: dict(row, version=1) for row in setup["endpoints"]}
         self.subscribers: dict[tuple[Peer, int], Subscriber] = {}
         self.pending: list[PendingChange] = []  # a heap
-        self.pending_count = 0  # of all changes so far
+        self.pending_count = 0  # changes queued so far; numbers them
         self.events: queue.Queue[StreamEvent | EndpointChanged] = queue.Queue(MAX_QUEUED_EVENTS)
         self.server = Server(setup.get("listen", "127.0.0.1:0"), LimitSettings(), self.events.put)
         self.server.start()
@@ -102,8 +102,8 @@
         self.endpoints[row["id"]] = {**before, **row, "version": before["version"] + 1}
         self.record.put(what="change", at=now_ms(), endpoint=row["id"], state=row.get("state"))
         for subscriber in self.subscribers.values():
-            # Changes keep their order: none is sent earlier than the one before.
-            delay_ms = self.draw_uniform(MIN_DELAY, MAX_DELAY) * self.delay_ms
+            # Changes stay in order: none is due before the previous one.
+            delay_ms = self.draw_uniform(MIN_DELAY_FACTOR, MAX_DELAY_FACTOR) * self.delay_ms
             subscriber.next_due_ms = max(subscriber.next_due_ms, now_ms() + delay_ms)
             self.pending_count += 1
             change = PendingChange(subscriber.next_due_ms, self.pending_count, subscriber, [row["id"]])
@@ -134,7 +134,7 @@
 
 
 def make_resource(row: dict[str, Any]) -> endpoint_components_pb2.LbEndpoint:
-    """Return an endpoint of the list as its xDS resource."""
+    """Return the xDS resource of a listed endpoint."""
     resource = endpoint_components_pb2.LbEndpoint(health_status=HEALTH_STATUS[row["state"]])
     address = resource.endpoint.address.socket_address
     address.address, address.port_value = "127.0.0.1", row["port"]
@@ -148,7 +148,7 @@
 
 
 def main() -> None:
-    """Serve the list that the parent sets up."""
+    """Serve the endpoint list that the parent sets up."""
     discovery = DiscoveryServer(read_setup())
     threading.Thread(target=discovery.run, name="discovery", daemon=True).start()
     serve(lambda command: discovery.events.put(EndpointChanged(command)), discovery.record)
--- a/quillstep/testbed/endpoints.py
+++ b/quillstep/testbed/endpoints.py
@@ -1,8 +1,9 @@
-"""Stand-in endpoints: HTTP/1.1 servers that take time for their work, many a process.
+"""Stand-in endpoints: HTTP/1.1 servers that simulate work.  Many run in one process.
 
-Each has cores of a speed, a queue, a connection limit, a slow start, memory for idempotency keys and a load report
-(ORCA); on command it stalls, slows, fails, goes silent, dies, drains, loses answers.  It logs each request that it took
-and whether an effect took place.  Names of commands and of the log are those of the scenarios' stored data.
+Each has cores of a given speed, a queue, a connection limit, a slow start, a memory of idempotency keys and a load
+report (ORCA).  On command it stalls, slows down, fails requests, stops answering, dies, drains or loses responses.  It
+records each request that it received and whether the request took effect.  Names in commands and records are those of
+the scenarios' stored data.
 """
 
 import contextlib
@@ -20,7 +21,7 @@
 MAX_HEAD_BYTES = 16 * 1024
 LISTEN_BACKLOG = 256
 DEFAULT_DEADLINE_MS = "60000"
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # linger, for no time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # linger time-out of 0 s: closing resets the connection
 HEADERS_END = b"\r\n\r\n"
 
 
@@ -36,7 +37,7 @@
         self.cores = EndpointCores(row["cores"], row["speed"], host.rules)
         self.listener: socket.socket | None = None
         self.port = 0
-        self.reserved: socket.socket | None = None  # holds the port while nothing listens
+        self.reserved: socket.socket | None = None  # bound to the port while the endpoint does not listen
         self.open: set[socket.socket] = set()
         self.draw = random.Random(row["id"]).random
         self._clear_faults()
@@ -46,12 +47,12 @@
             self._reserve_port()
 
     def _clear_faults(self) -> None:
-        self.failing_share = self.lost_answers_share = 0.0
-        self.stalled_until_ms = self.silent_until_ms = 0.0
+        self.failing_share = self.lost_responses_share = 0.0
+        self.stalled_until_ms = self.unresponsive_until_ms = 0.0
         self.is_draining = False
 
     def _reserve_port(self) -> None:
-        """Hold the port without serving on it: connections are refused, and no other process can take it."""
+        """Bind the port without listening: connections are refused, and no other process can bind it."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(("127.0.0.1", self.port))
@@ -59,7 +60,7 @@
         self.reserved = sock
 
     def start(self, is_cold: bool) -> None:
-        """Listen, in a daemon thread that ends with the listener; nothing where it listens already."""
+        """Listen in a daemon thread that ends with the listener; no effect if the endpoint listens already."""
         if self.listener is not None:
             return
         if self.reserved is None:
@@ -74,7 +75,7 @@
         threading.Thread(target=self._accept, args=(self.listener,), name=name, daemon=True).start()
 
     def stop(self, reason: str) -> None:
-        """Listen no more, and reset all connections; `reason` names the event in the log."""
+        """Stop listening and reset all connections; `reason` names the event in the record."""
         listener, self.listener = self.listener, None
         if listener is None:
             return
@@ -121,7 +122,7 @@
             sock.close()
 
     def _handle_request(self, sock: socket.socket, head: list[str]) -> bool:
-        """Answer one request; return False if the connection is to be closed."""
+        """Respond to one request; return False if the connection is to be closed."""
         at_ms = now_ms()
         path = head[0].split(" ")[1] if " " in head[0] else ""
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in head[1:])}
@@ -135,11 +136,11 @@
             "what": "exchange", "at": at_ms, "endpoint": self.number, "exchange": key,
             "class": kind["name"], "proxy": headers.get("x-proxy", ""), "work": kind["work_ms"],
         }  # fmt: skip
-        if self.silent_until_ms > at_ms:
-            # It takes the request, which may well take effect; the memory for keys knows it too.
+        if self.unresponsive_until_ms > at_ms:
+            # The request is received and, unless it is a repeat, takes effect; its key is remembered as well.
             is_repeated = kind["semantics"] == "keyed" and self.host.is_repeated(kind, self.zone, key, at_ms)
             self.host.record.put(**entry, effect=not is_repeated, outcome="silent")
-            time.sleep(max(0.0, self.silent_until_ms - at_ms) / 1000.0)
+            time.sleep(max(0.0, self.unresponsive_until_ms - at_ms) / 1000.0)
             return False
         if self.failing_share and self.draw() < self.failing_share:
             self.host.record.put(**entry, effect=False, outcome="failed")
@@ -150,7 +151,7 @@
         return self._run(sock, entry, float(headers.get("x-time-left-ms", DEFAULT_DEADLINE_MS)))
 
     def _run(self, sock: socket.socket, entry: dict[str, Any], remaining_ms: float) -> bool:
-        """Queue and perform a request's work, if it may still end in time."""
+        """Queue and simulate a request's work, unless its deadline would pass before the work starts."""
         at_ms, work_ms = entry["at"], entry["work"]
         waiting, wait_ms = self.cores.queue(at_ms)
         if waiting >= self.max_queue:
@@ -160,7 +161,7 @@
             self.host.record.put(**entry, effect=False, outcome="fell")
             self.stop("fell")
             return False
-        if wait_ms > remaining_ms:  # its deadline will have passed before a core is free: it is not begun
+        if wait_ms > remaining_ms:  # the deadline passes before a core is free
             self.host.record.put(**entry, effect=False, outcome="too late")
             time.sleep(remaining_ms / 1000.0)
             return False
@@ -168,13 +169,13 @@
         self.host.record.put(**entry, effect=True, outcome="run")
         while (now := now_ms()) < max(end_ms, self.stalled_until_ms):
             time.sleep(max(0.0, max(end_ms, self.stalled_until_ms) - now) / 1000.0)
-        if self.listener is None or (self.lost_answers_share and self.draw() < self.lost_answers_share):
+        if self.listener is None or (self.lost_responses_share and self.draw() < self.lost_responses_share):
             return False
         return self._respond(sock, "200 OK")
 
     def _handle_health_check(self, sock: socket.socket, at_ms: float) -> bool:
-        if self.silent_until_ms > at_ms:
-            time.sleep((self.silent_until_ms - at_ms) / 1000.0)
+        if self.unresponsive_until_ms > at_ms:
+            time.sleep((self.unresponsive_until_ms - at_ms) / 1000.0)
             return False
         end_ms = self.cores.schedule(self.health_check_work_ms, at_ms)
         time.sleep(max(0.0, max(end_ms, self.stalled_until_ms) - at_ms) / 1000.0)
@@ -190,7 +191,7 @@
         return True
 
     def apply(self, command: dict[str, Any]) -> None:
-        """Apply a command of the parent: `do`, and until when or how much."""
+        """Apply a command of the parent: `do` names it, `for_ms` and `factor` give its duration and strength."""
         until_ms = now_ms() + command.get("for_ms", 0.0)
         match command["do"]:
             case "die":
@@ -202,17 +203,17 @@
             case "stall":
                 self.stalled_until_ms = until_ms
             case "silent":
-                self.silent_until_ms = until_ms
+                self.unresponsive_until_ms = until_ms
             case "slow":
                 self.cores.slowdown = command["factor"]
             case "fail":
                 self.failing_share = command["factor"]
             case "lose_answers":
-                self.lost_answers_share = command["factor"]
+                self.lost_responses_share = command["factor"]
 
 
 class Host:
-    """All endpoints of this process and what they share: the memory for idempotency keys, and the event log."""
+    """All endpoints of this process, with their shared memory of idempotency keys and the event log."""
 
     def __init__(self, setup: dict[str, Any]) -> None:
         threading.stack_size(STACK_BYTES)
@@ -220,13 +221,13 @@
         self.classes = {row["name"]: row for row in setup["classes"]}
         self.responses_carry_load = setup["answers_tell"]
         self.record = EventLog(setup["record"])
-        self.keys: dict[tuple[str, str, str], float] = {}  # when each was first seen, by class, scope and key
+        self.keys: dict[tuple[str, str, str], float] = {}  # first arrival by class, scope and key
         self.lock = threading.Lock()
         self.endpoints = {row["id"]: Endpoint(row, self) for row in setup["endpoints"]}
         answer(ready={str(e.number): e.port for e in self.endpoints.values()})
 
     def is_repeated(self, kind: dict[str, Any], zone: str, key: str, at_ms: float) -> bool:
-        """Return whether a key came before, within its window and scope; a first one is remembered."""
+        """Return whether a key has arrived before within its scope and window; remember it if not."""
         scoped_key = (kind["name"], zone if kind["scope"] == "zone" else "", key)
         with self.lock:
             first_ms = self.keys.get(scoped_key)
@@ -236,10 +237,10 @@
             return False
 
     def handle_command(self, command: dict[str, Any]) -> None:
-        """Apply a command of the parent, log and answer it."""
+        """Apply a command of the parent, record and answer it."""
         do = command["do"]
         if do == "tighten":
-            self.classes[command["kind"]]["semantics"] = "unsafe"  # from now on every request runs
+            self.classes[command["kind"]]["semantics"] = "unsafe"  # from now on endpoints execute every request
             self.record.put(what="command", at=now_ms(), do=do, kind=command["kind"])
             return
         endpoint = self.endpoints[command["endpoint"]]
@@ -250,7 +251,7 @@
 
 
 def main() -> None:
-    """Serve the endpoints that the parent sets up."""
+    """Run the endpoints that the parent sets up."""
     host = Host(read_setup())
     serve(host.handle_command, host.record)
 
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -108,7 +108,7 @@
     def __init__(self, proxy: ProxyInterface) -> None:
         self.proxy = proxy
         self.default_period_ms = self.period_ms = proxy.host.proxy_settings["report_every_ms"]
-        self.is_full = True  # with stats for each endpoint
+        self.is_full = True  # whether reports include stats by endpoint
         self.number = 0
         # Faults that a scenario injects, each until a time on the monotonic clock.
         self.delay_until_ms = self.delay_ms = self.padded_until_ms = self.disconnected_until_ms = 0.0
--- a/quillstep/testbed/proxies.py
+++ b/quillstep/testbed/proxies.py
@@ -53,7 +53,7 @@
 
     def __init__(self, idle_timeout_ms: float, connect_timeout_ms: float) -> None:
         self.idle_timeout_ms, self.connect_timeout_ms = idle_timeout_ms, connect_timeout_ms
-        self.idle: dict[Address, list[tuple[float, socket.socket]]] = {}  # with the time since when each is idle
+        self.idle: dict[Address, list[tuple[float, socket.socket]]] = {}  # start of idleness and connection
         self.lock = threading.Lock()
 
     def get(self, address: Address, remaining_ms: float) -> tuple[socket.socket, bool]:
@@ -123,7 +123,7 @@
         self.current_weights: dict[str, dict[str, float]] = {}
         self.consecutive_failures: dict[Address, int] = {}
         self.avoided_until_ms: dict[Address, float] = {}
-        self.token_buckets: dict[str, tuple[float, TokenBucket]] = {}  # with its rate, by class
+        self.token_buckets: dict[str, tuple[float, TokenBucket]] = {}  # rate and bucket by class
         self.unroutable: dict[str, bool] = {}  # keyed by class
         self.connections = ConnectionPool(host.proxy_settings["idle_ms"], host.proxy_settings["connect_ms"])
         self.stalled_until_ms = 0.0
@@ -370,14 +370,14 @@
 
     def _requests_of(self, proxy: str) -> Iterator[ScheduledRequest]:
         """Yield a proxy's requests in order of time: arrivals at the highest rate, thinned out to the current one."""
-        chance, at = self.random_by_proxy[proxy], 0.0
+        rng, at = self.random_by_proxy[proxy], 0.0
         rate = self.rates[proxy] * self.max_factor
         for count in itertools.count():
-            at += chance.expovariate(rate) if rate > 0 else float("inf")
+            at += rng.expovariate(rate) if rate > 0 else float("inf")
             if at >= self.seconds:
                 return
-            is_selected = chance.random() < self._rate_factor(at) / self.max_factor
-            name = chance.choices(self.class_names, cum_weights=self.cumulative_shares)[0]
+            is_selected = rng.random() < self._rate_factor(at) / self.max_factor
+            name = rng.choices(self.class_names, cum_weights=self.cumulative_shares)[0]
             if is_selected:
                 yield at, proxy, name, f"{proxy}-{count}"
 
--- a/quillstep/testbed/proxy_interface.py
+++ b/quillstep/testbed/proxy_interface.py
@@ -19,7 +19,7 @@
     """Where requests of one class go, and how they are admitted and retried."""
 
     table: str
-    retry_policy: int = 0  # by its number
+    retry_policy: int = 0  # number of the policy
     attempt_timeout_ms: float = 0.0  # 0: only the request's deadline applies
     rate: float | None = None  # admitted requests per second; None: no limit
     burst: float = 1.0
--- a/quillstep/testbed/scenarios/arm.py
+++ b/quillstep/testbed/scenarios/arm.py
@@ -1,4 +1,4 @@
-"""One arm of a scenario: a fleet with its controllers, which plays the plan."""
+"""One arm of a scenario: a fleet and its controllers, on which the plan is played."""
 
 import shutil
 import threading
@@ -25,28 +25,28 @@
     TightenCommand,
 )
 
-MAX_SETTLE_S = 60.0  # after the script's end, for the requests that are under way
-NO_CONTROLLER = "standing"  # the arm whose proxies stay at their initial tables
+MAX_SETTLE_S = 60.0  # time after the script's end for requests in progress
+NO_CONTROLLER = "standing"  # arm without controllers, whose proxies keep their initial tables
 HOST = "127.0.0.1"
 
 
 class Arm:
     """One fleet with its controllers, on loopback.
 
-    The owner calls `start`, `play` and in any case `stop`.
+    Call `start`, then `play`, and `stop` in any case.
 
     Attributes:
         scenario: The scenario's settings.
         plan: Its plan, shared by all arms.
-        planner_kind: As in a controller's settings, or `NO_CONTROLLER`.
-        folder: Where all processes write.
+        planner_kind: The planner kind of a controller's settings, or `NO_CONTROLLER`.
+        folder: The folder that all processes write to.
         controllers: The controllers' processes.
         discovery: The program that serves the endpoint list.
         ports: Ports by endpoint.
-        begin_ms: When the first request was due.
-        duration_s: From the start of warming up to the end of the script.
+        begin_ms: When the first request was due, milliseconds on the monotonic clock.
+        duration_s: Seconds from the start of the warm-up to the end of the script.
         controller_cpu_s: Processor time of the controllers, seconds.
-        stolen_share: The share of the machine's processor time that its host gave to others.
+        stolen_share: Share of the machine's processor time that its host gave to other guests.
     """
 
     discovery: ChildProcess
@@ -69,7 +69,7 @@
         """Starts all processes and waits until each is ready.
 
         Raises:
-            ChildError: One of them was not ready in time.
+            ChildError: A process was not ready in time.
         """
         self.start_endpoints()
         self.start_discovery()
@@ -78,7 +78,7 @@
         self._write_fleet()
 
     def start_endpoints(self) -> None:
-        """Starts the endpoints, a process a zone, or one for all where idempotency keys count in all zones."""
+        """Starts one process of endpoints per zone, or one for all if idempotency keys are shared between zones."""
         fleet = self.scenario.fleet
         is_shared = any(row.idempotency_scope == "all" for row in fleet.classes)
         groups = [list(fleet.zones)] if is_shared else [[zone] for zone in fleet.zones]
@@ -107,10 +107,10 @@
         self.controllers.discovery_address = self.discovery.wait_for("ready")
 
     def play(self, begin_ms: float) -> None:
-        """Carries the plan out; all processes keep to the same clock.
+        """Plays the plan; all processes use the same clock.
 
         Args:
-            begin_ms: When the first request is due, by the machine's monotonic clock.
+            begin_ms: When the first request is due, milliseconds on the monotonic clock.
 
         Raises:
             ChildError: A process ended, or the proxies did not finish in time.
@@ -129,7 +129,7 @@
                 pass
 
     def execute(self, command: Command) -> None:
-        """Carries out one command of the plan."""
+        """Executes one command of the plan."""
         match command:
             case EndpointCommand(endpoint, action, parameters):
                 self._endpoint_hosts[endpoint].send(do=action, endpoint=endpoint, **parameters)
@@ -139,7 +139,7 @@
                 started = {"began": now_ms(), "started_ms": time.time() * 1000.0} if is_start else {}
                 self.discovery.send(id=endpoint, state=state, **started)
             case TightenCommand():
-                # Not joined: the script goes on meanwhile, and all that it starts is stopped with the arm.
+                # Not joined: the script continues meanwhile, and `stop` ends the processes that the thread starts.
                 threading.Thread(target=self._tighten, args=(command,), daemon=True, name="tighten").start()
             case ControllerCommand(controller, controller_action):
                 if self.controllers.processes:
@@ -151,11 +151,11 @@
             child.stop()
 
     def evidence(self) -> Evidence:
-        """The sockets' record as it stands."""
+        """Returns the sockets' record as written so far."""
         controllers = {}
         for number, address in enumerate(self.controllers.addresses):
-            for place in (address, self.files.generations(number)):
-                controllers[place] = controller_name(number)
+            for source in (address, self.files.generations(number)):
+                controllers[source] = controller_name(number)
         endpoints = self.plan.endpoints
         evidence = Evidence(
             self.scenario.fleet,
@@ -195,7 +195,7 @@
             host.wait_for("ready")
 
     def _proxy_row(self, proxy: PlannedProxy) -> dict[str, object]:
-        """A proxy as its program reads it: with ports and addresses in place of numbers."""
+        """Returns a proxy's setup for its process, with ports and addresses in place of numbers."""
         addresses, report_addresses = self.controllers.addresses, self.controllers.report_addresses
         controllers = proxy.controllers if addresses else []
         return {
@@ -207,7 +207,7 @@
         }
 
     def _write_fleet(self) -> None:
-        """Writes down what operators know of their fleet: neither speeds nor faults."""
+        """Writes what an operator knows of the fleet, which includes neither speeds nor faults."""
         known = ("id", "zone", "cores", "listed", "connections_most", "connect_work_ms")
         endpoints = []
         for endpoint in self.plan.endpoints:
@@ -226,10 +226,10 @@
         self.files.fleet().write_bytes(msgspec.json.encode({"endpoints": endpoints, "proxies": proxies}))
 
     def _tighten(self, command: TightenCommand) -> None:
-        """Makes a class unsafe as an operator would.
+        """Makes a class unsafe, as an operator would.
 
-        Endpoints forget its idempotency keys once the tighter retry policy is in force everywhere, and not at all if
-        that takes longer than the command allows.
+        Endpoints stop checking its idempotency keys once the tighter retry policy is in effect at all proxies.  If
+        that takes longer than the command allows, they go on checking them.
         """
         proxies = len(self.plan.proxies)
         if self.controllers.make_class_unsafe(command.class_name, command.for_ms, proxies):
--- a/quillstep/testbed/scenarios/arm_folder.py
+++ b/quillstep/testbed/scenarios/arm_folder.py
@@ -1,38 +1,38 @@
-"""The files of one arm, under the names that they are stored by."""
+"""Paths of an arm's files, under the names that they are stored by."""
 
 from pathlib import Path
 from typing import Any, NamedTuple
 
-MAX_SPANS_PER_S = 200.0  # of one process
+MAX_SPANS_PER_S = 200.0  # per process
 
 
 class ArmFolder(NamedTuple):
-    """The folder that holds all that an arm's processes write."""
+    """The folder that an arm's processes write to."""
 
     path: Path
 
     def record(self, writer: str, number: int) -> Path:
-        """The sockets' record of one process, by its kind and number."""
+        """Returns the path of a process's part of the sockets' record."""
         return self.path / f"{writer}-{number}.jsonl"
 
     def settings(self, controller: int) -> Path:
-        """The settings that a controller starts with."""
+        """Returns the path of a controller's settings."""
         return self.path / f"{controller_name(controller)}.cue"
 
     def recording(self, controller: int) -> Path:
-        """Where a controller records its events."""
+        """Returns the folder of a controller's recording."""
         return self.path / f"capture-{controller}"
 
     def generations(self, controller: int) -> str:
-        """Where a controller writes for proxies that follow files; absolute, as these name it too."""
+        """Returns the root of a controller's file front; absolute, as proxies identify the controller by it."""
         return str((self.path / f"files-{controller}").absolute())
 
     def fleet(self) -> Path:
-        """What operators know of the fleet."""
+        """Returns the path of the file with what an operator knows of the fleet."""
         return self.path / "fleet.json"
 
     def span_settings(self, process: str, sampled_share: float) -> dict[str, Any] | None:
-        """Where a process writes its spans, in the words of settings files; None if it is to write none."""
+        """Returns a process's span settings under the keys of settings files; None if it records no spans."""
         if not sampled_share:
             return None
         file = self.path / f"spans-{process}.json"
@@ -40,5 +40,5 @@
 
 
 def controller_name(number: int) -> str:
-    """The name of a controller of an arm, in its settings, its record and its log."""
+    """Returns the name of a controller in its settings, its record and its log."""
     return f"pilot-{number}"
--- a/quillstep/testbed/scenarios/child_processes.py
+++ b/quillstep/testbed/scenarios/child_processes.py
@@ -1,4 +1,4 @@
-"""Child processes that take commands on standard input and answer on standard output, one JSON object a line."""
+"""Child processes that take commands on standard input and answer on standard output, one JSON object per line."""
 
 import contextlib
 import os
@@ -19,19 +19,19 @@
 
 
 class ChildError(QuillstepError):
-    """A child process that did not answer in time or has ended; the message names it."""
+    """A child process did not answer in time or has ended."""
 
 
 class ChildProcess:
-    """One Python program as a child; it ends when its standard input is closed.
+    """A Python program that runs as a child process and ends when its standard input is closed.
 
-    The owner calls `stop` or `kill`.  A thread reads the child's answers into a queue until its output ends; it is
-    not joined, as it ends with the child.
+    Call `stop` or `kill` at the end.  A thread reads the child's answers into a queue.  It is not joined, as it ends
+    with the child's output.
 
     Attributes:
-        name: Name of the child, and of its log below the folder.
-        process: The process itself.
-        last_answer: The answer that was last waited for.
+        name: Name of the child and of its log file.
+        process: The operating system's process.
+        last_answer: The answer that `wait_for` returned a value of last.
     """
 
     def __init__(self, name: str, arguments: list[str], folder: Path) -> None:
@@ -60,27 +60,29 @@
             self.process.stdin.write(msgspec.json.encode(command) + b"\n")
             self.process.stdin.flush()
         except OSError as error:
-            raise ChildError(f"{self.name} has ended: {error}") from error
+            raise ChildError(f"{self.name}: process has ended: {error}") from error
 
     def wait_for(self, key: str, timeout_s: float = ANSWER_TIMEOUT_S) -> Any:
-        """Returns the value of a key in the next answer that has it; other answers are dropped.
+        """Returns the value of a key in the next answer that has it; earlier answers are dropped.
 
         Raises:
-            ChildError: No such answer came in time, or the child ended before.
+            ChildError: There was no such answer in time, or the child ended before it.
         """
         while True:
             try:
                 answer = self._answers.get(timeout=timeout_s)
             except queue.Empty as error:
-                raise ChildError(f"{self.name} gave no {key!r} within {timeout_s:g} s") from error
+                raise ChildError(
+                    f"{self.name}: expected an answer with {key!r} within {timeout_s:g} s, got none"
+                ) from error
             if answer is None:
-                raise ChildError(f"{self.name} ended before it gave {key!r}; see {self._log.name}")
+                raise ChildError(f"{self.name}: process ended without an answer with {key!r}; see {self._log.name}")
             if key in answer:
                 self.last_answer = answer
                 return answer[key]
 
     def kill(self) -> None:
-        """Ends the process at once and waits for its end."""
+        """Kills the process and waits for its end."""
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
 
--- a/quillstep/testbed/scenarios/controller_processes.py
+++ b/quillstep/testbed/scenarios/controller_processes.py
@@ -1,4 +1,4 @@
-"""The controllers of one arm: processes that are started, killed, paused and given new settings."""
+"""The controllers of one arm: processes that are started, killed, paused and restarted with new settings."""
 
 import os
 import signal
@@ -17,20 +17,20 @@
 from quillstep.testbed.scenarios.child_processes import ChildProcess
 from quillstep.testbed.scenarios.plan import ControllerAction
 
-POLL_INTERVAL_S = 0.02  # of the controllers' record, while a tighter retry policy comes into force
+POLL_INTERVAL_S = 0.02  # between reads of the controllers' record while a tighter retry policy takes effect
 ANY_PORT = "127.0.0.1:0"
 
 
 class ControllerProcesses:
-    """Controllers by number.  A controller that restarts keeps its addresses, its store and its folders.
+    """The controllers by number.  A controller that restarts keeps its addresses, its store and its folders.
 
-    `start` runs in threads of its own while a scenario plays; each touches one controller's entries only.
+    While a scenario plays, `start` runs in separate threads, each of which changes one controller's entries only.
 
     Attributes:
         processes: The running process of each controller; None while it is down.
-        addresses: Where each listens for proxies.
-        report_addresses: Where each one's reader processes listen for load reports.
-        discovery_address: Where discovery listens; set before the first start.
+        addresses: The address on which each controller listens for proxies.
+        report_addresses: The addresses on which each controller's reader processes listen for load reports.
+        discovery_address: The address of the discovery server; set before the first start.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
             self.start(number)
 
     def start(self, number: int) -> None:
-        """Starts a controller, or starts it again at the addresses that it had."""
+        """Starts a controller, or restarts it at its previous addresses."""
         settings = self._settings_of(number)
         path = self._files.settings(number)
         path.write_bytes(msgspec.json.format(msgspec.json.encode(settings.model_dump())))  # JSON is CUE
@@ -67,7 +67,7 @@
         self.processes[number] = process
 
     def execute(self, number: int, action: ControllerAction) -> None:
-        """Does to a controller what a scenario says; a restart goes on in a thread of its own.
+        """Kills, restarts, pauses or resumes a controller; a restart runs in a separate thread.
 
         That thread is not joined: the scenario must not wait for it, and the process that it starts is stopped with
         the arm.
@@ -84,10 +84,10 @@
             os.kill(process.process.pid, signal.SIGCONT)
 
     def make_class_unsafe(self, class_name: str, for_ms: float, proxies: int) -> bool:
-        """Restarts all controllers with a class made unsafe and waits until this is in force at all proxies.
+        """Restarts all controllers with a class made unsafe and waits until this is in effect at all proxies.
 
         Returns:
-            Whether it came into force within `for_ms`.
+            Whether it took effect within `for_ms`.
         """
         self._tightened_classes.append(class_name)
         begin_ms, end_ms = now_ms(), now_ms() + for_ms
@@ -95,12 +95,12 @@
             if process:
                 process.kill()
                 self.start(number)
-        while now_ms() < end_ms and not self._is_in_force(class_name, begin_ms, proxies):
+        while now_ms() < end_ms and not self._is_in_effect(class_name, begin_ms, proxies):
             time.sleep(POLL_INTERVAL_S)
         return now_ms() < end_ms
 
     def cpu_s(self) -> float:
-        """Processor time that the running controllers have used by now, seconds."""
+        """Returns the processor time that the running controllers have used so far, in seconds."""
         ticks = 0
         for process in self.processes:
             if process:
@@ -108,13 +108,13 @@
                 ticks += int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
-    def _is_in_force(self, class_name: str, begin_ms: float, proxies: int) -> bool:
-        """Whether every proxy has acknowledged the tighter policy at the controller that it connected to last.
+    def _is_in_effect(self, class_name: str, begin_ms: float, proxies: int) -> bool:
+        """Returns whether every proxy has acknowledged the tighter policy at the controller that it connected to last.
 
-        All connect again after the restart, with a retry policy that their controller does not know, so that each
-        gets a row of its own in the record.
+        All proxies reconnect after the restart, with a retry policy that their controller does not know, so each of
+        them gets a row in the record.
         """
-        connected: dict[str, tuple[float, int]] = {}  # when last, and to which controller
+        connected: dict[str, tuple[float, int]] = {}  # time of the last connection, and its controller
         is_loose: dict[tuple[str, int], bool] = {}
         for number in range(len(self.processes)):
             for line in self._files.record("pilot", number).read_bytes().splitlines():
@@ -154,7 +154,7 @@
         return store.model_copy(update={"folder": folder})
 
     def _fleet(self) -> FleetSettings:
-        """The fleet of the scenario with the classes unsafe that were made so."""
+        """Returns the scenario's fleet, with the classes unsafe that `make_class_unsafe` was called for."""
         unsafe = {"semantics": "unsafe", "idempotency_scope": "", "idempotency_window_ms": 0.0}
         fleet = self._scenario.fleet
         classes = [
--- a/quillstep/testbed/scenarios/plan.py
+++ b/quillstep/testbed/scenarios/plan.py
@@ -1,7 +1,7 @@
-"""What a scenario means for one fleet: its endpoints and proxies, and the commands that inject its faults.
+"""The plan of a scenario: its endpoints and proxies, and the commands that inject its faults.
 
-Everything follows from the scenario's seed; there is no I/O here.  The order of random draws is part of a
-scenario: a plan must not change with the code.
+The plan follows from the scenario's seed; nothing here does I/O.  The order of random draws is part of a scenario and
+must not change, as a changed order gives every stored scenario another plan.
 """
 
 import random
@@ -13,7 +13,7 @@
 
 from quillstep.config.scenario import EndpointKindSettings, FaultSettings, ScenarioSettings
 
-# What proxies are told to do for a fault, by the fault's name in scenario files.
+# Commands to proxies by the name of the fault in scenario files.
 PROXY_ACTIONS = {
     "proxy_moves": "moves",
     "proxy_stall": "stall",
@@ -30,7 +30,7 @@
 
 
 class ControllerAction(StrEnum):
-    """What happens to a controller's process."""
+    """An action on a controller's process."""
 
     KILL = "kill"
     RESTART = "restart"
@@ -39,7 +39,7 @@
 
 
 class EndpointCommand(NamedTuple):
-    """A command to the program of an endpoint; the parameters are sent by their names."""
+    """A command to the process of an endpoint; the parameters are sent under their names."""
 
     endpoint: int
     action: str
@@ -47,7 +47,7 @@
 
 
 class DiscoveryCommand(NamedTuple):
-    """A change of the endpoint list; `is_start`: the endpoint starts with it."""
+    """A change of the endpoint list; `is_start` says whether the endpoint starts at that time."""
 
     endpoint: int
     state: str
@@ -55,7 +55,7 @@
 
 
 class ProxyCommand(NamedTuple):
-    """A command to the program of a proxy."""
+    """A command to the process of a proxy."""
 
     proxy: str
     action: str
@@ -71,7 +71,7 @@
 
 
 class TightenCommand(NamedTuple):
-    """A class becomes unsafe in the settings of all controllers; gives up after `for_ms`."""
+    """Makes a class unsafe in the settings of all controllers; abandoned if it takes longer than `for_ms`."""
 
     class_name: str
     for_ms: float
@@ -81,7 +81,7 @@
 
 
 class Step(NamedTuple):
-    """A command and its time from the scenario's begin."""
+    """A command and its time from the start of the scenario."""
 
     at_s: float
     command: Command
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class PlannedEndpoint:
-    """One endpoint; `is_up` is false for a reserve that no fault starts."""
+    """One endpoint; `is_up` is false for a reserve until a fault starts it."""
 
     kind: EndpointKindSettings
     zone: str
@@ -98,7 +98,7 @@
     is_up: bool
 
     def to_row(self) -> dict[str, Any]:
-        """The endpoint as the programs of the testbed read it."""
+        """Returns the endpoint's setup as the testbed's processes read it."""
         row = self.kind.model_dump(exclude={"each_zone"})
         return {**row, "zone": self.zone, "state": self.state, "id": self.number, "up": self.is_up}
 
@@ -107,7 +107,7 @@
     "requests_per_s": "usual", "initial_endpoints": "standing", "controllers": "pilots", "uses_files": "files",
     "uses_sotw": "sotw",
 }):  # fmt: skip
-    """One proxy; it tries its controllers in this order.  It is encoded as the programs of the testbed read it."""
+    """One proxy, which tries its controllers in this order; encoded as the testbed's processes read it."""
 
     name: str
     zone: str
@@ -120,7 +120,7 @@
 
 @dataclass(slots=True)
 class ScenarioPlan:
-    """The endpoints, the proxies, and the steps in order of time."""
+    """The endpoints, the proxies, and the steps ordered by time."""
 
     endpoints: list[PlannedEndpoint] = field(default_factory=list)
     proxies: list[PlannedProxy] = field(default_factory=list)
@@ -128,112 +128,112 @@
 
 
 def plan_scenario(scenario: ScenarioSettings) -> ScenarioPlan:
-    """Returns the plan, the same for every arm of a scenario, so that all meet the same requests and faults."""
-    chance = random.Random(scenario.seed)
+    """Returns the plan of a scenario.  All arms share it, so they get the same requests and faults."""
+    rng = random.Random(scenario.seed)
     plan = ScenarioPlan()
-    plan.endpoints = plan_endpoints(scenario, chance)
-    plan.proxies = plan_proxies(scenario, plan.endpoints, chance)
+    plan.endpoints = plan_endpoints(scenario, rng)
+    plan.proxies = plan_proxies(scenario, plan.endpoints, rng)
     for fault in scenario.faults:
-        plan.steps += steps_of_fault(fault, scenario, plan, chance)
+        plan.steps += steps_of_fault(fault, scenario, plan, rng)
     plan.steps.sort(key=lambda step: step.at_s)
     return plan
 
 
-def plan_endpoints(scenario: ScenarioSettings, chance: random.Random) -> list[PlannedEndpoint]:
-    """Draws the endpoints zone by zone, each zone's reserves last."""
+def plan_endpoints(scenario: ScenarioSettings, rng: random.Random) -> list[PlannedEndpoint]:
+    """Returns the endpoints zone by zone, each zone's reserves last, with random numbers."""
     endpoints = []
     for zone in scenario.fleet.zones:
         for kind in scenario.endpoints:
             for _ in range(kind.each_zone):
-                number = chance.randrange(1, 2**32)
+                number = rng.randrange(1, 2**32)
                 endpoints.append(PlannedEndpoint(kind, zone, number, "in_service", is_up=True))
         for _ in range(scenario.reserves):
-            number = chance.randrange(1, 2**32)
+            number = rng.randrange(1, 2**32)
             endpoints.append(PlannedEndpoint(scenario.endpoints[0], zone, number, "terminated", is_up=False))
     return endpoints
 
 
 def plan_proxies(
-    scenario: ScenarioSettings, endpoints: list[PlannedEndpoint], chance: random.Random
+    scenario: ScenarioSettings, endpoints: list[PlannedEndpoint], rng: random.Random
 ) -> list[PlannedProxy]:
-    """Draws the proxies' traffic, their initial endpoints in the own zone, and the controller that each tries first."""
+    """Draws each proxy's traffic, its initial endpoints from its own zone, and its first controller at random."""
     zones = scenario.fleet.zones
-    sizes = [chance.expovariate(1.0) ** scenario.callers_skew + 0.05 for _ in range(scenario.proxies)]
+    sizes = [rng.expovariate(1.0) ** scenario.callers_skew + 0.05 for _ in range(scenario.proxies)]
     first_with_files = scenario.proxies - round(scenario.file_proxies * scenario.proxies)
     sotw_count = round(scenario.sotw_proxies * scenario.proxies)
     proxies = []
-    for at in range(scenario.proxies):
-        zone = zones[at % len(zones)]
+    for index in range(scenario.proxies):
+        zone = zones[index % len(zones)]
         near = [endpoint.number for endpoint in endpoints if endpoint.is_up and endpoint.zone == zone]
-        initial = chance.sample(near, min(len(near), scenario.fleet.proxies.initial_table_size))
-        first = chance.randrange(scenario.controllers)
+        initial = rng.sample(near, min(len(near), scenario.fleet.proxies.initial_table_size))
+        first = rng.randrange(scenario.controllers)
         proxies.append(PlannedProxy(
-            name=f"proxy/{at}", zone=zone, requests_per_s=scenario.requests_per_s * sizes[at] / sum(sizes),
+            name=f"proxy/{index}", zone=zone, requests_per_s=scenario.requests_per_s * sizes[index] / sum(sizes),
             initial_endpoints=initial,
             controllers=[(first + offset) % scenario.controllers for offset in range(scenario.controllers)],
-            uses_files=at >= first_with_files, uses_sotw=at < sotw_count,
+            uses_files=index >= first_with_files, uses_sotw=index < sotw_count,
         ))  # fmt: skip
     return proxies
 
 
 def steps_of_fault(
-    fault: FaultSettings, scenario: ScenarioSettings, plan: ScenarioPlan, chance: random.Random
+    fault: FaultSettings, scenario: ScenarioSettings, plan: ScenarioPlan, rng: random.Random
 ) -> list[Step]:
-    """Draws whom a fault meets and returns its steps."""
+    """Draws the targets of a fault at random and returns its steps."""
     if fault.what == "tighten":
         return [Step(fault.at_s, TightenCommand(fault.class_name, fault.for_s * 1000.0))]
     if fault.what in ("pilot_kill", "pilot_stall"):
-        return steps_at_controllers(fault, scenario.controllers, chance)
+        return steps_at_controllers(fault, scenario.controllers, rng)
     if fault.what in PROXY_ACTIONS:
-        return steps_at_proxies(fault, plan.proxies, chance)
-    return steps_at_endpoints(fault, plan.endpoints, chance)
+        return steps_at_proxies(fault, plan.proxies, rng)
+    return steps_at_endpoints(fault, plan.endpoints, rng)
 
 
-def steps_at_controllers(fault: FaultSettings, controllers: int, chance: random.Random) -> list[Step]:
-    """Kills or pauses controllers, each until the fault is over."""
+def steps_at_controllers(fault: FaultSettings, controllers: int, rng: random.Random) -> list[Step]:
+    """Returns the steps that kill or pause controllers, and restart or resume them when the fault ends."""
     if fault.what == "pilot_kill":
         begin, end = ControllerAction.KILL, ControllerAction.RESTART
     else:
         begin, end = ControllerAction.PAUSE, ControllerAction.RESUME
     steps = []
-    for controller in chance.sample(range(controllers), min(fault.count, controllers)):
+    for controller in rng.sample(range(controllers), min(fault.count, controllers)):
         steps.append(Step(fault.at_s, ControllerCommand(controller, begin)))
         steps.append(Step(fault.at_s + fault.for_s, ControllerCommand(controller, end)))
     return steps
 
 
-def steps_at_proxies(fault: FaultSettings, proxies: list[PlannedProxy], chance: random.Random) -> list[Step]:
-    """One command to each proxy met, which ends the fault itself."""
-    candidates = [proxy.name for proxy in proxies if can_be_met(proxy, fault)]
+def steps_at_proxies(fault: FaultSettings, proxies: list[PlannedProxy], rng: random.Random) -> list[Step]:
+    """Returns one command for each proxy drawn; the proxy ends the fault by itself."""
+    candidates = [proxy.name for proxy in proxies if is_applicable(proxy, fault)]
     action, for_ms = PROXY_ACTIONS[fault.what], fault.for_s * 1000.0
     return [
         Step(fault.at_s, ProxyCommand(name, action, for_ms, fault.factor))
-        for name in chance.sample(candidates, min(fault.count, len(candidates)))
+        for name in rng.sample(candidates, min(fault.count, len(candidates)))
     ]
 
 
-def can_be_met(proxy: PlannedProxy, fault: FaultSettings) -> bool:
-    """Whether a fault makes sense at a proxy."""
+def is_applicable(proxy: PlannedProxy, fault: FaultSettings) -> bool:
+    """Returns whether a fault can be injected at a proxy."""
     if fault.zone not in ("", proxy.zone):
         return False
     if fault.what == "proxy_loses":
-        # A state-of-the-world client has one response of a type at a time: after a lost one none comes.
+        # A state-of-the-world stream has one unacknowledged response per type: a lost one would block it forever.
         return not (proxy.uses_sotw or proxy.uses_files)
     if fault.what == "proxy_moves":
-        # A state-of-the-world client knows no versions of single resources to take along.
+        # A state-of-the-world client has no versions of single resources to present to the other front.
         return not proxy.uses_sotw
     return True
 
 
-def steps_at_endpoints(fault: FaultSettings, endpoints: list[PlannedEndpoint], chance: random.Random) -> list[Step]:
-    """Steps at the endpoints met: those that run or, for `join`, reserves, which count as running from then on."""
+def steps_at_endpoints(fault: FaultSettings, endpoints: list[PlannedEndpoint], rng: random.Random) -> list[Step]:
+    """Returns the steps at endpoints drawn from those that run or, for `join`, from the reserves, which then run."""
     is_join = fault.what == "join"
     candidates = [
         endpoint for endpoint in endpoints if fault.zone in ("", endpoint.zone) and endpoint.is_up == (not is_join)
     ]
     count = len(candidates) if fault.what == "zone_loss" else min(fault.count, len(candidates))
     steps = []
-    for endpoint in chance.sample(candidates, count):
+    for endpoint in rng.sample(candidates, count):
         steps += steps_at_endpoint(fault, endpoint.number)
         if is_join:
             endpoint.is_up = True
@@ -241,7 +241,7 @@
 
 
 def steps_at_endpoint(fault: FaultSettings, number: int) -> list[Step]:
-    """The steps of a fault at one endpoint, from its begin to its end."""
+    """Returns the steps of a fault at one endpoint, from its start to its end."""
     begin_s, end_s = fault.at_s, fault.at_s + fault.for_s
     start = EndpointCommand(number, "start", {})
     die = EndpointCommand(number, "die", {})
--- a/quillstep/testbed/scenarios/runner.py
+++ b/quillstep/testbed/scenarios/runner.py
@@ -1,4 +1,4 @@
-"""Plays scenarios: one arm with the controllers under test, and one for each baseline, side by side."""
+"""Plays scenarios: one arm with the controllers under test and one for each baseline, all at the same time."""
 
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
@@ -13,18 +13,18 @@
 
 UNDER_TEST = "learnt"
 MAX_PRINTED_VIOLATIONS = 20
-STEAL_FIELD, CPU_FIELDS = 7, 8  # of the first line of /proc/stat: steal time, and how many count
+STEAL_FIELD, CPU_FIELDS = 7, 8  # first line of /proc/stat: index of steal time, and number of fields in the total
 
 
 class MachineTicks(NamedTuple):
-    """Processor time of the machine since its start, in clock ticks."""
+    """Processor time of the machine since it booted, in clock ticks."""
 
-    stolen: float  # by other guests of its host
+    stolen: float  # used by other guests of its host
     total: float
 
 
 def machine_ticks() -> MachineTicks:
-    """Processor time of the machine by now; none where the system does not tell."""
+    """Returns the machine's processor time so far; no stolen time where the system does not report it."""
     try:
         line = Path("/proc/stat").read_text().split("\n", 1)[0]
     except OSError:
@@ -34,10 +34,10 @@
 
 
 def play_arm(scenario: ScenarioSettings, folder: Path, planner_kind: str = UNDER_TEST) -> Arm:
-    """Plays one arm alone and returns it stopped, with its measurements.
+    """Plays one arm alone and returns it with its measurements, after stopping it.
 
     Raises:
-        ChildError: A process ended or did not answer.
+        ChildError: A process ended or did not answer in time.
     """
     arm = Arm(scenario, plan_scenario(scenario), planner_kind, folder)
     before = machine_ticks()
@@ -55,15 +55,15 @@
 
 
 def play_scenario(scenario: ScenarioSettings, folder: Path, arms: list[str] | None = None) -> dict[str, Any]:
-    """Plays all arms at once, each below the folder, and returns the result as `quillstep scenario` prints it.
+    """Plays all arms at the same time and returns the result as `quillstep scenario` prints it.
 
     Args:
         scenario: The scenario's settings.
-        folder: Where the arms write.
-        arms: Kinds of planners; by default the one under test and the scenario's baselines.
+        folder: The folder below which each arm writes to its own.
+        arms: Planner kinds; by default the one under test and the scenario's baselines.
 
     Raises:
-        ChildError: A process ended or did not answer.
+        ChildError: A process ended or did not answer in time.
     """
     kinds = [UNDER_TEST, *scenario.baselines] if arms is None else arms
     plan = plan_scenario(scenario)
@@ -80,14 +80,14 @@
 
 
 def result_of(scenario: ScenarioSettings, evidence: dict[str, Evidence]) -> dict[str, Any]:
-    """Violations and service of the controllers under test, and service of the baselines, as they are printed."""
+    """Returns the printed result: violations and service of the arm under test, and service of the baselines."""
     main_kind = UNDER_TEST if UNDER_TEST in evidence else next(iter(evidence))
     main = evidence[main_kind]
     violations = check_invariants(main)
     baselines = {}
-    for kind, of_baseline in evidence.items():
+    for kind, baseline_evidence in evidence.items():
         if kind != main_kind:
-            baselines[kind] = service_quality(scenario.fleet, of_baseline.requests)["service"]
+            baselines[kind] = service_quality(scenario.fleet, baseline_evidence.requests)["service"]
     kinds = [row["what"] for row in main.channel_rows]
     responses = [row for row in main.channel_rows if row["what"] == "send"]
     return {
--- a/tests/invariants/test_checks.py
+++ b/tests/invariants/test_checks.py
@@ -1,4 +1,4 @@
-"""For each rule a record that breaks it is found, and one just inside passes."""
+"""Each rule is tested with a record that violates it and with one just within the limits."""
 
 import pytest
 
@@ -44,14 +44,14 @@
     return "roster", row
 
 
-def request(at, *tries, name="look", proxy="p", exchange="e1"):
-    rows = [[address, sent, sent + 50.0, result, "v"] for address, sent, result in tries]
+def request(at, *attempts, name="look", proxy="p", request_id="e1"):
+    rows = [[address, sent, sent + 50.0, result, "v"] for address, sent, result in attempts]
     row = {"what": "exchange", "at": at, "end": at + 100.0, "proxy": proxy, "class": name}
-    return "proxies", {**row, "exchange": exchange, "outcome": "ok", "tries": rows}
+    return "proxies", {**row, "exchange": request_id, "outcome": "ok", "tries": rows}
 
 
-def served_request(at, endpoint=1, work=100.0, proxy="p", exchange="e1", name="look", effect=True):
-    row = {"what": "exchange", "at": at, "endpoint": endpoint, "exchange": exchange, "class": name, "proxy": proxy}
+def served_request(at, endpoint=1, work=100.0, proxy="p", request_id="e1", name="look", effect=True):
+    row = {"what": "exchange", "at": at, "endpoint": endpoint, "exchange": request_id, "class": name, "proxy": proxy}
     return "endpoints", {**row, "work": work, "effect": effect, "outcome": "run"}
 
 
@@ -75,10 +75,10 @@
 
 
 def burst_of_requests(begin, count, work=130.0):
-    return [served_request(begin + 10.0 * at, work=work, exchange=f"e{at}") for at in range(count)]
+    return [served_request(begin + 10.0 * at, work=work, request_id=f"e{at}") for at in range(count)]
 
 
-END = request(30000.0, ("h:2", 30000.0, "ok"), exchange="last")
+END = request(30000.0, ("h:2", 30000.0, "ok"), request_id="last")
 
 
 @pytest.mark.parametrize(
@@ -151,7 +151,7 @@
         pytest.param("issue", served_request(900.0, 2, name="issue", effect=False), False, id="without-effect"),
         pytest.param("save", served_request(900.0, 2, name="save"), True, id="keyed"),
         pytest.param("look", served_request(900.0, 2), False, id="safe"),
-        pytest.param("issue", served_request(900.0, 2, name="issue", exchange="e2"), False, id="another-request"),
+        pytest.param("issue", served_request(900.0, 2, name="issue", request_id="e2"), False, id="another-request"),
     ],
 )
 def test_no_request_takes_effect_at_endpoints_twice(name, second, is_violation):
@@ -179,9 +179,9 @@
         pytest.param([DISCONNECT, stream(2500.0), request_at(4400.0)], False, id="within-the-grace-of-a-reconnect"),
         pytest.param([DISCONNECT, stream(2500.0), request_at(4600.0)], True, id="after-the-grace-of-a-reconnect"),
         pytest.param([DISCONNECT, request_at(9000.0)], False, id="disconnected"),
-        pytest.param([command(1500.0, 4000.0), request_at(3500.0)], False, id="held-up"),
-        pytest.param([command(1500.0, 4000.0), request_at(5900.0)], False, id="within-the-grace-of-a-hold-up"),
-        pytest.param([command(1500.0, 4000.0), request_at(6100.0)], True, id="after-the-grace-of-a-hold-up"),
+        pytest.param([command(1500.0, 4000.0), request_at(3500.0)], False, id="blocked"),
+        pytest.param([command(1500.0, 4000.0), request_at(5900.0)], False, id="within-the-grace-of-a-block"),
+        pytest.param([command(1500.0, 4000.0), request_at(6100.0)], True, id="after-the-grace-of-a-block"),
     ],
 )
 def test_no_attempt_at_a_draining_endpoint_after_the_grace(rows, is_violation):
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize(
     ("rows", "is_violation"),
     [
-        # The budget is 2 cores x 1500 ms x 3 x 0.376 at this age, and a tenth for chance: about 3700 ms.
+        # At this age the budget is 2 cores x 1500 ms x 3 x 0.376, plus 10 % for random arrivals: about 3700 ms.
         pytest.param(burst_of_requests(3200.0, 33), True, id="over-the-budget"),
         pytest.param(burst_of_requests(3200.0, 24), False, id="within-the-budget"),
         pytest.param(burst_of_requests(16000.0, 70), False, id="warm"),
@@ -221,7 +221,7 @@
 @pytest.mark.parametrize(
     ("rows", "is_violation"),
     [
-        pytest.param(responses_at_once(250.0), True, id="queue-over-the-limit"),  # 2 x (250 + 6 a message)
+        pytest.param(responses_at_once(250.0), True, id="queue-over-the-limit"),  # 2 x (250 + 6 per message)
         pytest.param(responses_at_once(240.0), False, id="queue-within-the-limit"),
         pytest.param(
             [response(1500.0, 1000.0, 250.0, 1, "p1"), response(2500.0, 2000.0, 250.0, 2, "p2")],
@@ -248,7 +248,7 @@
     }  # fmt: skip
 
 
-def test_a_torn_last_line_is_left_out_and_a_broken_one_is_not(tmp_path):
+def test_a_truncated_last_line_is_skipped_and_a_malformed_complete_one_is_rejected(tmp_path):
     fleet = FleetSettings(zones=["a"], classes=CLASSES)
     path = tmp_path / "proxies-0.jsonl"
     path.write_bytes(b'{"what":"stream","at":1,"proxy":"p","up":true,"pilot":"x:1"}\n{"what":"str')
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Whole scenarios on loopback: controllers killed, zones lost, responses lost; judged from the sockets' record."""
+"""Complete scenarios on loopback with killed controllers, lost zones and lost responses; checked from their record."""
 
 import base64
 import socket
@@ -60,7 +60,7 @@
 def test_an_attempt_that_may_have_run_is_not_retried_unless_its_class_allows_it(many_faults):
     _, evidence = many_faults
     lost = [row for row in evidence.requests if any(attempt[3] in ("reset", "time-out") for attempt in row["tries"])]
-    assert {row["class"] for row in lost} >= {"lookup", "issue"}  # the scenario did lose responses of both
+    assert {row["class"] for row in lost} >= {"lookup", "issue"}  # responses of both classes were lost
     for row in lost:
         if row["class"] == "issue":
             assert row["tries"][-1][3] in ("reset", "time-out") or all(
@@ -80,13 +80,13 @@
         if isinstance(step.command, ControllerCommand) and step.command.action is ControllerAction.KILL
     )
     spans = evidence.stream_spans()
-    moved = [name for name, rows in spans.items() if {row[2] for row in rows} == {"pilot-0", "pilot-1"}]
-    assert moved
-    down = {name: [b[0] - a[1] for a, b in zip(spans[name], spans[name][1:], strict=False)] for name in moved}
-    for name in moved:
-        assert down[name] and not any(row["proxy"] == name for row in evidence.unroutable)
-    epochs = {row["nonce"].rpartition(".")[0] for row in evidence.channel_rows if row["what"] == "send"}
-    assert sum(epoch.startswith(f"pilot-{killed}-") for epoch in epochs) <= 2 and len(epochs) >= 2
+    reconnected = [name for name, rows in spans.items() if {row[2] for row in rows} == {"pilot-0", "pilot-1"}]
+    assert reconnected
+    gaps = {name: [b[0] - a[1] for a, b in zip(spans[name], spans[name][1:], strict=False)] for name in reconnected}
+    for name in reconnected:
+        assert gaps[name] and not any(row["proxy"] == name for row in evidence.unroutable)
+    incarnations = {row["nonce"].rpartition(".")[0] for row in evidence.channel_rows if row["what"] == "send"}
+    assert sum(each.startswith(f"pilot-{killed}-") for each in incarnations) <= 2 and len(incarnations) >= 2
 
 
 def test_a_zone_that_restarts_is_used_again_without_an_overload(many_faults):
@@ -102,19 +102,19 @@
     for row in evidence.applied_updates:
         for _, version in row["changed"]:
             applied.setdefault((row["proxy"], version), []).append(row["nonce"])
-    traced = 0
+    checked = 0
     for row in evidence.requests:
         for _, sent, _, result, version in row["tries"]:
             if result == "ok" and version != "standing":
                 nonces = applied[row["proxy"], version]
-                ending = sent > evidence.end_ms - 1000.0
-                assert ending or any((row["proxy"], nonce) in acknowledged for nonce in nonces)
-                traced += 1
-    assert traced > 100
+                is_near_end = sent > evidence.end_ms - 1000.0  # the record may end before the ack
+                assert is_near_end or any((row["proxy"], nonce) in acknowledged for nonce in nonces)
+                checked += 1
+    assert checked > 100
 
 
 def test_invariants_hold_while_proxies_move_between_streams_and_files(tmp_path):
-    troubles = [
+    faults = [
         {"at_s": 0.5, "for_s": 1.5, "what": "drain", "zone": "a", "count": 1},
         {"at_s": 1.0, "for_s": 0.5, "what": "proxy_refuses", "count": 2},
         {"at_s": 2.0, "for_s": 1.0, "what": "proxy_moves", "count": 4},
@@ -122,16 +122,16 @@
         {"at_s": 4.0, "for_s": 1.5, "what": "drain", "zone": "b", "count": 1},
     ]
     rows = {"endpoints": [{"each_zone": 3}], "proxies": 6, "pilots": 2, "file_proxies": 0.5}
-    arm, evidence = play(small_day(seconds=6.0, troubles=troubles, **rows), tmp_path)
+    arm, evidence = play(small_day(seconds=6.0, troubles=faults, **rows), tmp_path)
     assert check_invariants(evidence) == []
-    by_files = {row["proxy"] for row in evidence.applied_updates if row["type"] == "files"}
-    by_streams = {row["proxy"] for row in evidence.applied_updates if row["type"] != "files"}
+    file_proxies = {row["proxy"] for row in evidence.applied_updates if row["type"] == "files"}
+    stream_proxies = {row["proxy"] for row in evidence.applied_updates if row["type"] != "files"}
     moved = {
         step.command.proxy
         for step in arm.plan.steps
         if isinstance(step.command, ProxyCommand) and step.command.action == "moves"
     }
-    assert moved <= by_files & by_streams and by_files - moved and by_streams - moved
+    assert moved <= file_proxies & stream_proxies and file_proxies - moved and stream_proxies - moved
     assert not evidence.unroutable and all(row["outcome"] != "bare" for row in evidence.requests)
 
 
@@ -144,13 +144,13 @@
 
 
 def test_endpoints_drop_keyed_repeats_within_the_window_and_not_after(tmp_path):
-    rows = [{**KEYED, "name": "long", "window_ms": 60000.0}, {**KEYED, "name": "short", "window_ms": 0.001}]
+    classes = [{**KEYED, "name": "long", "window_ms": 60000.0}, {**KEYED, "name": "short", "window_ms": 0.001}]
     host = ChildProcess("endpoints-0", ["quillstep.testbed.endpoints"], tmp_path)
     try:
         host.send(
             endpoints=[{"id": 1, "zone": "a", "cores": 1, "speed": 1.0, "connections_most": 9, "waiting_most": 9,
                         "connect_work_ms": 0.0, "probe_work_ms": 0.0}],
-            rules=small_day().fleet.rules.model_dump(), classes=rows, answers_tell=True,
+            rules=small_day().fleet.rules.model_dump(), classes=classes, answers_tell=True,
             record=str(tmp_path / "endpoints-0.jsonl"),
         )  # fmt: skip
         port = host.wait_for("ready")["1"]
@@ -160,14 +160,14 @@
                 assert b" 200 " in sock.recv(4096)
     finally:
         host.stop()
-    found = [msgspec.json.decode(line) for line in (tmp_path / "endpoints-0.jsonl").read_bytes().splitlines()]
-    taken = [(row["class"], row["outcome"], row["effect"]) for row in found if row["what"] == "exchange"]
-    assert taken == [
+    rows = [msgspec.json.decode(line) for line in (tmp_path / "endpoints-0.jsonl").read_bytes().splitlines()]
+    received = [(row["class"], row["outcome"], row["effect"]) for row in rows if row["what"] == "exchange"]
+    assert received == [
         ("long", "run", True), ("long", "dropped", False), ("short", "run", True), ("short", "run", True),
     ]  # fmt: skip
 
 
-def test_the_command_plays_a_scenario_and_prints_the_result(tmp_path):
+def test_the_scenario_command_plays_a_scenario_and_prints_the_result(tmp_path):
     scenario = small_day(seconds=2.5)
     script = tmp_path / "small.cue"
     script.write_bytes(msgspec.json.encode(scenario.model_dump()))
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize(
-    ("took", "outcome", "earned"),
+    ("took_ms", "outcome", "earned"),
     [
         (399.0, "ok", 1.0),
         (401.0, "ok", 0.2),
@@ -233,10 +233,10 @@
         (5.0, "failed", 0.0),
     ],
 )
-def test_service_is_the_priority_weight_earned_over_the_weight_offered(took, outcome, earned):
+def test_service_is_the_priority_weight_earned_over_the_weight_offered(took_ms, outcome, earned):
     fleet = small_day().fleet
     late = [row.model_copy(update={"late_priority_weight": 0.2}) for row in CLASSES]
     fleet = fleet.model_copy(update={"classes": late})
-    row = {"at": 0.0, "end": took, "class": "issue", "outcome": outcome, "tries": []}
+    row = {"at": 0.0, "end": took_ms, "class": "issue", "outcome": outcome, "tries": []}
     other = {"at": 0.0, "end": 1.0, "class": "lookup", "outcome": "ok", "tries": []}
     assert service_quality(fleet, [row, other])["service"] == pytest.approx((3.0 * earned + 1.0) / 4.0)
