--- a/quillstep/model_checking/__init__.py
+++ b/quillstep/model_checking/__init__.py
@@ -1,4 +1,4 @@
-"""Model checking of the stream protocol: bounded models for z3, and all states of the real tables nearby.
+"""Model checking of the stream protocol: bounded models for z3, and exploration of the real tables' states.
 
-See docs/lineage.md.  Each property has mutants that the same search must find.
+See docs/lineage.md.  Each property has mutants that violate it, which the same search must find.
 """
--- a/quillstep/model_checking/bounded_model.py
+++ b/quillstep/model_checking/bounded_model.py
@@ -1,8 +1,8 @@
 """A bounded model checker: named variables, steps that each set some of them, unrolled for z3.  No I/O.
 
-A state is a row of bit vectors; a step has a condition and the values that it sets, all other variables stay.  `search`
-asks z3 for a run of at most so many steps that ends in a bad state; no answer means that there is none within the
-bound.
+A state assigns a bit vector to each variable; a step has a condition and the values that it sets, other variables are
+unchanged.  `search` asks z3 for a run of at most so many steps that ends in a bad state; an empty result means that
+there is none within the bound.
 """
 
 import time
@@ -14,34 +14,34 @@
 
 from quillstep.errors import QuillstepError
 
-VARIABLE_BITS = 4  # enough for versions, nonces and clocks of a bounded run
+VARIABLE_BITS = 4  # Enough for the versions, nonces and clocks of a bounded run.
 STEP_BITS = 8
-State = Mapping[str, Any]  # value, or expression, by variable
+State = Mapping[str, Any]  # Values or z3 expressions by variable.
 
 
 class SearchError(QuillstepError):
-    """The solver gave up on a search."""
+    """The solver could not decide a search."""
 
 
 class Step(NamedTuple):
-    """What may happen in a state: its name, under which condition, and the variables that it sets."""
+    """A possible step: its name, its condition, and the values of the variables that it sets."""
 
     name: str
     condition: Any
-    sets: State
+    assignments: State
 
 
 @dataclass(slots=True)
 class Model:
-    """Variables with their first values, the steps of a state, and the bad states by name."""
+    """Variables with their initial values, the steps of a state, and predicates of bad states by name."""
 
-    first: dict[str, int]
+    initial: dict[str, int]
     steps: Callable[[State], list[Step]]
-    bad: Mapping[str, Callable[[State], Any]]
+    bad_states: Mapping[str, Callable[[State], Any]]
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """The result of a search: the run to a bad state, empty if there is none within `depth` steps."""
 
     name: str
@@ -51,60 +51,68 @@
 
 
 def value(number: int) -> Any:
-    """Returns a number as a value of a variable."""
+    """Returns a number as a bit vector of the size of variables."""
     return z3.BitVecVal(number, VARIABLE_BITS)
 
 
-def search(model: Model, name: str, depth: int) -> Found:
-    """Returns the shortest run to a state that is bad by this name.
+def search(model: Model, name: str, depth: int) -> SearchResult:
+    """Searches for the shortest run to a bad state.
+
+    Args:
+        model: The model.
+        name: The name of the bad state.
+        depth: The maximum number of steps.
+
+    Returns:
+        The run; empty if there is none within `depth` steps.
 
     Raises:
-        SearchError: The solver gave up.
+        SearchError: The solver could not decide the search.
     """
     begun_s = time.monotonic()
     solver = z3.SolverFor("QF_BV")
-    names = list(model.first)
+    names = list(model.initial)
     states = [state_at(names, 0)]
-    solver.add([states[0][each] == model.first[each] for each in names])
-    chosen: list[Any] = []
-    for at in range(depth + 1):
+    solver.add([states[0][each] == model.initial[each] for each in names])
+    step_indices: list[Any] = []
+    for index in range(depth + 1):
         solver.push()
-        solver.add(model.bad[name](states[at]))
+        solver.add(model.bad_states[name](states[index]))
         result = solver.check()
         if result == z3.sat:
-            answer = solver.model()
+            solution = solver.model()
             labels = [step.name for step in model.steps(states[0])]
-            run = [labels[answer.eval(each, model_completion=True).as_long()] for each in chosen]
-            return Found(name, at, run, round(time.monotonic() - begun_s, 2))
+            run = [labels[solution.eval(each, model_completion=True).as_long()] for each in step_indices]
+            return SearchResult(name, index, run, round(time.monotonic() - begun_s, 2))
         if result != z3.unsat:
-            raise SearchError(f"z3 gave up on {name} at depth {at}: {solver.reason_unknown()}")
+            raise SearchError(f"z3 could not decide {name!r} at depth {index}: {solver.reason_unknown()}")
         solver.pop()
-        if at == depth:
+        if index == depth:
             break
-        solver.add(z3.Not(model.bad[name](states[at])))
-        states.append(state_at(names, at + 1))
-        chosen.append(z3.BitVec(f"step.{at}", STEP_BITS))
-        solver.add(transition(model.steps(states[at]), states[at], states[at + 1], chosen[at]))
-    return Found(name, depth, [], round(time.monotonic() - begun_s, 2))
+        solver.add(z3.Not(model.bad_states[name](states[index])))
+        states.append(state_at(names, index + 1))
+        step_indices.append(z3.BitVec(f"step.{index}", STEP_BITS))
+        solver.add(transition(model.steps(states[index]), states[index], states[index + 1], step_indices[index]))
+    return SearchResult(name, depth, [], round(time.monotonic() - begun_s, 2))
 
 
-def state_at(names: list[str], at: int) -> State:
-    """Returns the variables of the state after so many steps."""
-    return {name: z3.BitVec(f"{name}.{at}", VARIABLE_BITS) for name in names}
+def state_at(names: list[str], index: int) -> State:
+    """Returns the z3 variables of the state after `index` steps."""
+    return {name: z3.BitVec(f"{name}.{index}", VARIABLE_BITS) for name in names}
 
 
-def transition(steps: list[Step], before: State, after: State, chosen: Any) -> Any:
-    """Returns the condition that one of the steps leads from a state to the next; `chosen` is its index.
+def transition(steps: list[Step], before: State, after: State, step_index: Any) -> Any:
+    """Returns the condition that the step with an index leads from one state to the next.
 
     Raises:
-        KeyError: A step sets a variable that the model does not have.
+        KeyError: A step sets an unknown variable.
     """
     for step in steps:
-        unknown = set(step.sets) - set(before)
+        unknown = set(step.assignments) - set(before)
         if unknown:
-            raise KeyError(f"step {step.name} sets what there is not: {sorted(unknown)}")
+            raise KeyError(f"step {step.name!r} sets unknown variables: {sorted(unknown)}")
     options = []
     for index, step in enumerate(steps):
-        sets = [after[name] == step.sets.get(name, before[name]) for name in before]
-        options.append(z3.And(chosen == index, step.condition, *sets))
+        assignments = [after[name] == step.assignments.get(name, before[name]) for name in before]
+        options.append(z3.And(step_index == index, step.condition, *assignments))
     return z3.Or(options)
--- a/quillstep/model_checking/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -1,8 +1,8 @@
 """Explores all states of the real tables and delta streams that a few steps reach: two controllers, one proxy.
 
-Steps are planner updates, sending, a response applied, rejected or lost, an ack, a disconnect, a join; between the two
-ends there are bytes.  Each state is a copy of the real objects; states that differ in nothing but numbers count once.
-In each of them `violation` must find nothing, and from each the rest is played to its end, where the proxy must hold
+Steps are a planner update, sending, a response applied, rejected or lost, an ack, a disconnect, a join; messages are
+serialized.  Each state is a copy of the real objects; states that differ only in counters count once.  In each state
+`violation` must find nothing, and from each the run goes on without faults until it is idle, when the proxy must hold
 the desired state.
 """
 
@@ -29,16 +29,16 @@
     ClassSettings(name="save", latency_objective_ms=400.0, deadline_ms=900.0, priority_weight=1.0, semantics="unsafe"),
 ]
 ENDPOINTS = (1, 2)
-WEIGHT_SUM = 30.0  # of the two weights that endpoint 1 has by turns
-RETRY_POLICY_SUM = 3  # of the two retry policies
-MAX_STEPS_TO_REST = 400
-MAX_RESPONSES = 3  # on their way to the proxy
-MAX_REQUESTS = 3  # on their way to the controller
+WEIGHT_SUM = 30.0  # Of the two weights between which endpoint 1 alternates.
+RETRY_POLICY_SUM = 3  # Of the two retry policies between which the class alternates.
+MAX_STEPS_UNTIL_IDLE = 400
+MAX_RESPONSES = 3  # In transit to the proxy.
+MAX_REQUESTS = 3  # In transit to the controller.
 LIMITS = LimitSettings()
 
 
 class ModelController:
-    """One controller's tables, on the clock of its world."""
+    """A controller's tables, without a clock of their own."""
 
     def __init__(self, encoder: Encoder, make_tables: Callable[..., Tables]) -> None:
         self.encoder = encoder
@@ -49,7 +49,7 @@
         self.retry_policy = 1
 
     def begin(self) -> None:
-        """Writes the first table."""
+        """Writes the initial table."""
 
         def write(tables: Tables) -> None:
             for endpoint, weight in self.weights.items():
@@ -60,44 +60,44 @@
         self.update(write)
 
     def update(self, write: Callable[[Tables], Any]) -> None:
-        """Makes one update, released at once."""
+        """Commits one update and releases it at once."""
         self.tables.begin()
         write(self.tables)
         for update in self.tables.commit():
             self.tables.release(update.proxy, update.revision)
 
     def assign(self) -> None:
-        """Assigns the table to the proxy, unless it has it."""
+        """Assigns the table to the proxy, unless it is assigned already."""
         if not self.tables.proxies[0].assignments:
             self.update(lambda tables: tables.assign_table(0, 0, [0]))
 
 
 @dataclass
 class World:
-    """One state; `owner` is the controller that has the proxy's stream, -1: none."""
+    """One state; `owner` is the controller that has the proxy's stream, -1 if none has."""
 
     controllers: list[ModelController]
     owner: int = -1
     stream: DeltaStream | None = None
-    held: dict[str, dict[str, str]] = field(default_factory=dict)  # the proxy's versions by type and name
-    responses: list[bytes] = field(default_factory=list)  # on their way to the proxy
-    requests: list[bytes] = field(default_factory=list)  # on their way to the controller
+    held: dict[str, dict[str, str]] = field(default_factory=dict)  # Versions that the proxy holds, by type and name.
+    responses: list[bytes] = field(default_factory=list)  # In transit to the proxy.
+    requests: list[bytes] = field(default_factory=list)  # In transit to the controller.
     now_ms: float = TICK_MS
     streams: int = 0
 
-    def copied(self) -> "World":
-        """Returns a copy that shares what never changes."""
-        shared = {id(controller.encoder): controller.encoder for controller in self.controllers}
-        return copy.deepcopy(self, {**shared, id(LIMITS): LIMITS})
+    def copy(self) -> "World":
+        """Returns a copy that shares the immutable objects."""
+        memo = {id(controller.encoder): controller.encoder for controller in self.controllers}
+        return copy.deepcopy(self, {**memo, id(LIMITS): LIMITS})
 
     def owner_state(self) -> ProxyState:
-        """Returns what the owner knows of the proxy."""
+        """Returns the owner's state of the proxy."""
         return self.controllers[self.owner].tables.proxies[0]
 
-    # steps
+    # Steps.
 
     def join(self, number: int) -> None:
-        """The proxy opens a stream to a controller and reports what it holds."""
+        """Opens a stream to a controller, on which the proxy reports the versions that it holds."""
         controller = self.controllers[number]
         self.streams += 1
         epoch = f"p{number}-{self.streams}"
@@ -123,32 +123,32 @@
         return request
 
     def disconnect(self) -> None:
-        """The stream ends with all that is on its way."""
+        """Closes the stream; messages in transit are lost."""
         self.controllers[self.owner].tables.remove_proxy(0)
         self.owner, self.stream, self.responses, self.requests = -1, None, [], []
 
     def send(self) -> bool:
-        """The controller sends what may be sent now; returns whether that is anything."""
+        """Sends the responses that the controller may send now; returns whether there were any."""
         assert self.stream
         sent = [response.message for response in self.stream.pump(self.now_ms)]
         self.responses += sent
         return bool(sent)
 
     def receive(self, outcome: str) -> None:
-        """The proxy's next response is applied, refused or lost (`apply`, `refuse`, `lose`)."""
+        """Applies, rejects or loses the proxy's next response (`apply`, `refuse`, `lose`)."""
         response = discovery_pb2.DeltaDiscoveryResponse.FromString(self.responses.pop(0))
         if outcome == "lose":
             return
-        answer = discovery_pb2.DeltaDiscoveryRequest(type_url=response.type_url, response_nonce=response.nonce)
+        reply = discovery_pb2.DeltaDiscoveryRequest(type_url=response.type_url, response_nonce=response.nonce)
         subscriptions: list[discovery_pb2.DeltaDiscoveryRequest] = []
         if outcome == "refuse":
-            answer.error_detail.code, answer.error_detail.message = 3, "no"
+            reply.error_detail.code, reply.error_detail.message = 3, "no"
         else:
             subscriptions = self._apply(response)
-        self.requests += [request.SerializeToString() for request in (answer, *subscriptions)]
+        self.requests += [request.SerializeToString() for request in (reply, *subscriptions)]
 
     def _apply(self, response: discovery_pb2.DeltaDiscoveryResponse) -> list[discovery_pb2.DeltaDiscoveryRequest]:
-        """Applies a response to what the proxy holds; returns what it subscribes to for it."""
+        """Applies a response to the proxy's state; returns the subscriptions that follow from it."""
         subscriptions = []
         held = self.held.setdefault(response.type_url, {})
         for resource in response.resources:
@@ -162,33 +162,33 @@
         return subscriptions
 
     def deliver_request(self) -> None:
-        """The controller reads the proxy's next request."""
+        """Delivers the proxy's next request to the controller."""
         assert self.stream
         self.stream.handle_request(discovery_pb2.DeltaDiscoveryRequest.FromString(self.requests.pop(0)), self.now_ms)
 
-    # properties
+    # Properties.
 
     def is_settled(self) -> bool:
-        """Whether nothing is on its way."""
+        """Returns whether nothing is in transit or in flight."""
         return not (self.responses or self.requests or self.owner_state().in_flight_updates)
 
-    def run_to_rest(self) -> str:
-        """Goes on without further faults until nothing moves; returns what is left behind, in words."""
+    def run_until_idle(self) -> str:
+        """Continues without faults until nothing is left to do; returns what is wrong then, empty if nothing is."""
         if self.owner < 0:
             self.join(0)
-        for _ in range(MAX_STEPS_TO_REST):
+        for _ in range(MAX_STEPS_UNTIL_IDLE):
             if self.requests:
                 self.deliver_request()
             elif self.responses:
                 self.receive("apply")
             elif not self.send():
                 if self.is_settled() and self.owner_state().next_retry_ms(self.now_ms) is None:
-                    return self._missing() or self._unwanted()
+                    return self._missing_resource() or self._unwanted_resource()
                 self.now_ms += TICK_MS
         return "it never settles"
 
-    def _missing(self) -> str:
-        """Returns a desired resource that the proxy does not hold, in words."""
+    def _missing_resource(self) -> str:
+        """Describes a desired resource that the proxy does not hold; empty if there is none."""
         tables, state = self.controllers[self.owner].tables, self.owner_state()
         for key in tables.desired_keys(0):
             desired = tables.desired_resource(state, key)
@@ -201,8 +201,8 @@
                 return f"{resources.name(key)} is wanted out, and was refused for good"
         return ""
 
-    def _unwanted(self) -> str:
-        """Returns a resource that the proxy holds and should not, in words."""
+    def _unwanted_resource(self) -> str:
+        """Describes a resource that the proxy holds and should not; empty if there is none."""
         tables, state = self.controllers[self.owner].tables, self.owner_state()
         for url, held in self.held.items():
             for name in held:
@@ -215,52 +215,52 @@
         return self.held.get(resources.type_url(key), {}).get(resources.name(key))
 
     def violation(self) -> str:
-        """Returns what does not hold in this state, in words; empty: all does."""
+        """Describes a property that is violated in this state; empty if there is none."""
         has_weights = any("/table-" in name for name in self.held.get(LEDS, {}))
         if self.held.get(RDS) and not has_weights:
             return "routes without a line"
         if self.owner < 0:
             return ""
         state = self.owner_state()
-        answered = {request.response_nonce for request in map(request_of, self.requests)}
-        coming = {response.nonce for response in map(response_of, self.responses)}
+        replied = {request.response_nonce for request in map(parse_request, self.requests)}
+        in_transit = {response.nonce for response in map(parse_response, self.responses)}
         for key, version in state.acknowledged.items():
             is_in_flight = any(
-                change.key == key and (nonce in answered or nonce not in coming)
+                change.key == key and (nonce in replied or nonce not in in_transit)
                 for nonce, update in state.in_flight_updates.items()
                 for change in update.changes
             )
             held = self._held_version(key)
-            if held != version and not is_in_flight and not self._has_unread_answer(key):
+            if held != version and not is_in_flight and not self._has_unread_reply(key):
                 return f"{resources.name(key)} counts as held at {version}, the proxy has {held}"
         return ""
 
-    def _has_unread_answer(self, key: Key) -> bool:
-        """Whether the answer to a response with this key's type is on its way; its update may count as lost by now."""
+    def _has_unread_reply(self, key: Key) -> bool:
+        """Whether a reply to a response of this key's type is in transit; its update may already count as lost."""
         url = resources.type_url(key)
-        return any(request.type_url == url and request.response_nonce for request in map(request_of, self.requests))
+        return any(request.type_url == url and request.response_nonce for request in map(parse_request, self.requests))
 
     def fingerprint(self) -> tuple[Any, ...]:
-        """Returns what tells states apart: all but numbers that only count."""
+        """Returns a value that identifies the state, without counters such as nonces and revisions."""
         held = frozenset((url, name, version) for url, row in self.held.items() for name, version in row.items())
-        responses = tuple(without_numbers(response_of(data)) for data in self.responses)
+        responses = tuple(response_fingerprint(parse_response(data)) for data in self.responses)
         requests = tuple(
             (request.type_url, request.HasField("error_detail"), tuple(request.resource_names_subscribe))
-            for request in map(request_of, self.requests)
+            for request in map(parse_request, self.requests)
         )
         controllers = (controller_fingerprint(controller) for controller in self.controllers)
         return (self.owner, held, responses, requests, *controllers)
 
 
 def controller_fingerprint(controller: ModelController) -> tuple[Any, ...]:
-    """Returns what tells a controller's states apart."""
+    """Returns a value that identifies a controller's state."""
     weights, ejected = tuple(controller.weights.items()), tuple(sorted(controller.ejected))
     state = controller.tables.proxies.get(0)
     return (weights, ejected, controller.retry_policy, state and proxy_fingerprint(state))
 
 
 def proxy_fingerprint(state: ProxyState) -> tuple[Any, ...]:
-    """Returns what tells a proxy's states apart."""
+    """Returns a value that identifies a controller's state of a proxy."""
     return (
         frozenset(state.acknowledged.items()),
         frozenset(state.pending),
@@ -272,23 +272,23 @@
     )
 
 
-def request_of(data: bytes) -> discovery_pb2.DeltaDiscoveryRequest:
-    """Returns the request that these bytes are."""
+def parse_request(data: bytes) -> discovery_pb2.DeltaDiscoveryRequest:
+    """Parses a request."""
     return discovery_pb2.DeltaDiscoveryRequest.FromString(data)
 
 
-def response_of(data: bytes) -> discovery_pb2.DeltaDiscoveryResponse:
-    """Returns the response that these bytes are."""
+def parse_response(data: bytes) -> discovery_pb2.DeltaDiscoveryResponse:
+    """Parses a response."""
     return discovery_pb2.DeltaDiscoveryResponse.FromString(data)
 
 
 def ordered_ms(revision: int) -> float:
-    """Returns when a revision was made: revisions stand for times here."""
+    """Returns the time of a revision; the model uses the revision itself."""
     return float(revision)
 
 
-def without_numbers(response: discovery_pb2.DeltaDiscoveryResponse) -> tuple[Any, ...]:
-    """Returns a response without its nonce and revision."""
+def response_fingerprint(response: discovery_pb2.DeltaDiscoveryResponse) -> tuple[Any, ...]:
+    """Returns a value that identifies a response, without its nonce and revision."""
     return (
         response.type_url,
         tuple((resource.name, resource.version) for resource in response.resources),
@@ -297,9 +297,9 @@
 
 
 def planner_updates(controller: ModelController) -> Iterator[tuple[str, Callable[[ModelController], None]]]:
-    """Yields what a planner may change: a weight, an ejection, a retry policy."""
+    """Yields the changes that a planner may make: a weight, an ejection, a retry policy."""
 
-    def weigh(target: ModelController) -> None:
+    def change_weight(target: ModelController) -> None:
         target.weights[1] = WEIGHT_SUM - target.weights[1]
         target.update(lambda tables: tables.set_weight(0, 1, target.weights[1]))
 
@@ -311,99 +311,114 @@
         target.retry_policy = RETRY_POLICY_SUM - target.retry_policy
         target.update(lambda tables: tables.set_admission(0, [0], 1e6, target.retry_policy))
 
-    yield "sets a weight", weigh
+    yield "sets a weight", change_weight
     yield "ejects" if 2 not in controller.ejected else "restores", eject
     yield "sets a retry policy", change_policy
 
 
 def successors(world: World) -> Iterator[tuple[str, World]]:
-    """Yields all states that one step leads to, with its name."""
+    """Yields all states that one step leads to, each with the step's name."""
     for number, controller in enumerate(world.controllers):
         for name, change in planner_updates(controller):
             if number == world.owner or name.startswith("ejects"):
-                after = world.copied()
+                after = world.copy()
                 change(after.controllers[number])
                 yield f"controller {number} {name}", after
     if world.owner >= 0:
         yield from stream_successors(world)
     else:
         for number in range(len(world.controllers)):
-            after = world.copied()
+            after = world.copy()
             after.join(number)
             yield f"join controller {number}", after
 
 
 def stream_successors(world: World) -> Iterator[tuple[str, World]]:
     """Yields the states that one step on the proxy's stream leads to."""
-    after = world.copied()
+    after = world.copy()
     if len(after.responses) < MAX_RESPONSES and after.send():
         yield "send", after
     if world.requests:
-        after = world.copied()
+        after = world.copy()
         after.deliver_request()
         yield "answer", after
     if world.responses and len(world.requests) < MAX_REQUESTS:
         for outcome in ("apply", "refuse", "lose"):
-            after = world.copied()
+            after = world.copy()
             after.receive(outcome)
             yield outcome, after
-    after = world.copied()
+    after = world.copy()
     after.now_ms += TICK_MS
     if after.send():
         yield "send a second later", after
-    after = world.copied()
+    after = world.copy()
     after.disconnect()
     yield "disconnect", after
 
 
 def initial_world(make_tables: Callable[..., Tables], joined: bool) -> World:
-    """Returns a world whose proxy holds nothing and has no stream, or has joined the first controller and holds all."""
+    """Returns a state in which the proxy holds nothing, or has joined the first controller and holds everything."""
     encoder = Encoder(CLASSES, 0.8)
     world = World([ModelController(encoder, make_tables) for _ in range(2)])
     for controller in world.controllers:
         controller.begin()
     if joined:
         world.join(0)
-        world.run_to_rest()
+        world.run_until_idle()
     return world
 
 
 @dataclass(slots=True)
 class Exploration:
-    """States found, how many steps deep, in what time; the run to the first that is wrong, and what is wrong there."""
+    """The result of an exploration.
+
+    Attributes:
+        states: The number of different states.
+        depth: The number of steps to the last state examined.
+        completed: The number of states from which the run was continued until idle.
+        took_s: The duration, seconds.
+        run: The steps to the first state with a violation; empty without one.
+        violation: What is wrong there; empty without one.
+    """
 
     states: int = 0
     depth: int = 0
-    played: int = 0
+    completed: int = 0
     took_s: float = 0.0
     run: list[str] = field(default_factory=list)
-    wrong: str = ""
+    violation: str = ""
 
 
 def explore(depth: int, max_states: int, make_tables: Callable[..., Tables] = Tables) -> Exploration:
-    """Explores breadth first, so that the run that is found is the shortest."""
+    """Explores breadth first, so that the run to a violation is the shortest.
+
+    Args:
+        depth: The maximum number of steps.
+        max_states: The maximum number of different states.
+        make_tables: The class of tables: the real one or a mutant.
+    """
     begun_s = time.monotonic()
-    found = Exploration()
+    result = Exploration()
     starts = [(initial_world(make_tables, joined), ["joined"] if joined else []) for joined in (True, False)]
-    known = {world.fingerprint() for world, _ in starts}
+    seen = {world.fingerprint() for world, _ in starts}
     queue: deque[tuple[World, list[str]]] = deque(starts)
     while queue:
         world, run = queue.popleft()
-        found.depth = len(run) - run.count("joined")
-        wrong = world.violation()
-        if not wrong:
-            wrong = world.copied().run_to_rest()
-            found.played += 1
-        if wrong:
-            found.run, found.wrong = run, wrong
+        result.depth = len(run) - run.count("joined")
+        violation = world.violation()
+        if not violation:
+            violation = world.copy().run_until_idle()
+            result.completed += 1
+        if violation:
+            result.run, result.violation = run, violation
             break
-        if found.depth == depth:
+        if result.depth == depth:
             continue
         for name, after in successors(world):
             fingerprint = after.fingerprint()
-            if fingerprint not in known and len(known) < max_states:
-                known.add(fingerprint)
+            if fingerprint not in seen and len(seen) < max_states:
+                seen.add(fingerprint)
                 queue.append((after, [*run, name]))
-    found.states = len(known)
-    found.took_s = round(time.monotonic() - begun_s, 2)
-    return found
+    result.states = len(seen)
+    result.took_s = round(time.monotonic() - begun_s, 2)
+    return result
--- a/quillstep/model_checking/fuzz.py
+++ b/quillstep/model_checking/fuzz.py
@@ -1,9 +1,9 @@
-"""Readers of bytes from peers as targets for a fuzzer: each takes any bytes and raises only what it states.
+"""Fuzzing targets for the parsers of data from peers: each accepts any bytes and raises only documented errors.
 
     pip install -r requirements-fuzz.txt
     python -m quillstep.model_checking.fuzz TARGET [options of libFuzzer, e.g. -max_total_time=60]
 
-The tests drive the same targets with `hypothesis`; `atheris` follows the code's branches and stays out of CI.
+The tests run the same targets with `hypothesis`; `atheris` is guided by the code's branches and is not part of CI.
 """
 
 import importlib
@@ -27,28 +27,28 @@
 from quillstep.xds.stream import StreamError
 
 MAX_MESSAGE_BYTES = 4096
-INSTRUMENTED = ("quillstep", "h2", "hpack", "hyperframe")  # packages whose branches a fuzzer follows
+INSTRUMENTED = ("quillstep", "h2", "hpack", "hyperframe")  # Packages whose branches guide the fuzzer.
 ENCODER = Encoder(CLASSES, 0.8)
 
 
 def frames(data: bytes) -> None:
-    """Checks the framing of gRPC: cut anywhere, the messages are the same."""
+    """Checks gRPC framing: the messages do not depend on where the data is split."""
 
-    def cut(size: int) -> list[bytes] | int:
-        unframer, found = FrameDecoder(MAX_MESSAGE_BYTES), []
+    def decode(size: int) -> list[bytes] | int:
+        decoder, messages = FrameDecoder(MAX_MESSAGE_BYTES), []
         try:
             for at in range(0, len(data), size):
-                found += unframer.feed(data[at : at + size])
+                messages += decoder.feed(data[at : at + size])
         except FramingError as error:
             return error.status
-        return found
+        return messages
 
     size = 1 + (data[0] if data else 0) % 16
-    assert cut(size) == cut(max(1, len(data)))
+    assert decode(size) == decode(max(1, len(data)))
 
 
 def connection(data: bytes) -> None:
-    """Feeds an HTTP/2 connection: it raises nothing but ProtocolError, and what is to be sent stays bounded."""
+    """Feeds an HTTP/2 connection: it raises only ProtocolError, and the data to send stays bounded."""
     server = GrpcConnection(False, MAX_MESSAGE_BYTES)
     client = GrpcConnection(True, MAX_MESSAGE_BYTES)
     client.open("/m", "a")
@@ -61,14 +61,14 @@
 
 
 def requests(data: bytes) -> None:
-    """Feeds requests, each after a byte with its length, to both kinds of open streams."""
+    """Feeds requests, each preceded by a byte with its length, to an open stream of each kind."""
     kinds: list[tuple[Any, Any]] = [
         (DeltaStream, discovery_pb2.DeltaDiscoveryRequest), (SotwStream, discovery_pb2.DiscoveryRequest)
     ]  # fmt: skip
-    for kind, request in kinds:
+    for stream_type, request_type in kinds:
         controller = ModelController(ENCODER, Tables)
         controller.begin()
-        stream = kind(controller.tables, ENCODER, LIMITS, "e", ordered_ms)
+        stream = stream_type(controller.tables, ENCODER, LIMITS, "e", ordered_ms)
         controller.tables.add_proxy(0, "a", {})
         controller.retry_policies.add_proxy(0, True, 0)
         stream.proxy = 0
@@ -77,8 +77,8 @@
         while at < len(data):
             size = data[at]
             try:
-                said = request.FromString(data[at + 1 : at + 1 + size])
-                stream.handle_request(said, now_ms)
+                request = request_type.FromString(data[at + 1 : at + 1 + size])
+                stream.handle_request(request, now_ms)
             except (DecodeError, StreamError):
                 pass
             at, now_ms = at + 1 + size, now_ms + 100.0
@@ -87,7 +87,7 @@
 
 
 def report(data: bytes) -> None:
-    """Reads a load report: whatever parses as one becomes plain values."""
+    """Reads a load report: any message that parses is accepted."""
     try:
         request = lrs_pb2.LoadStatsRequest.FromString(data)
     except DecodeError:
@@ -119,14 +119,14 @@
 
 
 def main() -> None:
-    """Runs libFuzzer on the target that the first argument names."""
+    """Runs libFuzzer on the target named by the first argument."""
     import atheris
 
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     if name not in TARGETS:
-        sys.exit(f"name one of {', '.join(TARGETS)}")
+        sys.exit(f"target: expected one of {', '.join(TARGETS)}, got {name!r}")
     for module in [each for each in sys.modules if each.partition(".")[0] in INSTRUMENTED]:
-        del sys.modules[module]  # imported again below, instrumented
+        del sys.modules[module]  # Imported again below, instrumented.
     with atheris.instrument_imports(include=list(INSTRUMENTED)):
         target = importlib.import_module("quillstep.model_checking.fuzz").TARGETS[name]
     atheris.Setup([sys.argv[0], *sys.argv[2:]], target)
--- a/quillstep/model_checking/mutants.py
+++ b/quillstep/model_checking/mutants.py
@@ -1,6 +1,6 @@
-"""Mutants of the real tables: each breaks one thing, which `explore` must find.
+"""Mutants of the real tables: each has one fault, which `explore` must find.
 
-The keys of `MUTANTS` are shown in reports.
+The keys of `MUTANTS` appear in reports.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,10 +11,10 @@
 
 
 class AcknowledgesWhenSent(Tables):
-    """What has been sent counts as acknowledged."""
+    """Treats a change as acknowledged when it is sent."""
 
     def record_sent(self, proxy: int, nonce: str, changes: list[Change], now_ms: float, type_url: str = "") -> None:
-        """Records the changes as acknowledged, too."""
+        """Records the changes as sent and as acknowledged."""
         super().record_sent(proxy, nonce, changes, now_ms, type_url)
         for key, resource in changes:
             if resource:
@@ -22,20 +22,20 @@
 
 
 class AcknowledgesNewest(Tables):
-    """An acknowledgement counts for the newest version in flight, whichever it is for."""
+    """Takes an ack of any version for an ack of the newest version in flight."""
 
     def record_ack(self, proxy: int, nonce: str, now_ms: float = 0.0) -> list[Change]:
-        """Records the newest versions of the acknowledged keys."""
-        found = super().record_ack(proxy, nonce, now_ms)
+        """Records the newest versions of the acknowledged keys as acknowledged."""
+        acknowledged = super().record_ack(proxy, nonce, now_ms)
         state = self.proxies[proxy]
-        for key, _ in found:
+        for key, _ in acknowledged:
             if (newest := state.in_flight.pop(key, None)) and newest.version:
                 state.acknowledged[key] = newest.version
-        return found
+        return acknowledged
 
 
 class ForgetsLostUpdates(ProxyState):
-    """An update that was overtaken by the acknowledgement of a later one is not sent again."""
+    """Does not resend an update when the ack of a later one shows that it was lost."""
 
     def end_in_flight(self, nonce: str, now_ms: float) -> InFlightUpdate | None:
         """Leaves earlier updates in flight."""
@@ -43,23 +43,23 @@
 
 
 class TablesForgetLostUpdates(Tables):
-    """See ForgetsLostUpdates."""
+    """Uses `ForgetsLostUpdates`."""
 
     proxy_state_type = ForgetsLostUpdates
 
 
 class NeverRetriesNacked(Tables):
-    """A rejected ejection is held back like anything else."""
+    """Never resends a rejected ejection, which is treated like any other rejected resource."""
 
     def record_nack(self, proxy: int, nonce: str, reason: str, now_ms: float, indivisible: bool = False) -> Nack | None:
-        """Drops the retries."""
-        found = super().record_nack(proxy, nonce, reason, now_ms, indivisible)
+        """Records the nack and drops the scheduled retries."""
+        nack = super().record_nack(proxy, nonce, reason, now_ms, indivisible)
         self.proxies[proxy].nack_retries_ms.clear()
-        return found
+        return nack
 
 
 class NeverWaits(ProxyState):
-    """No change waits for another: break before make."""
+    """Sends changes without waiting for those that they depend on: break before make."""
 
     def must_wait(self, change: Change, subscribed: Callable[[Key], bool]) -> bool:
         """Returns False for all changes."""
@@ -67,30 +67,30 @@
 
 
 class TablesNeverWait(Tables):
-    """See NeverWaits."""
+    """Uses `NeverWaits`."""
 
     proxy_state_type = NeverWaits
 
 
-class TrustsItsMemory(Tables):
-    """A proxy that comes back is taken to hold what it held here last, whatever it reports."""
+class IgnoresReportedVersions(Tables):
+    """Assumes that a returning proxy holds what it last acknowledged here, whatever it reports."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
-        self.last: dict[Key, str] = {}
+        self.last_acknowledged: dict[Key, str] = {}
 
     def add_proxy(self, proxy: int, zone: str, reported: Mapping[Key, str]) -> ProxyState:
-        """Adds a proxy with what it held last."""
-        return super().add_proxy(proxy, zone, self.last or reported)
+        """Adds a proxy with the versions that it last acknowledged."""
+        return super().add_proxy(proxy, zone, self.last_acknowledged or reported)
 
     def add_reported(self, proxy: int, reported: Mapping[Key, str]) -> None:
-        """Ignores what a proxy reports where it was here before."""
-        super().add_reported(proxy, {} if self.last else reported)
+        """Ignores reported versions of a returning proxy."""
+        super().add_reported(proxy, {} if self.last_acknowledged else reported)
 
     def remove_proxy(self, proxy: int) -> None:
-        """Remembers what a proxy holds."""
+        """Saves the acknowledged versions and removes the proxy."""
         if proxy in self.proxies:
-            self.last = dict(self.proxies[proxy].acknowledged)
+            self.last_acknowledged = dict(self.proxies[proxy].acknowledged)
         super().remove_proxy(proxy)
 
 
@@ -100,5 +100,5 @@
     "lost and not missed": TablesForgetLostUpdates,
     "refused for good": NeverRetriesNacked,
     "nobody waits": TablesNeverWait,
-    "trusts its memory": TrustsItsMemory,
+    "trusts its memory": IgnoresReportedVersions,
 }
--- a/quillstep/model_checking/runner.py
+++ b/quillstep/model_checking/runner.py
@@ -1,6 +1,6 @@
 """All searches and mutants that `quillstep check-model` runs, on all cores.
 
-The values of `by`, `what` and `twin`, and the names of the fields, are those of earlier reports.
+The keys of the results and the values of `by`, `what` and `twin` are stable from report to report.
 """
 
 import os
@@ -15,17 +15,24 @@
 from quillstep.routing import Tables
 
 MODELS: dict[str, Any] = {"stream": stream_model, "way back": rollback_model}
-REAL_CODE = "code"  # the search that explores the real tables
-MUTANT_DEPTH = 9  # steps within which each mutant of a model is found
-REAL_MUTANT_DEPTH = 7  # and of the real tables
-MAX_STATES = 60_000  # of one exploration
-MAX_MESSAGES = 20  # the default limit of messages to one proxy
-UPDATE_INTERVAL = 1.2  # the planner's, in units of the limit's window / MAX_MESSAGES
+REAL_CODE = "code"  # Names the search that explores the real tables.
+MUTANT_DEPTH = 9  # Steps within which each mutant of a model is found.
+REAL_MUTANT_DEPTH = 7  # Steps within which each mutant of the real tables is found.
+MAX_STATES = 60_000  # Per exploration.
+MAX_MESSAGES = 20  # The default message limit per proxy.
+UPDATE_INTERVAL = 1.2  # Of the planner, in units of the limit's window / MAX_MESSAGES.
 MAX_JOINS = 2
 
 
 class Search(NamedTuple):
-    """One search: what is searched, for which bad state, with which mutant (empty: none), how many steps deep."""
+    """One search.
+
+    Attributes:
+        by: The model, or `REAL_CODE`.
+        what: The name of the bad state.
+        mutant: The name of the mutant; empty for the original.
+        depth: The maximum number of steps.
+    """
 
     by: str
     what: str
@@ -34,13 +41,13 @@
 
 
 def run_search(task: Search) -> dict[str, Any]:
-    """Returns the result of one search as a row; one with a mutant must find a run."""
+    """Returns the result of one search as a row; the search of a mutant must find a run."""
     row: dict[str, Any] = {"by": task.by, "what": task.what, "twin": task.mutant}
     if task.by in MODELS:
-        found = search(MODELS[task.by].model(task.mutant), task.what, task.depth)
-        return {**row, "depth": found.depth, "run": found.run, "took_s": found.took_s}
+        result = search(MODELS[task.by].model(task.mutant), task.what, task.depth)
+        return {**row, "depth": result.depth, "run": result.run, "took_s": result.took_s}
     explored = explore(task.depth, MAX_STATES, mutants.MUTANTS[task.mutant] if task.mutant else Tables)
-    run = [*explored.run, explored.wrong] if explored.wrong else []
+    run = [*explored.run, explored.violation] if explored.violation else []
     return {**row, "depth": explored.depth, "run": run, "took_s": explored.took_s, "states": explored.states}
 
 
@@ -58,9 +65,10 @@
 
 
 def check_all(depth: int) -> dict[str, Any]:
-    """Runs all searches, each in a process of its own.
+    """Runs all searches in a pool of processes.
 
-    `wrong` counts the runs to a bad state where there must be none, `twins_found` the mutants that were found.
+    Returns:
+        `wrong` counts the searches of originals that found a bad state, `twins_found` the mutants that were found.
     """
     with ProcessPoolExecutor(os.cpu_count(), mp_context=get_context("spawn")) as pool:
         rows = list(pool.map(run_search, searches(depth)))
--- a/tests/model_checking/test_fuzz.py
+++ b/tests/model_checking/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Bytes that no peer should send."""
+"""Tests of malformed and arbitrary data from peers."""
 
 from envoy.service.discovery.v3 import discovery_pb2
 from hypothesis import example, given, settings
@@ -12,11 +12,11 @@
 @given(st.sampled_from(sorted(fuzz.TARGETS)), st.binary(max_size=300))
 @example("requests", b"\x04\x22\x02ab\x03\x2a\x01x")
 @example("connection", b"\x00\x00\x00\x04\x00\x00\x00\x00\x00")
-def test_whatever_bytes_a_peer_sends_only_its_own_stream_ends(target, data):
+def test_arbitrary_bytes_from_a_peer_close_only_its_own_stream(target, data):
     fuzz.TARGETS[target](data)
 
 
-def texts():
+def resource_names():
     return st.text(max_size=12) | st.sampled_from(["exchanges", "table-0", "*", "xdstp://x/*", "table-0/1", "e.1"])
 
 
@@ -29,12 +29,12 @@
                 initial_resource_versions=versions, response_nonce=nonce,
                 error_detail={"code": code} if code else None,
             ).SerializeToString(),
-            st.sampled_from([CDS, EDS, LEDS, RDS, "other"]), st.lists(texts(), max_size=3),
-            st.lists(texts(), max_size=3), st.dictionaries(texts(), texts(), max_size=3),
+            st.sampled_from([CDS, EDS, LEDS, RDS, "other"]), st.lists(resource_names(), max_size=3),
+            st.lists(resource_names(), max_size=3), st.dictionaries(resource_names(), resource_names(), max_size=3),
             st.sampled_from(["", "e.1", "e.2", "e.3", "e.9"]), st.sampled_from([0, 0, 3]),
         ).filter(lambda data: len(data) < 256),
         max_size=12,
     )
 )  # fmt: skip
-def test_requests_that_parse_and_make_no_sense_end_no_more_than_their_stream(requests):
+def test_invalid_requests_that_parse_close_only_their_own_stream(requests):
     fuzz.requests(b"".join(bytes([len(each)]) + each for each in requests))
--- a/tests/model_checking/test_models.py
+++ b/tests/model_checking/test_models.py
@@ -1,4 +1,4 @@
-"""Bounded models of the stream protocol, of rollbacks and of the message limit, and their mutants."""
+"""Tests of the bounded models of the stream protocol, rollbacks and the message limit, and of their mutants."""
 
 import pytest
 
@@ -7,22 +7,23 @@
 
 
 @pytest.mark.parametrize(
-    ("one", "what"), [(one, what) for one in (stream_model, rollback_model) for what in one.BAD_STATES]
+    ("module", "bad_state"),
+    [(module, bad_state) for module in (stream_model, rollback_model) for bad_state in module.BAD_STATES],
 )
-def test_no_run_of_a_model_reaches_a_bad_state(one, what):
-    assert search(one.model(), what, 8).run == []
+def test_no_run_of_a_model_reaches_a_bad_state(module, bad_state):
+    assert search(module.model(), bad_state, 8).run == []
 
 
 @pytest.mark.parametrize(
-    ("one", "twin"), [(one, twin) for one in (stream_model, rollback_model) for twin in one.MUTANTS]
+    ("module", "mutant"), [(module, mutant) for module in (stream_model, rollback_model) for mutant in module.MUTANTS]
 )
-def test_each_mutant_of_a_model_is_found(one, twin):
-    found = search(one.model(twin), one.MUTANTS[twin], 9)
-    assert found.run and len(found.run) == found.depth
+def test_each_mutant_of_a_model_is_found(module, mutant):
+    result = search(module.model(mutant), module.MUTANTS[mutant], 9)
+    assert result.run and len(result.run) == result.depth
 
 
-def test_the_update_interval_keeps_the_message_limit_only_while_the_channel_hardly_lags():
-    gap = 1.2 / 20
-    assert [message_limit_model.max_safe_delay(20, gap, joins) for joins in (0, 1, 2)] == [0.2, 0.14, 0.08]
-    leaves = message_limit_model.overrun(20, gap, 0.18, 2)
-    assert leaves and leaves[-1] - leaves[0] < 1.0
+def test_the_update_interval_enforces_the_message_limit_only_with_short_channel_delays():
+    interval = 1.2 / 20
+    assert [message_limit_model.max_safe_delay(20, interval, joins) for joins in (0, 1, 2)] == [0.2, 0.14, 0.08]
+    departures = message_limit_model.overrun(20, interval, 0.18, 2)
+    assert departures and departures[-1] - departures[0] < 1.0
--- a/tests/model_checking/test_two_controllers.py
+++ b/tests/model_checking/test_two_controllers.py
@@ -1,4 +1,4 @@
-"""A state machine of two controllers with three proxies between them, and hard cases."""
+"""Tests of two controllers that share proxies: a state machine with random faults, and single cases."""
 
 from collections import deque
 
@@ -15,53 +15,54 @@
 from quillstep.xds.resources import CDS, EDS, LEDS, RDS, type_url
 
 
-class Pilots(RuleBasedStateMachine):
-    """Two pilots with the module in them and three proxies between them, bytes both ways, every fault that we know."""
+class TwoControllers(RuleBasedStateMachine):
+    """Two controllers with real planners, three proxies that move between them, serialized messages, random faults."""
 
     @initialize()
     def start(self):
         limits = LimitSettings(max_in_flight=4)
-        self.pilots = [MemoryController(settings=controller_settings(seed=at, limits=limits)) for at in (1, 2)]
-        self.held, self.refuses, self.at = {}, {}, {}
+        self.controllers = [MemoryController(settings=controller_settings(seed=seed, limits=limits)) for seed in (1, 2)]
+        self.held, self.rejects, self.controller_of = {}, {}, {}
         self.messages = {}
         for name in ("p0", "p1", "p2"):
-            self.held[name], self.refuses[name] = {}, False
-            self.dial(name, 0)
+            self.held[name], self.rejects[name] = {}, False
+            self.connect(name, 0)
         self.run(3000.0)
 
-    def dial(self, name, pilot):
-        """Its old pilot has not noticed: there its stream stands, and nobody reads it."""
-        proxy = self.pilots[pilot].join(name, "ab"[int(name[1]) % 2], self.held[name])
-        proxy.rejects = lambda response, name=name: self.refuses[name]
-        self.at[name] = pilot
+    def connect(self, name, index):
+        """Opens a stream; the previous controller, if not notified, keeps its own open, which nobody reads."""
+        proxy = self.controllers[index].join(name, "ab"[int(name[1]) % 2], self.held[name])
+        proxy.rejects = lambda response, name=name: self.rejects[name]
+        self.controller_of[name] = index
         self.messages[name] = deque()
 
     def run(self, ms):
         for _ in range(int(ms / 50.0)):
-            for at, pilot in enumerate(self.pilots):
-                pilot.now += 50.0
-                pilot.core.step(pilot.now)
-                pilot.core.health_check_requests.clear()
-                pilot.core.tables.pending_proxies.clear()
-                for name, proxy in list(pilot.proxies.items()):
+            for index, controller in enumerate(self.controllers):
+                controller.now += 50.0
+                controller.core.step(controller.now)
+                controller.core.health_check_requests.clear()
+                controller.core.tables.pending_proxies.clear()
+                for name, proxy in list(controller.proxies.items()):
                     before = len(proxy.unread)
                     proxy.pump()
                     fresh = proxy.unread[before:]
-                    if self.at[name] == at:
+                    if self.controller_of[name] == index:
                         for response in fresh:
                             if response.resources or response.removed_resources:
-                                self.left(name, response.system_version_info, pilot.now)
+                                self.count_message(name, response.system_version_info, controller.now)
                         if name not in self.stalled:
                             proxy.read()
 
     stalled: set = set()
 
-    def left(self, name, order, now):
+    def count_message(self, name, revision, now):
+        """Counts the messages to a proxy within 10 s, one for each revision, as the message limit does."""
         rows = self.messages[name]
         while rows and rows[0][1] <= now - 10000.0:
             rows.popleft()
-        if all(each != order for each, _ in rows):
-            rows.append((order, now))
+        if all(each != revision for each, _ in rows):
+            rows.append((revision, now))
         assert len(rows) <= 20, "more messages than the limit"
 
     @rule(ms=st.sampled_from([50.0, 300.0, 1500.0]))
@@ -69,121 +70,126 @@
         self.run(ms)
 
     @rule(endpoint=st.integers(1, 6), state=st.sampled_from(["in_service", "terminating", "terminated"]))
-    def roster(self, endpoint, state):
-        for pilot in self.pilots:
-            pilot.receive_endpoint_list("partial", [endpoint], state)
+    def update_endpoint(self, endpoint, state):
+        for controller in self.controllers:
+            controller.receive_endpoint_list("partial", [endpoint], state)
 
     @rule(name=st.sampled_from(["p0", "p1", "p2"]), on=st.booleans())
-    def refuse(self, name, on):
-        self.refuses[name] = on
+    def reject(self, name, on):
+        self.rejects[name] = on
 
     @rule(name=st.sampled_from(["p0", "p1", "p2"]))
     def stall(self, name):
         self.stalled = self.stalled ^ {name}
 
-    @rule(name=st.sampled_from(["p0", "p1", "p2"]), pilot=st.integers(0, 1), noticed=st.booleans())
-    def redial(self, name, pilot, noticed):
-        if noticed or self.at[name] == pilot:
-            self.pilots[self.at[name]].proxies[name].leave()
-        if name in self.pilots[pilot].proxies:
-            self.pilots[pilot].proxies[name].leave()
-        self.dial(name, pilot)
+    @rule(name=st.sampled_from(["p0", "p1", "p2"]), index=st.integers(0, 1), notified=st.booleans())
+    def reconnect(self, name, index, notified):
+        if notified or self.controller_of[name] == index:
+            self.controllers[self.controller_of[name]].proxies[name].leave()
+        if name in self.controllers[index].proxies:
+            self.controllers[index].proxies[name].leave()
+        self.connect(name, index)
 
-    @precondition(lambda self: any(self.pilots[at].proxies[name].unread for name, at in self.at.items()))
+    @precondition(
+        lambda self: any(self.controllers[index].proxies[name].unread for name, index in self.controller_of.items())
+    )
     @rule()
     def lose(self):
-        for name, at in self.at.items():
-            proxy = self.pilots[at].proxies[name]
+        for name, index in self.controller_of.items():
+            proxy = self.controllers[index].proxies[name]
             if proxy.unread:
                 proxy.unread.pop(0)
                 return
 
     @invariant()
-    def nothing_counts_as_held_without_a_word(self):
-        for name, at in getattr(self, "at", {}).items():
-            proxy = self.pilots[at].proxies[name]
-            state = self.pilots[at].core.tables.proxies[proxy.number]
+    def acknowledged_versions_are_held(self):
+        for name, index in getattr(self, "controller_of", {}).items():
+            proxy = self.controllers[index].proxies[name]
+            state = self.controllers[index].core.tables.proxies[proxy.number]
             if not state.in_flight_updates:
                 for key, version in state.acknowledged.items():
                     assert self.held[name].get(type_url(key), {}).get(resources.name(key)) == version
 
     def teardown(self):
-        """No more faults: each proxy ends on the newest, what is withdrawn is in nobody's table, none is bare."""
-        if not hasattr(self, "at"):
+        """Without further faults each proxy reaches the desired state, with all ejections and a usable endpoint."""
+        if not hasattr(self, "controller_of"):
             return
-        self.refuses, self.stalled = dict.fromkeys(self.refuses, False), set()
-        self.run(3000.0)  # a lost one is asked after, withdrawals are tried again
-        for pilot in self.pilots:
-            pilot.receive_endpoint_list("partial", [5, 6])
+        self.rejects, self.stalled = dict.fromkeys(self.rejects, False), set()
+        self.run(3000.0)  # Lost updates are probed for, rejected ejections are sent again.
+        for controller in self.controllers:
+            controller.receive_endpoint_list("partial", [5, 6])
         self.run(16000.0)
-        for name, at in self.at.items():
-            proxy = self.pilots[at].proxies[name]
-            tables = self.pilots[at].core.tables
+        for name, index in self.controller_of.items():
+            proxy = self.controllers[index].proxies[name]
+            tables = self.controllers[index].core.tables
             state = tables.proxies[proxy.number]
             for key in tables.desired_keys(proxy.number):
-                want = tables.desired_resource(state, key)
-                if want and key[0] != WEIGHT:
-                    assert self.held[name].get(type_url(key), {}).get(resources.name(key)) == want.version, key
-            out = {key[1] for key in state.acknowledged if key[0] == EJECTED}
-            assert out >= set(tables.ejected)
+                desired = tables.desired_resource(state, key)
+                if desired and key[0] != WEIGHT:
+                    assert self.held[name].get(type_url(key), {}).get(resources.name(key)) == desired.version, key
+            ejected = {key[1] for key in state.acknowledged if key[0] == EJECTED}
+            assert ejected >= set(tables.ejected)
             tables_held = [int(each.rpartition("-")[2]) for each in self.held[name].get(CDS, {})]
-            lines = {key[2] for key in state.acknowledged if key[0] == WEIGHT and key[1] in tables_held}
-            assert lines - out, "bare"
+            weighted = {key[2] for key in state.acknowledged if key[0] == WEIGHT and key[1] in tables_held}
+            assert weighted - ejected, "no usable endpoint"
 
 
-Pilots.TestCase.settings = settings(max_examples=25, stateful_step_count=25, deadline=None, derandomize=True)
+TwoControllers.TestCase.settings = settings(max_examples=25, stateful_step_count=25, deadline=None, derandomize=True)
 
 
-TestPilots = Pilots.TestCase
+TestTwoControllers = TwoControllers.TestCase
 
 
 def test_one_bad_weight_among_many_is_isolated_and_all_others_are_acknowledged():
-    pilot = settled()
-    proxy, state = pilot.proxies["p0"], pilot.core.tables.proxies[0]
+    controller = settled()
+    proxy, state = controller.proxies["p0"], controller.core.tables.proxies[0]
     proxy.rejects = lambda response: any(r.name.endswith("table-0/3") for r in response.resources)
-    apply_update(pilot, lambda tables: [tables.set_weight(0, at, 40.0 + at) for at in range(1, 7)])
-    pilot.run(2000.0, step=50.0)
-    wanted = {at: pilot.core.tables.shared_resource((WEIGHT, 0, at)).version for at in range(1, 7)}
+    apply_update(controller, lambda tables: [tables.set_weight(0, at, 40.0 + at) for at in range(1, 7)])
+    controller.run(2000.0, step=50.0)
+    wanted = {at: controller.core.tables.shared_resource((WEIGHT, 0, at)).version for at in range(1, 7)}
     assert {at for at, version in wanted.items() if state.acknowledged[WEIGHT, 0, at] == version} == {1, 2, 4, 5, 6}
 
 
 def test_a_cluster_rejected_for_a_while_is_acknowledged_later_with_its_table():
-    pilot = MemoryController()
-    proxy = pilot.join("p0")
+    controller = MemoryController()
+    proxy = controller.join("p0")
     proxy.rejects = lambda response: response.type_url == CDS
-    pilot.run(3000.0, step=50.0)
+    controller.run(3000.0, step=50.0)
     assert not proxy.held(CDS) and not proxy.held(RDS)
     proxy.rejects = False
-    pilot.run(9000.0, step=50.0)
-    assert proxy.held(CDS) and proxy.held(RDS) and (CLUSTER, 0) in pilot.core.tables.proxies[0].acknowledged
+    controller.run(9000.0, step=50.0)
+    assert proxy.held(CDS) and proxy.held(RDS) and (CLUSTER, 0) in controller.core.tables.proxies[0].acknowledged
 
 
-def test_acks_of_an_older_stream_on_the_newer_one_count_for_nothing():
-    pilot = settled()
-    proxy = pilot.proxies["p0"]
-    apply_update(pilot, lambda tables: tables.set_weight(0, 3, 55.0))
+def test_acks_for_an_older_stream_are_ignored_on_the_newer_one():
+    controller = settled()
+    proxy = controller.proxies["p0"]
+    apply_update(controller, lambda tables: tables.set_weight(0, 3, 55.0))
     proxy.pump()
     old = proxy.unread.pop(0)
     held = {url: dict(row) for url, row in proxy.versions.items()}
     proxy.leave()
-    again = pilot.join("p0", "a", held)
+    again = controller.join("p0", "a", held)
     again.send(discovery_pb2.DeltaDiscoveryRequest(type_url=LEDS, response_nonce=f"x{old.nonce}"))
-    state = pilot.core.tables.proxies[again.number]
-    assert state.acknowledged[WEIGHT, 0, 3] != pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
-    pilot.run(3000.0)
-    assert again.held(LEDS)[resources.name((WEIGHT, 0, 3))] == pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
+    state = controller.core.tables.proxies[again.number]
+    assert state.acknowledged[WEIGHT, 0, 3] != controller.core.tables.shared_resource((WEIGHT, 0, 3)).version
+    controller.run(3000.0)
+    assert (
+        again.held(LEDS)[resources.name((WEIGHT, 0, 3))]
+        == controller.core.tables.shared_resource((WEIGHT, 0, 3)).version
+    )
 
 
-def test_reported_versions_with_other_contents_are_not_taken_for_ours():
-    """A pilot that counted versions handed out 1, 2, 3 before this one started over."""
-    pilot = MemoryController()
+def test_reported_versions_of_other_contents_are_not_treated_as_current():
+    """An earlier controller counted its versions 1, 2, 3; an equal version must not stand for equal contents."""
+    controller = MemoryController()
     counted = {
         CDS: {"table-0": "1"}, EDS: {"table-0": "2"}, RDS: {"exchanges": "3"},
         LEDS: {resources.name((WEIGHT, 0, at)): str(at) for at in range(1, 7)},
     }  # fmt: skip
-    proxy = pilot.join("p0", "a", counted)
-    pilot.run(3000.0)
-    tables = pilot.core.tables
+    proxy = controller.join("p0", "a", counted)
+    controller.run(3000.0)
+    tables = controller.core.tables
     assert all(
         proxy.held(type_url(key))[resources.name(key)] == tables.desired_resource(tables.proxies[0], key).version
         for key in tables.desired_keys(0)
@@ -191,14 +197,14 @@
 
 
 @pytest.mark.parametrize("late", [True, False])
-def test_a_version_that_returns_is_the_newest_all_the_same(late):
-    """A, then B, then A: the word on the first A is no word on the second, and B is not taken for the last."""
-    pilot = settled()
-    proxy, state = pilot.proxies["p0"], pilot.core.tables.proxies[0]
+def test_a_version_that_is_sent_again_after_another_is_the_newest(late):
+    """A, then B, then A: the ack of the first A does not count for the second, and B is not treated as the newest."""
+    controller = settled()
+    proxy, state = controller.proxies["p0"], controller.core.tables.proxies[0]
     for weight in (55.0, 66.0, 55.0):
-        apply_update(pilot, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
+        apply_update(controller, lambda tables, weight=weight: tables.set_weight(0, 3, weight))
         proxy.pump()
-    wanted = pilot.core.tables.shared_resource((WEIGHT, 0, 3)).version
+    wanted = controller.core.tables.shared_resource((WEIGHT, 0, 3)).version
     if late:
         proxy.read(1)
         assert (WEIGHT, 0, 3) in state.in_flight
