--- a/quillstep/replay/__init__.py
+++ b/quillstep/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replaying a day: the captured news through the real pilot on a virtual clock."""
+"""Replays of recorded scenarios on a virtual clock, with the decision code of a real controller."""
--- a/quillstep/replay/comparison.py
+++ b/quillstep/replay/comparison.py
@@ -1,6 +1,6 @@
 """Compares replays of a recorded scenario with and without a change of settings, over the same seeds.
 
-A comparison counts only where the replay without any change comes near to what was measured.
+A comparison is meaningful only if the replay without any change comes close to what was measured.
 """
 
 from collections import defaultdict
@@ -13,25 +13,26 @@
 from quillstep.replay.whatif import ReplayOutcome, infer_from, play
 from quillstep.testbed.scenarios.service_quality import earned_share, service_quality
 
-MAX_REPLAY_ERROR = 0.03  # of service, between measured and replayed, up to which a comparison counts
+MAX_REPLAY_ERROR = 0.03  # Largest error of replayed service at which a comparison is meaningful.
 WINDOW_MS = 1000.0
-SHOWN_VIOLATIONS = 5
+MAX_REPORTED_VIOLATIONS = 5
 
 
 def compare(recorded: RecordedScenario, against: dict[str, Any], change: dict[str, Any], seeds: int) -> dict[str, Any]:
-    """Compares one change of settings with another, seed by seed.
+    """Compares two changes of settings over the same seeds.
 
     Args:
         recorded: The recorded scenario.
-        against: The change to compare with, values by path in the controllers' settings; empty: none.
-        change: The change.
-        seeds: The number of replays of each.
+        against: The change to compare with, as values by path in the controllers' settings; empty for the recorded
+            settings.
+        change: The change to evaluate, in the same form.
+        seeds: The number of replays with each change.
 
     Returns:
-        The comparison as it is printed.
+        The comparison, with the keys that `quillstep replay compare` prints.
 
     Raises:
-        ConfigError: A change is not valid.
+        ConfigError: A change is invalid.
     """
     inferred, held_out = infer_from(recorded)
 
@@ -65,7 +66,7 @@
 def _compare_runs(
     recorded: RecordedScenario, measured: dict[str, Any], runs: dict[str, list[ReplayOutcome]]
 ) -> dict[str, Any]:
-    """The parts of a comparison that are told run by run."""
+    """Returns the parts of a comparison that have a value for each run."""
     fleet = recorded.incarnations[0].settings.fleet
 
     def with_measured(function: Callable[[FleetSettings, list[Row]], Any]) -> dict[str, Any]:
@@ -80,7 +81,7 @@
         "lost_by_cause": with_measured(lost_by_cause),
         "changed_fate": changed_outcomes(fleet, runs["against"][0].requests, other.requests),
         "rules_broken": {run: max(len(each.violations) for each in outcomes) for run, outcomes in runs.items()},
-        "breaks": [violation.to_row() for violation in other.violations[:SHOWN_VIOLATIONS]],
+        "breaks": [violation.to_row() for violation in other.violations[:MAX_REPORTED_VIOLATIONS]],
         "digests": {run: [each.digest for each in outcomes] for run, outcomes in runs.items()},
     }
 
@@ -95,7 +96,7 @@
 
 
 def service_by_window(fleet: FleetSettings, requests: list[Row]) -> list[float]:
-    """Service of each window of `WINDOW_MS`, from the first request on; 1 where nothing was offered."""
+    """Returns service in each window of `WINDOW_MS` from the first request on; 1 in a window without requests."""
     classes = {class_.name: class_ for class_ in fleet.classes}
     begin_ms = min((row["at"] for row in requests), default=0.0)
     offered: dict[int, float] = defaultdict(float)
@@ -110,7 +111,7 @@
 
 
 def lost_by_cause(fleet: FleetSettings, requests: list[Row]) -> dict[str, float]:
-    """The share of the offered priority weight that was lost to each cause."""
+    """Returns the share of the offered priority weight that was lost to each cause."""
     classes = {class_.name: class_ for class_ in fleet.classes}
     offered = sum(classes[row["class"]].priority_weight for row in requests) or 1.0
     lost: dict[str, float] = defaultdict(float)
@@ -122,7 +123,7 @@
 
 
 def cause_of_loss(class_: ClassSettings, row: Row) -> str:
-    """What cost a request its priority weight, or part of it; empty where it earned all."""
+    """Returns why a request did not earn its full priority weight; empty if it did."""
     if earned_share(class_, row).share == 1.0:
         return ""
     if row["outcome"] == "ok":
@@ -133,24 +134,24 @@
 
 
 def changed_outcomes(fleet: FleetSettings, before: list[Row], after: list[Row]) -> dict[str, int]:
-    """The numbers of requests that are answered in time after and not before, and the other way around."""
+    """Counts the requests answered in time only after the change (`won`) and only before it (`lost`)."""
     in_time_before, in_time_after = answered_in_time(fleet, before), answered_in_time(fleet, after)
     return {"won": len(in_time_after - in_time_before), "lost": len(in_time_before - in_time_after)}
 
 
 def answered_in_time(fleet: FleetSettings, requests: list[Row]) -> set[str]:
-    """The identifiers of the requests that earned all."""
+    """Returns the identifiers of the requests that earned their full priority weight."""
     classes = {class_.name: class_ for class_ in fleet.classes}
     return {row["exchange"] for row in requests if earned_share(classes[row["class"]], row).share == 1.0}
 
 
 def mean(values: Iterable[float]) -> float:
-    """The arithmetic mean; there must be at least one value."""
-    found = list(values)
-    return sum(found) / len(found)
+    """Returns the arithmetic mean of at least one value."""
+    items = list(values)
+    return sum(items) / len(items)
 
 
 def standard_deviation(values: list[float]) -> float:
-    """The sample standard deviation; 0 of a single value."""
+    """Returns the sample standard deviation; 0 for a single value."""
     average = mean(values)
     return float((sum((value - average) ** 2 for value in values) / max(1, len(values) - 1)) ** 0.5)
--- a/quillstep/replay/endpoint_model.py
+++ b/quillstep/replay/endpoint_model.py
@@ -1,4 +1,4 @@
-"""An endpoint in virtual time: cores with a queue, connections, warming up, and hidden conditions as inferred."""
+"""A model of an endpoint in virtual time: cores with a queue, connections, warm-up, inferred hidden conditions."""
 
 import heapq
 from collections import deque
@@ -14,7 +14,7 @@
 
 
 class BusySpan(NamedTuple):
-    """When a core worked; milliseconds."""
+    """A span in which a core was busy; milliseconds."""
 
     begin_ms: float
     end_ms: float
@@ -24,9 +24,9 @@
     """What a proxy observes of an attempt.
 
     Attributes:
-        result: `ok`, or what went wrong, as in the recorded attempts.
-        ended_ms: When the proxy knows.
-        was_executed: Whether the endpoint did the work.
+        result: `ok` or the kind of failure, as in recorded attempts.
+        ended_ms: When the proxy learns the result.
+        was_executed: Whether the endpoint executed the request.
     """
 
     result: str
@@ -35,7 +35,7 @@
 
 
 class HealthCheckOutcome(NamedTuple):
-    """The answer to a health check; `load` is empty where there was none."""
+    """The result of a health check; `load` is empty if the endpoint did not answer."""
 
     is_healthy: bool
     took_ms: float
@@ -43,14 +43,14 @@
 
 
 class ModelledEndpoint:
-    """An endpoint whose cores take work in sequence.
+    """An endpoint whose cores execute work in order of arrival.
 
     Args:
         number: The endpoint's number.
         row: Its entry in the recorded fleet.
         fleet: The fleet's settings.
         inferred: Speeds and conditions of endpoints.
-        draw: Gives random numbers from 0 up to 1.
+        draw: Returns a random number in [0, 1).
     """
 
     def __init__(
@@ -72,15 +72,15 @@
         self._busy: deque[BusySpan] = deque()
         self._max_connections: int = row.get("connections_most", UNLIMITED_CONNECTIONS)
         self._connect_work_ms: float = row.get("connect_work_ms", 0.0)
-        self._idle_since_ms: dict[str, list[float]] = {}  # Idle connections by proxy.
+        self._idle_since_ms: dict[str, list[float]] = {}  # Of each idle connection, by proxy.
         self._connections_in_use = 0
 
     def unreachable_share(self, now_ms: float) -> float:
-        """The share of attempts that get no connection in the endpoint's hidden condition."""
+        """Returns the share of attempts that get no connection in the endpoint's hidden condition."""
         return self._inferred.condition_at(self.number, now_ms).unreachable
 
     def connect(self, proxy: str, now_ms: float) -> bool:
-        """Takes an idle connection of a proxy or opens one; False where the limit is reached."""
+        """Reuses an idle connection of a proxy or opens one; returns False if the connection limit is reached."""
         keep_alive_ms = self._fleet.proxies.keep_alive_ms
         idle = self._idle_since_ms.get(proxy)
         while idle:
@@ -96,13 +96,13 @@
         return True
 
     def release(self, proxy: str, now_ms: float, is_reusable: bool) -> None:
-        """Ends the use of a connection; one that broke or timed out is closed."""
+        """Ends the use of a connection, which stays open if it is reusable; one that failed or timed out is not."""
         self._connections_in_use -= 1
         if is_reusable:
             self._idle_since_ms.setdefault(proxy, []).append(now_ms)
 
     def load(self, now_ms: float) -> dict[str, float]:
-        """Utilization of the cores and requests a second, over the last `LOAD_WINDOW_MS`."""
+        """Returns the utilization of the cores and requests per second over the last `LOAD_WINDOW_MS`."""
         since_ms = now_ms - LOAD_WINDOW_MS
         while self._busy and self._busy[0].end_ms < since_ms:
             self._busy.popleft()
@@ -130,7 +130,7 @@
         return AttemptOutcome("ok", end_ms + NETWORK_MS, True)
 
     def check_health(self, now_ms: float, timeout_ms: float) -> HealthCheckOutcome:
-        """Answers a health check."""
+        """Runs a health check; returns its result."""
         condition = self._inferred.condition_at(self.number, now_ms)
         if self._draw() < max(condition.unreachable, condition.unresponsive):
             is_timeout = condition.unresponsive > condition.unreachable
@@ -148,7 +148,7 @@
             self._idle_since_ms[proxy] = [since_ms for since_ms in idle if now_ms - since_ms < keep_alive_ms]
 
     def _warm_share(self, now_ms: float) -> float:
-        """The share of the usual speed, which rises while the endpoint warms up."""
+        """Returns the current share of the usual speed, which rises linearly during warm-up."""
         rules = self._fleet.rules
         if not self.started_ms:
             return 1.0
@@ -156,7 +156,7 @@
         return min(1.0, initial + (1.0 - initial) * max(0.0, now_ms - self.started_ms) / rules.warm_up_ms)
 
     def _run(self, work_ms: float, now_ms: float, slowdown: float) -> float:
-        """Queues work for the core that is free first; returns when it is done."""
+        """Queues work on the core that is free first; returns when the work ends, in milliseconds."""
         begin_ms = max(now_ms, self._core_free_ms[0])
         end_ms = begin_ms + work_ms * slowdown / (self.speed * self._warm_share(now_ms))
         heapq.heapreplace(self._core_free_ms, end_ms)
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -1,7 +1,7 @@
-"""The faithful replay: a recorded incarnation through the same decision loop, whose output must be identical.
+"""The faithful replay: runs a recorded incarnation through the decision loop and requires identical output.
 
-The clock is the recording's, the transport accepts whatever is sent, the seed is that of the settings.  The first
-difference is reported with its control interval and the events since the interval before.
+Time comes from the recording, the transport accepts every message, and the seed is that of the settings.  The first
+difference is reported with its control interval and the events since the previous one.
 """
 
 import sys
@@ -27,18 +27,18 @@
 
 
 class UnexpectedFileEventError(QuillstepError):
-    """A file front published an event of its own, although a replay takes all events from the recording."""
+    """A file front published an event of its own; in a replay all events come from the recording."""
 
 
 class ReplayedPeer(Peer):
-    """A connection of a recording: accepts all messages, and its buffer is full when it was full then."""
+    """A connection in a replay: accepts all messages; its send buffer is full when the recorded one was."""
 
     def __init__(self, number: int) -> None:
         self.number, self.is_full = number, False
-        self.last_received_ms = 0.0  # Decides nothing: it is only logged with late acknowledgements.
+        self.last_received_ms = 0.0  # Only logged, with late acknowledgements; no decision depends on it.
 
     def unsent_bytes(self) -> int:
-        """Returns a size above any limit where the buffer was full, 0 elsewhere."""
+        """Returns a size above any limit if the buffer is full, otherwise 0."""
         return sys.maxsize if self.is_full else 0
 
     def send(self, stream: int, message: bytes) -> bool:
@@ -46,7 +46,7 @@
         return True
 
     def close(self, reason: str) -> None:
-        """Does nothing: the end of the connection is an event of the recording."""
+        """Does nothing: the recording has an event for the closed connection."""
 
 
 class ReplayedServer(Server):
@@ -56,11 +56,11 @@
         """Opens no socket."""
 
     def finish(self, peer: Peer, stream: int, status: int, text: str) -> None:
-        """Does nothing: the end of the stream is an event of the recording."""
+        """Does nothing: the recording has an event for the closed stream."""
 
 
 class ReplayedDisk(Disk):
-    """A disk that is never accessed: what was read and written are events of the recording."""
+    """A disk that is never accessed: reads and writes are events of the recording."""
 
     def __init__(self) -> None:
         self.root = ""
@@ -75,7 +75,7 @@
         records: The number of records replayed.
         span_ms: The recorded time between the first and the last of them.
         digest: A hash over the planner's output in all control intervals.
-        difference: The first difference with its circumstances; empty where there was none.
+        difference: The first difference and its context; empty if there was none.
         sent: The number of messages sent.
     """
 
@@ -88,7 +88,7 @@
 
     @property
     def is_identical(self) -> bool:
-        """Whether all output was that of the recording."""
+        """Whether all output equals the recorded output."""
         return not self.difference
 
 
@@ -158,7 +158,7 @@
             self._full_peers = full_peers
 
     def _collect_pending_generations(self) -> None:
-        """Takes what the file front submitted to its writer, which has no thread here."""
+        """Collects what the file front submitted to its writer, whose thread does not run in a replay."""
         if self._loop.files:
             queue = self._loop.files.writer.queue
             while not queue.empty():
@@ -175,8 +175,8 @@
         if self._core.completed_intervals != interval:
             self._set_difference(at_ms, interval, f"round {interval}", f"round {self._core.completed_intervals}")
         elif replayed != recorded:
-            place = _first_difference(replayed, recorded)
-            self._set_difference(at_ms, interval, _item_at(recorded, place), _item_at(replayed, place))
+            index = _first_difference(replayed, recorded)
+            self._set_difference(at_ms, interval, _item_at(recorded, index), _item_at(replayed, index))
         self._recent_events = []
 
     def _set_difference(self, at_ms: float, interval: int, recorded: Any, replayed: Any) -> None:
@@ -196,22 +196,22 @@
 
 
 def _reject_file_event(event: FileEvent) -> None:
-    raise UnexpectedFileEventError(f"a replay starts no threads, but one published {event!r}")
+    raise UnexpectedFileEventError(f"file front published an event during a replay: {event!r}")
 
 
 def _as_recorded(output: list[list[Any]]) -> list[list[Any]]:
-    """The planner's output as a recording holds it: tuples become lists."""
+    """Returns the planner's output in its recorded form: tuples become lists."""
     decoded: list[list[Any]] = msgspec.msgpack.decode(msgspec.msgpack.encode(output))
     return decoded
 
 
 def _first_difference(replayed: list[list[Any]], recorded: list[list[Any]]) -> int:
-    """The place of the first item that differs; the shorter length where one list begins the other."""
-    for place, (one, other) in enumerate(zip(replayed, recorded, strict=False)):
+    """Returns the index of the first item that differs; the shorter length if one list is a prefix of the other."""
+    for index, (one, other) in enumerate(zip(replayed, recorded, strict=False)):
         if one != other:
-            return place
+            return index
     return min(len(replayed), len(recorded))
 
 
-def _item_at(items: list[list[Any]], place: int) -> list[Any] | str:
-    return items[place] if place < len(items) else NO_OUTPUT
+def _item_at(items: list[list[Any]], index: int) -> list[Any] | str:
+    return items[index] if index < len(items) else NO_OUTPUT
--- a/quillstep/replay/inference.py
+++ b/quillstep/replay/inference.py
@@ -1,9 +1,9 @@
-"""Infers speeds and hidden faults of endpoints from the recorded attempts there.  No I/O.
+"""Infers speeds and hidden conditions of endpoints from recorded attempts.  No I/O.
 
-Speeds follow from the quickest responses: one that waited for nothing took its work divided by the speed.  A slowdown
-is what the queue of known work at that speed does not explain.  Hidden conditions (unreachable, unresponsive, failing,
-slow) are estimated in spans of half a second from the attempts that began in them.  What one half of the attempts
-says is validated on the other half.
+The speed follows from the fastest responses: a response that was not queued took its work divided by the speed.  A
+slowdown is response time that queueing behind the recorded work at that speed does not explain.  Hidden conditions
+(unreachable, unresponsive, failing, slow) are estimated in spans of half a second from the attempts that began in
+them.  Estimates from one half of the attempts are validated on the other half.
 """
 
 import heapq
@@ -16,9 +16,9 @@
 from quillstep.config.fleet import ClassSettings
 
 SPAN_MS = 500.0
-QUICK_QUANTILE = 0.1
+FAST_RESPONSE_QUANTILE = 0.1
 MIN_MS_PER_WORK_MS = 0.05
-MIN_SLOWDOWN = 1.6  # Below it, a span counts as running at the usual speed.
+MIN_SLOWDOWN = 1.6  # A span with a smaller slowdown is treated as running at the usual speed.
 NETWORK_MS = 1.0
 UNREACHABLE, ERROR, OK = "no connection", "error", "ok"
 UNANSWERED = ("time-out", "reset")
@@ -31,7 +31,7 @@
         unreachable: The share of attempts that get no connection.
         unresponsive: The share of attempts that get no response.
         failing: The share of attempts that get an error.
-        slowdown: How many times longer than usual work takes.
+        slowdown: The duration of work, as a multiple of the usual duration.
     """
 
     unreachable: float = 0.0
@@ -53,7 +53,7 @@
 
 
 class ExpectedAttempt(NamedTuple):
-    """An attempt, and how long it should have taken at the endpoint's usual speed."""
+    """An attempt and its expected duration at the endpoint's usual speed."""
 
     attempt: EndpointAttempt
     expected_ms: float
@@ -61,12 +61,12 @@
 
 @dataclass(slots=True)
 class InferredEndpoints:
-    """What recorded attempts say of endpoints.
+    """Speeds and conditions of endpoints, inferred from recorded attempts.
 
     Attributes:
-        speeds: Work done in a unit of time on one core, by endpoint.
+        speeds: Work that one core does per unit of time, by endpoint.
         conditions: Conditions by endpoint and span.
-        spans: The spans, rising, in which an endpoint had attempts.
+        spans: The spans in which an endpoint had attempts, ascending, by endpoint.
     """
 
     speeds: dict[int, float] = field(default_factory=dict)
@@ -74,31 +74,31 @@
     spans: dict[int, list[int]] = field(default_factory=dict)
 
     def condition_at(self, endpoint: int, at_ms: float) -> EndpointCondition:
-        """The condition then; where nothing was observed, the last one before."""
+        """Returns the condition at a time: that of the last span with attempts, healthy before the first one."""
         spans = self.spans.get(endpoint)
         if not spans:
             return HEALTHY
-        place = bisect_right(spans, int(at_ms // SPAN_MS)) - 1
-        return self.conditions[endpoint][spans[place]] if place >= 0 else HEALTHY
+        index = bisect_right(spans, int(at_ms // SPAN_MS)) - 1
+        return self.conditions[endpoint][spans[index]] if index >= 0 else HEALTHY
 
 
 def attempts_by_endpoint(
     requests: list[dict[str, Any]], classes: dict[str, ClassSettings], endpoints_by_address: dict[str, int]
 ) -> dict[int, list[EndpointAttempt]]:
-    """All attempts of recorded requests at known endpoints, in time."""
-    found: dict[int, list[EndpointAttempt]] = defaultdict(list)
+    """Returns the recorded attempts at each known endpoint, sorted by time."""
+    by_endpoint: dict[int, list[EndpointAttempt]] = defaultdict(list)
     for row in requests:
         for address, sent_ms, ended_ms, result, _ in row["tries"]:
             if address in endpoints_by_address:
                 attempt = EndpointAttempt(sent_ms, ended_ms, result, classes[row["class"]])
-                found[endpoints_by_address[address]].append(attempt)
-    for attempts in found.values():
+                by_endpoint[endpoints_by_address[address]].append(attempt)
+    for attempts in by_endpoint.values():
         attempts.sort(key=lambda attempt: attempt.sent_ms)
-    return found
+    return by_endpoint
 
 
 def infer_endpoints(attempts: dict[int, list[EndpointAttempt]], cores: dict[int, int]) -> InferredEndpoints:
-    """Infers speeds and conditions from attempts, sorted by time, and the numbers of cores (1 where unknown)."""
+    """Infers speeds and conditions from attempts, sorted by time, and the numbers of cores (1 if unknown)."""
     inferred = InferredEndpoints()
     for endpoint, rows in attempts.items():
         inferred.speeds[endpoint] = estimate_speed(rows)
@@ -112,7 +112,7 @@
 
 
 def estimate_speed(attempts: list[EndpointAttempt]) -> float:
-    """Work done in a unit of time on one core, from the quickest responses; 1 where there are none."""
+    """Returns the work that one core does per unit of time, from the fastest responses; 1 without responses."""
     ratios = sorted(
         (attempt.ended_ms - attempt.sent_ms - NETWORK_MS) / attempt.request_class.work_ms
         for attempt in attempts
@@ -120,11 +120,11 @@
     )
     if not ratios:
         return 1.0
-    return 1.0 / max(MIN_MS_PER_WORK_MS, ratios[int(QUICK_QUANTILE * len(ratios))])
+    return 1.0 / max(MIN_MS_PER_WORK_MS, ratios[int(FAST_RESPONSE_QUANTILE * len(ratios))])
 
 
 def expected_durations_ms(attempts: list[EndpointAttempt], speed: float, cores: int) -> list[float]:
-    """How long each attempt should have taken: queued behind the attempts before it, at the usual speed."""
+    """Returns the expected duration of each attempt, queued behind the earlier ones, at the usual speed."""
     free_at_ms = [0.0] * cores
     durations = []
     for attempt in attempts:
@@ -138,7 +138,7 @@
 
 
 def estimate_condition(attempts: list[ExpectedAttempt]) -> EndpointCondition:
-    """The condition that explains the attempts of one span."""
+    """Returns the condition that explains the attempts of one span."""
     results = [row.attempt.result for row in attempts]
     count = len(results)
     ratios = sorted(
@@ -156,11 +156,11 @@
 
 
 class Prediction(NamedTuple):
-    """What the inferred condition predicts of one attempt.
+    """How well the inferred condition predicts one attempt.
 
     Attributes:
-        is_correct: Whether success or failure was predicted.
-        time_error: The relative error of the duration, of attempts that succeeded as predicted.
+        is_correct: Whether the predicted success or failure occurred.
+        time_error: The relative error of the duration; None unless the attempt succeeded as predicted.
     """
 
     is_correct: bool
@@ -168,10 +168,10 @@
 
 
 def held_out_error(attempts: dict[int, list[EndpointAttempt]], cores: dict[int, int]) -> dict[str, float]:
-    """Infers from every other attempt and predicts the rest.
+    """Infers conditions from every second attempt and predicts the others.
 
     Returns:
-        `told_apart`, the share of successes and failures predicted; `time_error_median`, the median relative error of
+        `told_apart`, the share of attempts predicted correctly; `time_error_median`, the median relative error of
         durations; `tries`, the number of attempts predicted.
     """
     inferred = infer_endpoints({endpoint: rows[::2] for endpoint, rows in attempts.items()}, cores)
--- a/quillstep/replay/modelled_scenario.py
+++ b/quillstep/replay/modelled_scenario.py
@@ -1,4 +1,4 @@
-"""What the parts of a replayed scenario share: the clock, the endpoints, and the requests as they went."""
+"""State shared by the parts of a what-if replay: the clock, the endpoints, and the requests with their outcomes."""
 
 import random
 from typing import Any, NamedTuple
@@ -7,7 +7,7 @@
 from quillstep.replay.endpoint_model import ModelledEndpoint
 from quillstep.replay.virtual_clock import VirtualClock
 
-Row = dict[str, Any]  # a request as proxies record it
+Row = dict[str, Any]  # A request as proxies record it.
 
 
 class ServedRequest(NamedTuple):
@@ -46,9 +46,9 @@
         self.endpoints_by_address[endpoint.address] = endpoint
 
     def is_duplicate(self, request_class: ClassSettings, request: str, now_ms: float) -> bool:
-        """Whether endpoints drop this attempt as a duplicate; a first one is remembered.
+        """Returns whether endpoints drop this attempt as a duplicate; otherwise records it as executed.
 
-        The endpoints that know of each other's executions are taken to be all of them.
+        Assumes that all endpoints share their record of executions, whatever the idempotency scope.
         """
         if request_class.semantics != "keyed":
             return False
@@ -60,5 +60,5 @@
 
 
 def seeded(*parts: object) -> random.Random:
-    """A random generator of its own for each combination of parts."""
+    """Returns a random generator whose seed is the combination of parts."""
     return random.Random(" ".join(str(part) for part in parts))
--- a/quillstep/replay/proxy_model.py
+++ b/quillstep/replay/proxy_model.py
@@ -1,7 +1,7 @@
-"""A proxy in virtual time that does what its tables say.
+"""A model of a proxy in virtual time, driven by its tables.
 
-Modelled: selection evenly by weight, local ejection, admission, retries, and load reports.  Not modelled: the proxy's
-own processor time and its stalls.
+Modelled: weighted round robin, local ejection, admission, retries, and load reports.  Not modelled: the proxy's own
+processor time and its stalls.
 """
 
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 from quillstep.replay.proxy_tables import ProxyTables
 from quillstep.routing.retry_policies import IDEMPOTENT_RETRY_POLICY, MAX_RETRY_POLICY
 
-INITIAL_TABLE = -1  # the table that a proxy starts with, before it has one of a controller
-BUCKET_MS = 250.0  # how much of its rate a token bucket holds
-MIN_RETRY_TIME_SHARE = 0.1  # of the latency objective: with less time left no retry is begun
+INITIAL_TABLE = -1  # The table that a proxy uses until it gets one from a controller.
+BUCKET_MS = 250.0  # Capacity of a token bucket, as time at its rate.
+MIN_RETRY_TIME_SHARE = 0.1  # Share of the latency objective; no retry is started with less time left.
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A rate limit; it is full at first."""
+    """A token bucket, full at first."""
 
     rate_per_s: float
     capacity: float
@@ -32,12 +32,12 @@
 
     @classmethod
     def full(cls, rate_per_s: float, now_ms: float) -> "TokenBucket":
-        """A full bucket of a rate; it holds at least one token."""
+        """Returns a full bucket for a rate, with a capacity of at least one token."""
         capacity = max(1.0, round(rate_per_s * BUCKET_MS / 1000.0))
         return cls(rate_per_s, capacity, capacity, now_ms)
 
     def take(self, now_ms: float) -> bool:
-        """Takes a token, if there is one."""
+        """Takes a token; returns False if there is none."""
         refill = (now_ms - self.refilled_ms) * self.rate_per_s / 1000.0
         self.tokens = min(self.capacity, self.tokens + refill)
         self.refilled_ms = now_ms
@@ -69,13 +69,13 @@
 
 
 class ModelledProxy:
-    """A proxy.
+    """A modelled proxy.
 
     Args:
         name: The proxy's name.
         row: Its entry in the recorded fleet.
-        scenario: What it shares with the other parts of the replay.
-        draw: Gives random numbers from 0 up to 1.
+        scenario: The state shared with the other parts of the replay.
+        draw: Returns a random number in [0, 1).
     """
 
     def __init__(self, name: str, row: dict[str, Any], scenario: ModelledScenario, draw: Callable[[], float]) -> None:
@@ -85,17 +85,17 @@
         self.tables = ProxyTables()
         self._scenario, self._draw = scenario, draw
         self._initial_weights = {f"{host}:{port}": 1.0 for host, port in row["standing"]}
-        self._turns: dict[int, dict[str, float]] = {}  # Of smooth weighted round robin: by table and address.
+        self._current_weights: dict[int, dict[str, float]] = {}  # Of smooth weighted round robin, by table and address.
         self._consecutive_failures: dict[str, int] = {}
         self._ejected_until_ms: dict[str, float] = {}
         self._buckets: dict[int, TokenBucket] = {}
-        self._upstream: dict[str, EndpointRow] = {}  # Since the last report, as are the arrivals.
+        self._upstream: dict[str, EndpointRow] = {}  # Since the last report, like the arrivals.
         self._arrivals: dict[int, ClassArrivals] = {}
         self._reported_ms = scenario.clock.now_ms
         self._report_count = 0
 
     def receive_request(self, recorded: Row) -> None:
-        """Takes in a request, which arrives now."""
+        """Handles a request that arrives now."""
         now_ms = self._scenario.clock.now_ms
         class_index = self._scenario.class_indices[recorded["class"]]
         self._arrivals_of(class_index).arrived += 1
@@ -113,7 +113,7 @@
             self._begin_attempt(request, class_index, 0, set())
 
     def take_load_report(self) -> LoadReport:
-        """Returns the report of the window that ends now; the next window begins."""
+        """Returns the load report of the window that ends now, and starts the next window."""
         now_ms = self._scenario.clock.now_ms
         window_ms, self._reported_ms = now_ms - self._reported_ms, now_ms
         self._report_count += 1
@@ -144,7 +144,7 @@
         return bucket.take(now_ms)
 
     def _choose_endpoint(self, class_index: int, tried: set[str], now_ms: float) -> str | None:
-        """The next endpoint of a class's table; a locally ejected one only where no other is left."""
+        """Returns the next endpoint of a class's table; a locally ejected one only if no other is usable."""
         route = self.tables.routes.get(class_index)
         table, weights = INITIAL_TABLE, self._initial_weights
         if route is not None and route.table in self.tables.weights:
@@ -154,19 +154,19 @@
         preferred = {
             address: weight for address, weight in usable.items() if self._ejected_until_ms.get(address, 0.0) <= now_ms
         }
-        return self._next_in_turn(table, preferred or usable)
+        return self._select_by_weight(table, preferred or usable)
 
-    def _next_in_turn(self, table: int, weights: dict[str, float]) -> str | None:
-        """Smooth weighted round robin; an endpoint that is new to a table begins at a random turn."""
+    def _select_by_weight(self, table: int, weights: dict[str, float]) -> str | None:
+        """Selects by smooth weighted round robin; an endpoint new to a table starts at a random position."""
         if not weights:
             return None
-        turns = self._turns.setdefault(table, {})
+        current_weights = self._current_weights.setdefault(table, {})
         for address, weight in weights.items():
-            turn = turns.get(address)
-            turns[address] = self._draw() * weight + weight if turn is None else turn + weight
-        chosen = max(weights, key=turns.__getitem__)
-        turns[chosen] -= sum(weights.values())
-        return chosen
+            current = current_weights.get(address)
+            current_weights[address] = self._draw() * weight + weight if current is None else current + weight
+        selected = max(weights, key=current_weights.__getitem__)
+        current_weights[selected] -= sum(weights.values())
+        return selected
 
     def _begin_attempt(self, request: Row, class_index: int, retries: int, tried: set[str]) -> None:
         now_ms = self._scenario.clock.now_ms
@@ -186,7 +186,7 @@
         self._scenario.clock.call_at(outcome.ended_ms, self._end_attempt, attempt, outcome.result)
 
     def _send(self, attempt: Attempt) -> AttemptOutcome:
-        """What becomes of an attempt that is sent now."""
+        """Sends an attempt now; returns its outcome."""
         scenario, now_ms = self._scenario, attempt.sent_ms
         endpoint = scenario.endpoints_by_address[attempt.address]
         if self._draw() < endpoint.unreachable_share(now_ms):
@@ -201,7 +201,7 @@
         return outcome
 
     def _deadline_ms(self, attempt: Attempt) -> float:
-        """Until when an attempt may last: the request's deadline, or the attempt timeout where a retry may follow."""
+        """Returns when an attempt times out: at the request's deadline, or earlier if a retry may follow."""
         fleet = self._scenario.fleet
         class_ = fleet.classes[attempt.class_index]
         deadline_ms: float = attempt.request["at"] + class_.deadline_ms
@@ -241,7 +241,7 @@
         return self._arrivals.setdefault(class_index, ClassArrivals(class_index, 0, 0))
 
     def _count(self, address: str, is_success: bool, took_ms: float, now_ms: float) -> None:
-        """Counts an attempt for the report; some failures in a row eject an endpoint locally."""
+        """Counts an attempt for the load report; consecutive failures eject the endpoint locally."""
         number = self._scenario.endpoints_by_address[address].number
         row = self._upstream.setdefault(address, EndpointRow(number, 0, 0, 0.0, None))
         if is_success:
@@ -259,7 +259,7 @@
 
 
 def max_retries(retry_policy: int) -> int:
-    """The number of retries that a policy allows."""
+    """Returns the number of retries that a policy allows."""
     if retry_policy == MAX_RETRY_POLICY:
         return 2
     return 1 if retry_policy else 0
--- a/quillstep/replay/proxy_tables.py
+++ b/quillstep/replay/proxy_tables.py
@@ -1,4 +1,4 @@
-"""What a modelled proxy holds of its controller's resources."""
+"""The resources that a modelled proxy holds."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class Route(NamedTuple):
-    """How a proxy treats a class; `limit_per_s` is None where requests are not limited by a rate."""
+    """The route of a class; `limit_per_s` is None if there is no rate limit."""
 
     table: int
     limit_per_s: float | None
@@ -15,7 +15,7 @@
 
 
 class ProxyTables:
-    """Tables, routes and ejected endpoints, as the changes that arrived made them.
+    """Tables, routes and ejected endpoints after the changes applied so far.
 
     Attributes:
         weights: Weights by address, by table.
@@ -29,7 +29,7 @@
         self.routes: dict[int, Route] = {}
         self.admitted_shares: dict[int, dict[int, float]] = {}
         self.versions: dict[Key, str] = {}
-        self._addresses: dict[Key, str] = {}  # Of weights, for their removal.
+        self._addresses: dict[Key, str] = {}  # By key of the weight, to remove it later.
         self._ejected: dict[int, str] = {}
 
     @property
@@ -38,7 +38,7 @@
         return set(self._ejected.values())
 
     def apply(self, changes: list[Change]) -> None:
-        """Applies changes in sequence."""
+        """Applies changes in order."""
         for key, resource in changes:
             if resource:
                 self.versions[key] = resource.version
--- a/quillstep/replay/recorded_scenario.py
+++ b/quillstep/replay/recorded_scenario.py
@@ -1,7 +1,7 @@
 """Reads a recorded scenario: controllers' incarnations, requests and attempts, endpoints and proxies.
 
-The folder is one arm of a played scenario with recordings.  Its `fleet.json` holds what operators know of their
-machines (zone, cores, address) and of their proxies (zone, initial table), not how fast anything really is.
+The folder is one arm of a scenario that was played with recordings.  Its `fleet.json` holds what operators know about
+endpoints (zone, cores, address) and proxies (zone, initial table), not how fast endpoints really are.
 """
 
 import shutil
@@ -18,11 +18,11 @@
 from quillstep.recording import Incarnation, Record, read_incarnations, read_records, recorded_settings
 from quillstep.xds.server import LOAD
 
-MAX_CLOCK_DIFFERENCE_MS = 50.0  # Clocks that differ by no more count as one.
+MAX_CLOCK_DIFFERENCE_MS = 50.0  # Offsets that differ by at most this belong to one clock.
 
 
 class DiscoveryUpdate(NamedTuple):
-    """An endpoint list as it arrived; `addresses` are hosts and ports by endpoint."""
+    """An endpoint list that arrived; `addresses` are hosts and ports by endpoint."""
 
     at_ms: float
     kind: str
@@ -31,7 +31,7 @@
 
 
 class StreamChange(NamedTuple):
-    """A proxy's stream opened (`is_fresh`: the proxy held nothing yet) or ended."""
+    """A proxy's stream opened or closed; `is_fresh` means that the proxy held no resources yet."""
 
     at_ms: float
     is_open: bool
@@ -40,7 +40,7 @@
 
 
 class ReportArrival(NamedTuple):
-    """A proxy's load report arrived; `age_ms` is the time since the end of its window."""
+    """The arrival of a proxy's load report; `age_ms` is the time since the end of its window."""
 
     at_ms: float
     proxy: str
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class ControllerIncarnation:
-    """One incarnation of one controller as the replay needs it.
+    """What the replay needs of one incarnation of a controller.
 
     Times are milliseconds of the monotonic clock of the machine of the scenario's first incarnation; `ack_delays_ms`
     holds the times from a message to its ack or nack, by proxy.
@@ -95,14 +95,14 @@
     fleet = msgspec.json.decode((folder / "fleet.json").read_bytes())
     recorded = [incarnation for path in sorted(folder.glob("capture-*")) for incarnation in read_incarnations(path)]
     if not recorded:
-        raise FileNotFoundError(f"{folder} holds no capture")
+        raise FileNotFoundError(f"{folder}: expected at least one recording (capture-*), found none")
     first_offset_ms = recorded[0].header.wall_offset_ms
     incarnations = [
         read_incarnation(each, clock_shift_ms(each.header.wall_offset_ms, first_offset_ms)) for each in recorded
     ]
     requests = _read_requests(folder)
     if not requests:
-        raise FileNotFoundError(f"{folder} holds no exchanges")
+        raise FileNotFoundError(f"{folder}: expected recorded requests (proxies-*.jsonl), found none")
     return RecordedScenario(
         sorted(incarnations, key=lambda incarnation: incarnation.first_ms),
         {row["id"]: row for row in fleet["endpoints"]},
@@ -123,7 +123,7 @@
 
 
 def copy_for_replay(folder: Path, out: Path) -> int:
-    """Copies what replays need of a played arm: recordings, the fleet, the requests.
+    """Copies what replays need from an arm: recordings, the fleet, the requests.
 
     Returns:
         The number of requests.
@@ -142,9 +142,9 @@
 
 
 def clock_shift_ms(offset_ms: float, first_offset_ms: float) -> float:
-    """What to add to an incarnation's times to get times of the first one's clock.
+    """Returns the milliseconds to add to an incarnation's times to convert them to the first one's clock.
 
-    Monotonic clocks of machines begin at different moments; the offsets are those from them to the wall clock.
+    The monotonic clocks of machines start at different times; an offset is the wall clock minus the monotonic clock.
     """
     difference_ms = offset_ms - first_offset_ms
     return difference_ms if abs(difference_ms) > MAX_CLOCK_DIFFERENCE_MS else 0.0
@@ -163,7 +163,7 @@
 
 
 class _IncarnationReader:
-    """Collects an incarnation from its records, whose first fields are kind, number and time."""
+    """Builds an incarnation from its records, whose first fields are kind, number and time."""
 
     def __init__(self, recorded: Incarnation, shift_ms: float) -> None:
         self.incarnation = ControllerIncarnation(
@@ -174,11 +174,11 @@
         )
         self._shift_ms = shift_ms
         self._sent_ms: dict[tuple[str, str], float] = {}  # By proxy and nonce.
-        self._report_nodes: dict[tuple[int, int], str] = {}  # By peer and stream; empty before the first request.
-        self._proxy_names: list[str] = []  # By the numbers that proxies got when they first joined.
+        self._report_nodes: dict[tuple[int, int], str] = {}  # By peer and stream; empty until the first request.
+        self._proxy_names: list[str] = []  # By proxy number, which the first join assigns.
 
     def read(self, record: Record) -> None:
-        """Takes in one record."""
+        """Adds one record to the incarnation."""
         at_ms = record[2] + self._shift_ms
         match record[0]:
             case "roster":
@@ -224,7 +224,7 @@
         self.incarnation.stream_changes.append(change)
 
     def _read_report_request(self, at_ms: float, stream: tuple[int, int], data: bytes) -> None:
-        """Reads a request of a report stream: the first names its node, later ones are reports."""
+        """Reads a request on a load report stream: the first one has the node, later ones are reports."""
         if node := self._report_nodes[stream]:
             self._add_report(at_ms, node, 0.0)
         else:
@@ -232,5 +232,5 @@
 
 
 def _shift_entry(entry: EndpointEntry, shift_ms: float) -> EndpointEntry:
-    """An entry on another clock; a start of 0 means long ago and stays."""
+    """Converts an entry to another clock; a start of 0, which means long ago, is unchanged."""
     return entry._replace(started_ms=entry.started_ms + shift_ms) if entry.started_ms else entry
--- a/quillstep/replay/replayed_controller.py
+++ b/quillstep/replay/replayed_controller.py
@@ -1,7 +1,7 @@
 """One incarnation of a controller in virtual time: the controller's own decision loop among modelled proxies.
 
-It gets what the recorded incarnation got, when that got it: endpoint lists, streams, and the moments of load reports.
-The delay of a proxy's k-th message is that of its k-th recorded one; later ones are drawn from the recorded delays.
+Endpoint lists, streams and load reports arrive at their recorded times.  The k-th update to a proxy has the delay of
+its k-th recorded update; once all are used, delays are drawn at random from the recorded ones.
 """
 
 from collections import deque
@@ -20,29 +20,29 @@
 from quillstep.routing.in_flight import InFlightState
 from quillstep.routing.resources import LISTENER
 
-UPDATE_DELAY_SHARE = 0.5  # of a recorded delay: until the update arrives; the rest is the acknowledgement's way
-DEFAULT_DELAY_MS = 5.0  # of a proxy without recorded delays
-MAX_IN_FLIGHT_UPDATES = 8  # to one proxy
+UPDATE_DELAY_SHARE = 0.5  # Share of a recorded delay until the update arrives; the rest is the ack's.
+DEFAULT_DELAY_MS = 5.0  # For a proxy without recorded delays.
+MAX_IN_FLIGHT_UPDATES = 8  # Per proxy.
 MIN_PASS_INTERVAL_MS = 0.05
 
 
 class ModelledFront:
-    """Carries updates to modelled proxies, and their acknowledgements back."""
+    """Delivers updates to modelled proxies and returns their acknowledgements."""
 
     def __init__(self, scenario: ModelledScenario, controller: "ReplayedController") -> None:
         self._scenario, self._controller = scenario, controller
         self._nonces = 0
 
     def pump(self, now_ms: float, changed: set[int]) -> None:
-        """Sends what is due to the proxies whose desired state has changed."""
+        """Sends the changes that are due to the proxies whose desired state has changed."""
         for number in sorted(changed):
             self._send(number, now_ms)
 
     def drop(self, proxy: int, reason: str, now_ms: float) -> None:
-        """Does nothing: there is no other front here."""
+        """Does nothing: a replay has no other front."""
 
     def next_ms(self) -> float:
-        """Never: nothing here is due by itself."""
+        """Returns infinity: the front has no timers."""
         return float("inf")
 
     def _send(self, number: int, now_ms: float) -> None:
@@ -75,18 +75,18 @@
 
 
 class ReplayedController:
-    """One incarnation.
+    """One incarnation of a controller in a replay.
 
     Args:
-        scenario: What it shares with the other parts of the replay.
+        scenario: The state shared with the other parts of the replay.
         proxies: All proxies by name.
         incarnation: The recorded incarnation.
-        settings: Its settings, changed or not.
-        seed: The seed of the delays that are drawn.
+        settings: The recorded settings or changed ones.
+        seed: The seed for drawing delays.
 
     Attributes:
         joined: Joined proxies by number.
-        sent_rows: Updates that were sent, as sockets record them.
+        sent_rows: Updates that were sent, as rows of the socket record.
     """
 
     def __init__(
@@ -114,21 +114,21 @@
         self._schedule_recorded()
 
     def record_sent(self, proxy: ModelledProxy, revision: int, lines: int, now_ms: float) -> None:
-        """Records an update as the record of sockets has it."""
+        """Adds an update to `sent_rows`."""
         self.sent_rows.append({
             "what": "send", "at": now_ms, "proxy": proxy.name, "order": revision, "lines": lines, "bytes": 0,
             "ordered": self.core.ordered_ms(revision), "nonce": f"{self.incarnation.epoch}.{revision}",
         })  # fmt: skip
 
     def next_delay_ms(self, proxy: str) -> float:
-        """The next recorded delay of a proxy, or one drawn from all of its own."""
+        """Returns a proxy's next recorded delay, or a random one of them once all are used."""
         if remaining := self._delays_ms.get(proxy):
             return remaining.popleft()
         recorded = self.incarnation.ack_delays_ms.get(proxy)
         return self._random.choice(recorded) if recorded else DEFAULT_DELAY_MS
 
     def schedule_pass_now(self) -> None:
-        """Has the decision loop make a pass at this moment of virtual time."""
+        """Schedules a pass of the decision loop at the current virtual time."""
         self._schedule_pass(self._scenario.clock.now_ms)
 
     def _schedule_recorded(self) -> None:
@@ -175,7 +175,7 @@
             self.schedule_pass_now()
 
     def _send_report(self, name: str, arrives_ms: float) -> None:
-        """A joined proxy's load report leaves it now and arrives as late as the recorded one did."""
+        """Sends a joined proxy's load report now; it arrives when the recorded one did."""
         proxy = self._proxies.get(name)
         if proxy and self.core.joined_number(name) is not None:
             report = proxy.take_load_report()
@@ -195,7 +195,7 @@
 
     def _run_pass(self, due_ms: float) -> None:
         if self._has_ended or due_ms != self._pass_due_ms:
-            return  # an earlier pass has taken the place of this one
+            return  # Replaced by an earlier pass.
         self._pass_due_ms = float("inf")
         now_ms = self._scenario.clock.now_ms
         self._loop.run_pass(now_ms)
@@ -222,6 +222,6 @@
 
 
 def without_outputs(settings: ControllerSettings) -> ControllerSettings:
-    """The settings of a controller that writes no files, no recording and no record of its sockets."""
+    """Returns the settings without file output, recording and socket record."""
     fields: dict[str, Any] = {**settings.model_dump(), "files": {}, "capture": {}, "record": ""}
     return ControllerSettings.model_validate(fields)
--- a/quillstep/replay/sweep.py
+++ b/quillstep/replay/sweep.py
@@ -1,4 +1,4 @@
-"""Several values of one setting over one recorded scenario, on all cores; each replay runs in a worker process."""
+"""Replays one recorded scenario with several values of a setting, on all cores, in worker processes."""
 
 import multiprocessing
 from concurrent.futures import ProcessPoolExecutor
@@ -12,7 +12,7 @@
 
 
 class ReplayResult(NamedTuple):
-    """What one replay came to: service quality, violations of the rules, a hash over all requests."""
+    """The result of one replay: service, the number of invariant violations, a hash over all requests."""
 
     service: float
     violations: int
@@ -24,14 +24,14 @@
 
     Args:
         scenario: The recorded scenario.
-        changes: Values by path in a controller's settings.
+        changes: Each change, as values by path in the controllers' settings.
         seeds: The number of replays of each change.
 
     Returns:
         A row for each change, with the mean and the noise (the standard deviation) of service over the seeds.
 
     Raises:
-        ConfigError: A change is not valid.
+        ConfigError: A change is invalid.
     """
     for change in changes:
         changed(scenario.incarnations[0].settings, change)
--- a/quillstep/replay/virtual_clock.py
+++ b/quillstep/replay/virtual_clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: a queue of calls in the order of their times."""
+"""Virtual time: a queue of calls ordered by time."""
 
 import heapq
 import itertools
@@ -7,7 +7,7 @@
 
 
 class ScheduledCall(NamedTuple):
-    """A call that is due; calls of the same time run in the order in which they were scheduled."""
+    """A scheduled call; calls at the same time run in the order in which they were scheduled."""
 
     at_ms: float
     number: int
@@ -16,7 +16,7 @@
 
 
 class VirtualClock:
-    """Runs scheduled calls and sets the time to theirs."""
+    """Runs scheduled calls and advances the time to each of them."""
 
     def __init__(self, begin_ms: float) -> None:
         self.now_ms = begin_ms
@@ -24,11 +24,11 @@
         self._numbers = itertools.count()
 
     def call_at(self, at_ms: float, function: Callable[..., None], *arguments: Any) -> None:
-        """Schedules a call; one in the past runs now."""
+        """Schedules a call; a time in the past means now."""
         heapq.heappush(self._calls, ScheduledCall(max(at_ms, self.now_ms), next(self._numbers), function, arguments))
 
     def run_until(self, until_ms: float) -> None:
-        """Runs all calls up to a time, those that they schedule too."""
+        """Runs all calls up to a time, including those scheduled on the way."""
         while self._calls and self._calls[0].at_ms <= until_ms:
             self.now_ms, _, function, arguments = heapq.heappop(self._calls)
             function(*arguments)
--- a/quillstep/replay/whatif.py
+++ b/quillstep/replay/whatif.py
@@ -1,6 +1,6 @@
-"""The what-if replay: a recorded scenario played again in virtual time, with other settings or as it was.
+"""The what-if replay: plays a recorded scenario in virtual time, with the recorded settings or changed ones.
 
-Controllers decide as in service (`replayed_controller`); proxies and endpoints are models (`proxy_model`,
+Controllers run their real decision code (`replayed_controller`); proxies and endpoints are models (`proxy_model`,
 `endpoint_model`).
 """
 
@@ -20,17 +20,17 @@
 from quillstep.replay.replayed_controller import ReplayedController
 from quillstep.testbed.scenarios.service_quality import service_quality
 
-SETTLING_MS = 100.0  # played beyond the last recorded request
+SETTLING_MS = 100.0  # Virtual time played after the end of the last recorded request.
 
 
 @dataclass(slots=True)
 class ReplayOutcome:
-    """What one replay came to.
+    """The result of one replay.
 
     Attributes:
         quality: Service quality, as `service_quality` returns it.
-        violations: Violations of the rules.
-        requests: All requests as they went.
+        violations: Violations of the invariants.
+        requests: All requests with their outcomes.
         digest: A hash over all requests.
         intervals: The number of control intervals of all controllers.
     """
@@ -48,7 +48,7 @@
 
 
 class InferenceResult(NamedTuple):
-    """Inferred endpoints, and how well those of one half of the attempts predict the other half."""
+    """Inferred endpoints, and the errors of `held_out_error`."""
 
     endpoints: InferredEndpoints
     held_out: dict[str, float]
@@ -69,11 +69,11 @@
     Args:
         recorded: The recorded scenario.
         inferred: Speeds and conditions of its endpoints.
-        change: Values by path in the controllers' settings; empty: as it was.
+        change: Values by path in the controllers' settings; empty for the recorded settings.
         seed: The seed of all random numbers.
 
     Raises:
-        ConfigError: The change is not valid.
+        ConfigError: The change is invalid.
     """
     settings = [changed(incarnation.settings, change) for incarnation in recorded.incarnations]
     begin_ms = min(incarnation.first_ms for incarnation in recorded.incarnations)
@@ -107,7 +107,7 @@
     proxies: dict[str, ModelledProxy],
     controllers: list[ReplayedController],
 ) -> Evidence:
-    """What the rules are checked against."""
+    """Returns the evidence that the invariants are checked against."""
     evidence = Evidence(
         scenario.fleet,
         endpoints_by_address={address: endpoint.number for address, endpoint in scenario.endpoints_by_address.items()},
@@ -119,7 +119,7 @@
     )
     evidence.requests = scenario.requests
     evidence.served_requests = _served_rows(scenario)
-    starts: dict[tuple[float, int], None] = {}  # A set that keeps its order.
+    starts: dict[tuple[float, int], None] = {}  # An ordered set.
     for controller in controllers:
         evidence.channel_rows += controller.sent_rows
         _add_discovery_updates(evidence, controller.incarnation, starts)
@@ -155,7 +155,7 @@
 
 
 def _add_stream_changes(evidence: Evidence, incarnation: ControllerIncarnation) -> None:
-    """Adds streams that opened or ended; at the end of the incarnation all of them end."""
+    """Adds opened and closed streams; all of them close at the end of the incarnation."""
     name = incarnation.settings.name
     changes = incarnation.stream_changes
     rows = [{"at": each.at_ms, "proxy": each.proxy, "up": each.is_open, "pilot": name} for each in changes]
