--- a/tests/compatibility/producers.py
+++ b/tests/compatibility/producers.py
@@ -1,7 +1,7 @@
-"""What the program makes or reads, as bytes or plain JSON values, for `record.py` to write and the tests to compare.
+"""Produces what the program writes or reads as bytes or JSON values, which `record.py` saves and the tests compare.
 
-The values hold names of the wire, of settings and of stored data alone; a renamed class or field of the code changes
-nothing here but the imports and the attributes read.
+The values contain only names of the wire, of settings and of stored data; renaming a class or field in the code changes
+nothing here but imports and attributes.
 """
 
 import dataclasses
@@ -38,21 +38,21 @@
 CLASS_NAMES = ["lookup", "quote", "issue"]
 
 
-def plain(value):
-    """A value as JSON has it, so that a typed one equals the bare one of before."""
-    return json.loads(json.dumps(value, default=bare))
+def to_json_values(value):
+    """Converts a value to JSON values, so that a typed record equals the earlier list."""
+    return json.loads(json.dumps(value, default=to_list))
 
 
-def bare(value):
-    """A record as the list of its values."""
+def to_list(value):
+    """Converts a record to the list of its values."""
     return list(dataclasses.astuple(value)) if dataclasses.is_dataclass(value) else str(value)
 
 
-# the simulator's wire
+# The simulator's protocol.
 
 
 class Adapter:
-    """The adapter without its process."""
+    """The adapter, without a process of its own."""
 
     def __init__(self):
         self.host = Host()
@@ -63,46 +63,46 @@
         return self.host.reply()
 
 
-# the platform's protocol
+# The platform's protocol.
 
 
 def outgoing_messages(seed=11, rounds=240):
-    """All bytes that seeded orders come to, a line of hexadecimal for each message: round, proxy, bytes."""
+    """Returns the messages of seeded updates, one per line: round, proxy, bytes in hexadecimal."""
     draw = random.Random(seed)
-    orders = ProtocolOutput(CLASS_NAMES, lambda endpoint: None, lambda token, at_ms: None, lambda text: None)
+    output = ProtocolOutput(CLASS_NAMES, lambda endpoint: None, lambda token, at_ms: None, lambda text: None)
     joined, lines = set(), []
     for number in range(rounds):
         for _ in range(draw.randrange(0, 7)):
-            write_one_order(draw, orders, joined)
+            write_random_update(draw, output, joined)
         if draw.random() < 0.5:
-            orders.request_ack(draw.randrange(64))
-        for proxy, message in orders.flush():
+            output.request_ack(draw.randrange(64))
+        for proxy, message in output.flush():
             lines.append(f"{number} {proxy} {message.hex()}")
     return "\n".join(lines) + "\n"
 
 
-def write_one_order(draw, orders, joined):
+def write_random_update(draw, output, joined):
     endpoint, table = f"ep-{draw.randrange(14)}", draw.choice([0, 0, 1, 2, 1003])
     classes = draw.choice([[0, 1, 2], [0], [1, 2], []])
     kind = draw.random()
     if kind < 0.4:
-        orders.set_weight(table, endpoint, draw.choice([0, 1, 3.5, 10, 12.0]))
+        output.set_weight(table, endpoint, draw.choice([0, 1, 3.5, 10, 12.0]))
     elif kind < 0.55:
-        orders.set_ejected(endpoint, draw.random() < 0.6)
+        output.set_ejected(endpoint, draw.random() < 0.6)
     elif kind < 0.7 and joined:
-        orders.assign_table(draw.choice(sorted(joined)), table, classes)
+        output.assign_table(draw.choice(sorted(joined)), table, classes)
     elif kind < 0.85:
-        orders.set_admission(
+        output.set_admission(
             draw.choice([table, 65535]), classes, draw.choice([1e6, 0.25, 33.125, 0.0]), draw.randrange(4)
         )
     elif kind < 0.95:
         proxy = draw.randrange(8)
         joined.add(proxy)
-        orders.add_proxy(proxy)
+        output.add_proxy(proxy)
     elif joined:
         proxy = draw.choice(sorted(joined))
         joined.discard(proxy)
-        orders.remove_proxy(proxy)
+        output.remove_proxy(proxy)
 
 
 ATTACH = {"t": "attach", "id": 3, "site": "a", "rps": 21.5, "new": True}
@@ -117,12 +117,15 @@
 
 
 def conversations():
-    """Names and bytes of connections, one message or a few each."""
-    told = {"sign of life": [{"t": "hb"}, ATTACH, {"t": "hb"}], "collector": [TELEMETRY, UPSTREAM, CLIENT]}
-    told["proxy"] = [ATTACH, DONE, UPSTREAM, CLIENT, {**DONE, "seq": 0}]
+    """Returns the data of connections by name, with one message or a few each."""
+    messages_by_name = {"sign of life": [{"t": "hb"}, ATTACH, {"t": "hb"}], "collector": [TELEMETRY, UPSTREAM, CLIENT]}
+    messages_by_name["proxy"] = [ATTACH, DONE, UPSTREAM, CLIENT, {**DONE, "seq": 0}]
     for name, message in (("attach", ATTACH), ("telemetry", TELEMETRY)):
         for field in message:
-            told[f"{name} without {field}"] = [{key: value for key, value in message.items() if key != field}, DONE]
+            messages_by_name[f"{name} without {field}"] = [
+                {key: value for key, value in message.items() if key != field},
+                DONE,
+            ]
     changes = {
         "id": [4, -1, True, "3", 1.0, None], "site": ["c", 3, ""], "rps": [-1, "x", 1e10], "new": [1, None],
         "seq": [65536, -1, 1.5], "ms": [None, -3], "target": ["", 5], "count": [-1, 2.5, 10**12], "fail": [10, "x"],
@@ -135,25 +138,29 @@
     ):  # fmt: skip
         for field in message:
             for value in changes[field]:
-                said = [message | {field: value}, UPSTREAM]
-                told[f"{name} with {field}={value!r}"] = [first, *said] if first else said
+                changed = [message | {field: value}, UPSTREAM]
+                messages_by_name[f"{name} with {field}={value!r}"] = [first, *changed] if first else changed
             if first:
-                told[f"{name} without {field}"] = [first, {k: v for k, v in message.items() if k != field}]
-    found = {name: b"".join(add_length(msgspec.json.encode(m)) for m in messages) for name, messages in told.items()}
-    found["http"] = b"GET / HTTP/1.1\r\n\r\n"
-    found["no length"] = b"\x00\x00\x00\x00"
-    found["beyond a stranger"] = (5000).to_bytes(4, "big") + b"{"
-    found["beyond all"] = add_length(msgspec.json.encode(ATTACH)) + (2**20 + 1).to_bytes(4, "big") + b"{"
-    found["a list"] = add_length(msgspec.json.encode(ATTACH)) + add_length(b"[1]")
-    found["half a message"] = add_length(msgspec.json.encode(ATTACH))[:20]
-    found["not a number"] = add_length(msgspec.json.encode(TELEMETRY)) + add_length(
-        b'{"t":"upstream_stats","mean":NaN}'
-    )
-    return found
+                messages_by_name[f"{name} without {field}"] = [
+                    first,
+                    {key: value for key, value in message.items() if key != field},
+                ]
+    data = {
+        name: b"".join(add_length(msgspec.json.encode(message)) for message in messages)
+        for name, messages in messages_by_name.items()
+    }
+    data["http"] = b"GET / HTTP/1.1\r\n\r\n"
+    data["no length"] = b"\x00\x00\x00\x00"
+    data["beyond a stranger"] = (5000).to_bytes(4, "big") + b"{"
+    data["beyond all"] = add_length(msgspec.json.encode(ATTACH)) + (2**20 + 1).to_bytes(4, "big") + b"{"
+    data["a list"] = add_length(msgspec.json.encode(ATTACH)) + add_length(b"[1]")
+    data["half a message"] = add_length(msgspec.json.encode(ATTACH))[:20]
+    data["not a number"] = add_length(msgspec.json.encode(TELEMETRY)) + add_length(b'{"t":"upstream_stats","mean":NaN}')
+    return data
 
 
 class Peer:
-    """A connection without its socket: what it was sent, and why it was ended."""
+    """A connection without a socket: records the messages sent and the reason for closing."""
 
     def __init__(self):
         self.codec = MessageCodec(4096)
@@ -171,77 +178,77 @@
 
 
 def incoming_messages():
-    """What each conversation brings the deciding thread, what is answered, dropped and ended, by conversation."""
+    """Returns the outcome of each connection: events for the decision loop, replies, drops, whether it was closed."""
     return {name: outcome_of(data) for name, data in conversations().items()}
 
 
-BROUGHT_KINDS = {
+EVENT_KINDS = {
     events.ProxyConnected: "join", events.ProxyDisconnected: "leave", events.AckReceived: "receipt",
     UpstreamStats: "sums", DownstreamStats: "arrivals",
 }  # fmt: skip
 
 
-def brought_event(event):
-    """An event by the name of its kind in the data, and its values without the connection."""
+def event_values(event):
+    """Returns an event's kind, as the golden data names it, and its values without the connection."""
     if isinstance(event, UpstreamStats | DownstreamStats):
-        return plain([BROUGHT_KINDS[type(event)], event])
-    return plain([BROUGHT_KINDS[type(event)], *event[1:]])
+        return to_json_values([EVENT_KINDS[type(event)], event])
+    return to_json_values([EVENT_KINDS[type(event)], *event[1:]])
 
 
 def outcome_of(data):
-    """One connection's bytes, read by the front without its sockets."""
-    brought = []
-    known = validation.Deployment(4, frozenset("ab"), {"lookup": 0, "quote": 1, "issue": 2}, 1200.0)
+    """Returns what the front does with one connection's data, without sockets."""
+    published = []
+    deployment = validation.Deployment(4, frozenset("ab"), {"lookup": 0, "quote": 1, "issue": 2}, 1200.0)
     front = ConnectionManager(
-        "127.0.0.1:0", ConnectionLimits(64, 64), known, lambda news, key=None, add=None: brought.append(news)
+        "127.0.0.1:0", ConnectionLimits(64, 64), deployment, lambda event, key=None, add=None: published.append(event)
     )
     peer = Peer()
     for event in peer.codec.receive(data):
         front.handle_event(peer, event)
     front.poller.listener.close()
     return {
-        "brought": [brought_event(event) for event in brought],
+        "brought": [event_values(event) for event in published],
         "answered": [message.hex() for message in peer.sent], "started": peer.is_registered,
         "dropped": sum(front.dropped.values()), "ended": bool(peer.close_reason),
     }  # fmt: skip
 
 
-# xDS
+# xDS.
 
 
 def xds_responses():
-    """What a delta and a state-of-the-world proxy are sent, a line each.
+    """Returns the responses to a delta proxy and to a state-of-the-world proxy, one per line.
 
-    Names within one response stand in the order of a set, which differs from process to process: they are sorted here.
+    The order of names within a response is that of a set, which differs between processes, so they are sorted here.
     """
-    pilot = MemoryController(endpoints=6, settings=controller_settings(gate=RolloutGateSettings(enabled=False)))
+    controller = MemoryController(endpoints=6, settings=controller_settings(gate=RolloutGateSettings(enabled=False)))
     lines = []
-    proxy = recording_proxy(pilot, "p0", "a", lines)
-    pilot.run(3000)
-    sotw = SotwProxy(pilot, "old", "b", lines)
+    proxy = recording_proxy(controller, "p0", "a", lines)
+    controller.run(3000)
+    sotw = SotwProxy(controller, "old", "b", lines)
     sotw.run(2000)
-    apply_update(pilot, lambda tables: [tables.set_weight(0, 3, 17.0), tables.set_admission(0, [0, 1], 12.5, 1)])
+    apply_update(controller, lambda tables: [tables.set_weight(0, 3, 17.0), tables.set_admission(0, [0, 1], 12.5, 1)])
     sotw.run(600)
-    pilot.receive_endpoint_list("partial", [2], "terminating")
+    controller.receive_endpoint_list("partial", [2], "terminating")
     sotw.run(1500)
     proxy.rejects = True
-    apply_update(pilot, lambda tables: tables.set_weight(0, 4, 3.0))
+    apply_update(controller, lambda tables: tables.set_weight(0, 4, 3.0))
     sotw.run(300)
     proxy.rejects = False
-    apply_update(pilot, lambda tables: tables.set_weight(0, 4, 5.0))
+    apply_update(controller, lambda tables: tables.set_weight(0, 4, 5.0))
     sotw.run(1500)
     held = {url: dict(versions) for url, versions in proxy.versions.items()}
     proxy.leave()
-    apply_update(pilot, lambda tables: [tables.set_weight(0, 1, 0.0), tables.set_weight(0, 5, 8.0)])
+    apply_update(controller, lambda tables: [tables.set_weight(0, 1, 0.0), tables.set_weight(0, 5, 8.0)])
     sotw.run(400)
-    recording_proxy(pilot, "p0", "a", lines, held)
+    recording_proxy(controller, "p0", "a", lines, held)
     sotw.run(3000)
     return "\n".join(lines) + "\n"
 
 
-def recording_proxy(pilot, name, zone, lines, held=None):
-    """Joins a proxy whose stream's responses are written down."""
-    proxy = pilot.join(name, zone, held)
+def recording_proxy(controller, name, zone, lines, held=None):
+    """Joins a proxy whose responses are appended to `lines`."""
+    proxy = controller.join(name, zone, held)
     pump = proxy.stream.pump
 
     def recording(now_ms):
@@ -254,7 +261,7 @@
 
 
 def delta_text(message):
-    """A delta response: its fields, and each resource byte for byte."""
+    """Returns a delta response as text: its fields, and the bytes of each resource."""
     response = discovery_pb2.DeltaDiscoveryResponse.FromString(message)
     resources = sorted(each.SerializeToString(deterministic=True).hex() for each in response.resources)
     removed = sorted(response.removed_resources)
@@ -262,120 +269,124 @@
 
 
 class SotwProxy:
-    """A proxy that speaks the older stream and acknowledges all."""
+    """A proxy with a state-of-the-world stream that acknowledges all responses."""
 
-    def __init__(self, pilot, name, zone, lines):
-        self.pilot, self.lines, self.name = pilot, lines, name
-        core = pilot.core
-        self.stream = SotwStream(core.tables, pilot.encoder, core.settings.limits, "e", core.ordered_ms)
+    def __init__(self, controller, name, zone, lines):
+        self.controller, self.lines, self.name = controller, lines, name
+        core = controller.core
+        self.stream = SotwStream(core.tables, controller.encoder, core.settings.limits, "e", core.ordered_ms)
         request = discovery_pb2.DiscoveryRequest(type_url=CDS)
         request.node.id = name
         self.stream.proxy = core.add_proxy(name, zone, 5.0, self.stream.initial_versions(request), True)
         for url, names in ((CDS, ()), (EDS, ("table-0",)), (LDS, ()), (RDS, ("exchanges",))):
-            self.stream.handle_request(discovery_pb2.DiscoveryRequest(type_url=url, resource_names=names), pilot.now)
+            self.stream.handle_request(
+                discovery_pb2.DiscoveryRequest(type_url=url, resource_names=names), controller.now
+            )
 
     def run(self, ms):
         for _ in range(int(ms / 100)):
-            self.pilot.run(100)
-            for response in self.stream.pump(self.pilot.now):
+            self.controller.run(100)
+            for response in self.stream.pump(self.controller.now):
                 self.lines.append(f"{self.name} {response.message.hex()}")
                 names = {EDS: ("table-0",), RDS: ("exchanges",)}.get(response.type_url, ())
-                word = discovery_pb2.DiscoveryRequest(
+                ack = discovery_pb2.DiscoveryRequest(
                     type_url=response.type_url, response_nonce=response.nonce, resource_names=names
                 )
-                self.stream.handle_request(word, self.pilot.now)
+                self.stream.handle_request(ack, self.controller.now)
 
 
-# files
+# Files.
 
 
 def file_generation(form):
-    """The files of one generation and its manifest, by name, as hexadecimal."""
-    rows = {("pool", 0): (), ("share", 0): ((0, 0.25),), ("entry",): (), ("pool", 1): (), ("share", 1): ()}
-    rows["routes",] = ((0, 0, None, 1), (1, 1, 3.0, 0))
-    rows.update({("line", 0, at): ("127.0.0.1", 9000 + at, float(at)) for at in range(1, 30)})
-    rows.update({("line", 1, at): ("127.0.0.1", 9000 + at, 2.0) for at in range(3, 9)})
-    rows["out", 9] = ("127.0.0.1", 9009, "draining")
-    pilot = MemoryController()
-    files = GenerationEncoder(pilot.encoder, form, 4).files(
-        {key: make_resource(key, what) for key, what in rows.items()}
+    """Returns the files of one generation and its manifest by name, in hexadecimal."""
+    contents = {("pool", 0): (), ("share", 0): ((0, 0.25),), ("entry",): (), ("pool", 1): (), ("share", 1): ()}
+    contents["routes",] = ((0, 0, None, 1), (1, 1, 3.0, 0))
+    contents.update({("line", 0, number): ("127.0.0.1", 9000 + number, float(number)) for number in range(1, 30)})
+    contents.update({("line", 1, number): ("127.0.0.1", 9000 + number, 2.0) for number in range(3, 9)})
+    contents["out", 9] = ("127.0.0.1", 9009, "draining")
+    controller = MemoryController()
+    files = GenerationEncoder(controller.encoder, form, 4).files(
+        {key: make_resource(key, content) for key, content in contents.items()}
     )
-    found = {file.name: file.data.hex() for file in files}
-    found["manifest"] = encode_manifest("pilot-0-17", 5, 12, 1234.5, files).hex()
-    return found
+    data = {file.name: file.data.hex() for file in files}
+    data["manifest"] = encode_manifest("pilot-0-17", 5, 12, 1234.5, files).hex()
+    return data
 
 
-# settings and configuration
+# Settings and configuration.
 
 
 def settings_values(path):
-    """A settings file as checked, in the names of the file."""
+    """Returns the values of a validated settings file under the names of the file."""
     kind = ScenarioSettings if "each_zone" in path.read_text() else ControllerSettings
     return load(kind, path).model_dump(mode="json")
 
 
-def settings_fault(path):
-    """What is said of a settings file that does not check, without its folder."""
+def settings_error(path):
+    """Returns the error of an invalid settings file, without its folder."""
     try:
         load(ControllerSettings, path)
-    except ConfigError as trouble:
-        return str(trouble).replace(f"{path.parent}/", "")
+    except ConfigError as error:
+        return str(error).replace(f"{path.parent}/", "")
     return "it checks"
 
 
 def configuration_values(path):
-    """What a platform configuration comes to: values in order, whatever their names; or the sentence on it."""
+    """Returns the values of a platform configuration in order, without their names; the error if it is invalid."""
     try:
-        found = configuration.read_configuration({"BALANCER_CONFIG": str(path)})
-        facts = configuration.controller_config(found, str(path))
-    except configuration.ConfigurationError as trouble:
-        return str(trouble).replace(f"{path.parent}/", "")
-    known = {"revision": found.initial_list.revision, "complete": True, "members": found.initial_list.members}
-    first = endpoint_list.parse_endpoint_list(known, 5000.0, "persisted")
-    return plain({
-        "start": list(dataclasses.astuple(facts.planner)),
+        file = configuration.read_configuration({"BALANCER_CONFIG": str(path)})
+        config = configuration.controller_config(file, str(path))
+    except configuration.ConfigurationError as error:
+        return str(error).replace(f"{path.parent}/", "")
+    message = {"revision": file.initial_list.revision, "complete": True, "members": file.initial_list.members}
+    initial = endpoint_list.parse_endpoint_list(message, 5000.0, "persisted")
+    return to_json_values({
+        "start": list(dataclasses.astuple(config.planner)),
         "rest": [
-            facts.class_names, facts.deployment.proxies, sorted(facts.deployment.zones), facts.deployment.class_indexes,
-            facts.deployment.max_deadline_ms,
-            facts.batch_window_ms, facts.health_check_timeout_ms, facts.health_check_path,
+            config.class_names, config.deployment.proxies, sorted(config.deployment.zones),
+            config.deployment.class_indexes, config.deployment.max_deadline_ms,
+            config.batch_window_ms, config.health_check_timeout_ms, config.health_check_path,
+        ],
+        "list": [
+            initial.kind, initial.entries, initial.addresses, initial.revision, initial.rejected, initial.is_complete
         ],
-        "list": [first.kind, first.entries, first.addresses, first.revision, first.rejected, first.is_complete],
-        "seed": configuration.parse_seed(found.seed),
+        "seed": configuration.parse_seed(file.seed),
     })  # fmt: skip
 
 
 def start_values(line):
-    """A `start` as the module is told it: values in order."""
-    found = decode.parse_line(line).fields
-    facts, names = planner_config_from_start(found)
-    return plain([list(dataclasses.astuple(facts)), names])
+    """Returns the planner's settings of a `start` message: values in order."""
+    fields = decode.parse_line(line).fields
+    config, names = planner_config_from_start(fields)
+    return to_json_values([list(dataclasses.astuple(config)), names])
 
 
-# store and captures
+# Store and recordings.
 
 
-def export_of(folder):
-    """All rows of a store as JSON lines."""
-    found = Store(folder, write=False)
+def export_rows(folder):
+    """Returns all rows of a store as JSON lines, and the invalid ones that its check finds."""
+    store = Store(folder, write=False)
     try:
-        return "".join(f"{msgspec.json.encode(line).decode()}\n" for line in found.export_rows()), found.check()["bad"]
+        return "".join(f"{msgspec.json.encode(line).decode()}\n" for line in store.export_rows()), store.check()["bad"]
     finally:
-        found.close()
+        store.close()
 
 
-def imported(folder, lines):
-    """Takes an export in, into a new store."""
-    found = Store(folder)
+def import_rows(folder, lines):
+    """Imports an export into a new store; returns the number of rows."""
+    store = Store(folder)
     try:
-        return found.import_rows(msgspec.json.decode(line) for line in lines.splitlines())
+        return store.import_rows(msgspec.json.decode(line) for line in lines.splitlines())
     finally:
-        found.close()
+        store.close()
 
 
-def capture_records(folder):
-    """All records of the lives in a folder: the life, and each record as bytes of MessagePack."""
+def recorded_events(folder):
+    """Returns all records of a folder, each as its incarnation's epoch and MessagePack bytes."""
     return [
-        (life.header.epoch, msgspec.msgpack.encode(record))
-        for life in read_incarnations(folder)
-        for record in read_records(life)
+        (incarnation.header.epoch, msgspec.msgpack.encode(record))
+        for incarnation in read_incarnations(folder)
+        for record in read_records(incarnation)
     ]
--- a/tests/compatibility/simulator_dialogue.py
+++ b/tests/compatibility/simulator_dialogue.py
@@ -1,12 +1,12 @@
-"""Generates a seeded dialogue on the simulator's wire: the bench's side of it, answering what the adapter asks for.
+"""Generates a seeded dialogue in the simulator's protocol: the simulator's side, which serves the adapter's requests.
 
-Uses none of the program's codecs, so that it stays as it is when the program changes.  The recorded input and replies
-are in `golden/`; `record.py` writes them anew, which is only right when the wire itself changes.
+It uses no codec of the program, so that it does not change with the program.  The recorded input and replies are in
+`golden/`; `record.py` regenerates them, which is only correct if the protocol itself changes.
 """
 
 import random
 
-BATCHES = 160  # of each instance group
+BATCHES = 160  # Per dialogue.
 CLASSES = ["lookup", "quote", "issue"]
 ZONES = ["a", "b", "c"]
 
@@ -31,17 +31,17 @@
 }
 
 
-class Bench:
-    """The bench's side: endpoints, proxies, timers, and what they would answer."""
+class Simulator:
+    """The simulator's side: endpoints, proxies, timers, and their responses."""
 
     def __init__(self, variant, seed):
         self.random = random.Random(f"{variant}/{seed}")
         self.variant, self.now, self.bank, self.instances = variant, 1_000_000, 0, {}
-        self.endpoints = {}  # number -> [zone, availability, weight, up_since]
+        self.endpoints = {}  # Zone, availability, weight and start time by number.
         for number in range(1, 19):
             self.endpoints[number] = [ZONES[number % 3], "in_service", self.random.choice([1, 1, 2]), 0]
         self.next_endpoint = 19
-        self.storm = 0
+        self.overload_batches = 0
         self.failing = set()
 
     def list_lines(self, numbers):
@@ -72,25 +72,25 @@
         usual = self.random.choice(["12.5", "40", "3.25"])
         return f"joined i={instance} agent={number} regionPart={zone} part={usual} active={int(fresh)}"
 
-    def hear(self, reply):
-        """Takes a reply in: what was asked for is answered in a later batch."""
+    def handle_reply(self, reply):
+        """Handles a reply; what it requests is answered in a later batch."""
         for line in reply:
             name, _, rest = line.partition(" ")
-            found = dict(part.partition("=")[::2] for part in rest.split(" ") if "=" in part)
-            state = self.instances.get(found.get("i"))
+            fields = dict(part.partition("=")[::2] for part in rest.split(" ") if "=" in part)
+            state = self.instances.get(fields.get("i"))
             if state is None:
                 continue
             if name == "sleep":
-                state["timers"].append((int(found["at"]), found["cookie"]))
+                state["timers"].append((int(fields["at"]), fields["cookie"]))
             elif name == "ask_receipt":
-                state["applied"].append(found["serial"])
+                state["applied"].append(fields["serial"])
             elif name == "health_check":
-                state["health"].append(int(found["endpoint"]))
+                state["health"].append(int(fields["endpoint"]))
             elif name == "track":
                 state["watches"] = True
 
     def change_endpoints(self):
-        """Drains, deaths, replacements and recoveries; the numbers that changed."""
+        """Drains, terminates or adds endpoints at random and selects failing ones; returns the changed numbers."""
         draw, changed = self.random.random(), []
         alive = [number for number, row in self.endpoints.items() if row[1] == "in_service"]
         if draw < 0.10 and len(alive) > 6:
@@ -115,35 +115,39 @@
         return changed
 
     def traffic(self, instance, state):
-        """Load reports of endpoints and proxies; a storm multiplies what arrives."""
+        """Returns load reports of endpoints and proxies; an overload multiplies the requests."""
         lines = []
-        times = 6 if self.storm else 1
+        factor = 6 if self.overload_batches else 1
         for number, (_, availability, _, _) in self.endpoints.items():
             if availability == "terminated" or self.random.random() < 0.3:
                 continue
-            many = self.random.randrange(1, 30) * times
-            bad = number in self.failing
-            errors = many if bad else min(many, self.random.choice([0, 0, 0, 1, many // 3 if self.storm else 0]))
-            taken = self.random.randrange(20_000, 900_000 if self.storm else 300_000)
-            util = round(self.random.uniform(0.8, 1.1) if self.storm else self.random.uniform(0.2, 0.7), 3)
-            gauge = "" if self.variant == "rate" or bad else f" gauge=util:{util},inflight:{many % 7}"
+            many = self.random.randrange(1, 30) * factor
+            is_failing = number in self.failing
+            errors = (
+                many
+                if is_failing
+                else min(many, self.random.choice([0, 0, 0, 1, many // 3 if self.overload_batches else 0]))
+            )
+            duration_us = self.random.randrange(20_000, 900_000 if self.overload_batches else 300_000)
+            util = round(self.random.uniform(0.8, 1.1) if self.overload_batches else self.random.uniform(0.2, 0.7), 3)
+            gauge = "" if self.variant == "rate" or is_failing else f" gauge=util:{util},inflight:{many % 7}"
             lines.append(
-                f"observed i={instance} endpoint={number} many={many} errors={errors} timeTaken={taken} "
+                f"observed i={instance} endpoint={number} many={many} errors={errors} timeTaken={duration_us} "
                 f"covers=1000000{gauge}"
             )
         for number in state["proxies"]:
-            for place, name in enumerate(CLASSES):
+            for index, name in enumerate(CLASSES):
                 if self.random.random() < 0.7:
-                    many = self.random.randrange(0, 25) * times
+                    many = self.random.randrange(0, 25) * factor
                     covers = self.random.choice([1000000, 997000, 400000])
                     lines.append(
-                        f"traffic i={instance} service={name} many={many} errors={many // (9 - place)} "
+                        f"traffic i={instance} service={name} many={many} errors={many // (9 - index)} "
                         f"agent={number} covers={covers}"
                     )
         return lines
 
     def batch(self, number):
-        """The lines between `turn` and `over_to_you`."""
+        """Returns the lines between `turn` and `over_to_you`."""
         self.now += self.random.choice([40_000, 150_000, 200_000, 350_000, 600_000])
         lines = []
         if number == 0:
@@ -153,9 +157,9 @@
                     lines.append(self.join(f"pilot/{at}", 10 * at + proxy, proxy % 2 == 0))
             return lines
         changed = self.change_endpoints()
-        self.storm = max(0, self.storm - 1)
+        self.overload_batches = max(0, self.overload_batches - 1)
         if self.random.random() < 0.03:
-            self.storm = 15
+            self.overload_batches = 15
         for instance, state in list(self.instances.items()):
             lines += self.instance_lines(instance, state, changed)
         draw = self.random.random()
@@ -188,10 +192,10 @@
                         lines.append(f"applied i={instance} serial={serial} agent={proxy}")
             state["applied"] = []
         for endpoint in state["health"][:8]:
-            done = endpoint not in self.failing and self.random.random() < 0.9
-            gauge = f" gauge=util:{round(self.random.uniform(0.2, 0.9), 3)}" if done else ""
+            is_done = endpoint not in self.failing and self.random.random() < 0.9
+            gauge = f" gauge=util:{round(self.random.uniform(0.2, 0.9), 3)}" if is_done else ""
             lines.append(
-                f"health i={instance} endpoint={endpoint} disposition={'done' if done else 'late'} "
+                f"health i={instance} endpoint={endpoint} disposition={'done' if is_done else 'late'} "
                 f"timeTaken={self.random.randrange(900, 70000)}{gauge}"
             )
         state["health"] = []
@@ -213,14 +217,14 @@
 
 
 def dialogue(variant, seed, answer):
-    """A whole dialogue: (input text, replies).  `answer` gives the reply to the lines of one batch."""
-    bench = Bench(variant, seed)
-    told, replies = [], []
+    """Returns the input and the replies of a full dialogue; `answer` returns the reply to the lines of one batch."""
+    simulator = Simulator(variant, seed)
+    requests, replies = [], []
     for number in range(BATCHES):
-        lines = bench.batch(number)
-        lines = [f"turn atTime={bench.now}", *lines, "over_to_you"]
+        lines = simulator.batch(number)
+        lines = [f"turn atTime={simulator.now}", *lines, "over_to_you"]
         reply = answer(lines)
-        bench.hear(reply)
-        told += lines
+        simulator.handle_reply(reply)
+        requests += lines
         replies += [*reply, "end"]
-    return "".join(f"{line}\n" for line in told), "".join(f"{line}\n" for line in replies)
+    return "".join(f"{line}\n" for line in requests), "".join(f"{line}\n" for line in replies)
