--- a/quillstep/bench/__init__.py
+++ b/quillstep/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that anybody can repeat: `quillstep bench …`."""
+"""Benchmarks of the `quillstep bench` commands."""
--- a/quillstep/bench/charts.py
+++ b/quillstep/bench/charts.py
@@ -1,4 +1,4 @@
-"""Charts of comparisons and benches, as PNG files."""
+"""Charts of comparisons and benchmarks, as PNG files."""
 
 from pathlib import Path
 from typing import Any
@@ -6,23 +6,23 @@
 import matplotlib
 
 matplotlib.use("Agg")
-from matplotlib import pyplot  # noqa: E402 (the backend must be chosen first)
+from matplotlib import pyplot  # noqa: E402 (the backend must be selected first)
 
-WORST_S = 5  # the length of the span that is marked
-SHOWN_DPI = 110
+WORST_SPAN_S = 5  # Length of the marked span with the lowest service.
+CHART_DPI = 110
 
 
 def service_over_time(comparison: dict[str, Any], path: Path) -> None:
-    """Draws service second by second: measured, replayed, changed, with the worst span of the last marked."""
+    """Draws measured, replayed and changed service per second, and marks the worst span of the last of them."""
     figure, axes = pyplot.subplots(figsize=(9.0, 4.0))
     for name, style in (("measured", "k-"), ("replayed", "b--"), ("changed", "r-")):
         if name != "changed" or comparison["change"]:
             axes.plot(comparison["windows"][name], style, label=name, linewidth=1.2)
     rows = comparison["windows"]["changed" if comparison["change"] else "replayed"]
-    if len(rows) >= WORST_S:
-        spans = [(sum(rows[at : at + WORST_S]), at) for at in range(len(rows) - WORST_S + 1)]
+    if len(rows) >= WORST_SPAN_S:
+        spans = [(sum(rows[at : at + WORST_SPAN_S]), at) for at in range(len(rows) - WORST_SPAN_S + 1)]
         worst = min(spans)[1]
-        axes.axvspan(worst, worst + WORST_S - 1, color="orange", alpha=0.2, label="worst 5 s")
+        axes.axvspan(worst, worst + WORST_SPAN_S - 1, color="orange", alpha=0.2, label="worst 5 s")
     axes.set_xlabel("s")
     axes.set_ylabel("service")
     axes.set_ylim(0.0, 1.02)
@@ -32,26 +32,26 @@
     )
     axes.legend(loc="lower left")
     figure.tight_layout()
-    figure.savefig(path, dpi=SHOWN_DPI)
+    figure.savefig(path, dpi=CHART_DPI)
     pyplot.close(figure)
 
 
 def sweep(rows: list[dict[str, Any]], setting: str, path: Path) -> None:
-    """Draws service against the values of one setting, with the noise over seeds."""
+    """Draws service over the values of one setting, with the noise over seeds as error bars."""
     figure, axes = pyplot.subplots(figsize=(7.0, 4.0))
     values = [str(row["value"]) for row in rows]
     axes.errorbar(values, [row["service"] for row in rows], yerr=[row["noise"] for row in rows], marker="o", capsize=4)
     axes.set_xlabel(setting)
     axes.set_ylabel("service (replayed)")
     figure.tight_layout()
-    figure.savefig(path, dpi=SHOWN_DPI)
+    figure.savefig(path, dpi=CHART_DPI)
     pyplot.close(figure)
 
 
 def reports(rows: list[dict[str, Any]], path: Path) -> None:
-    """Draws, by size and reader, the time to the last acknowledgement of a drain and the processor time.
+    """Draws the time to a drain's last acknowledgement and the CPU time, by size and reader.
 
-    The time is the median, with and without load reports; the processor time is that of the controller and its readers.
+    The time is the median, with and without load reports; the CPU time is that of the controller and its readers.
     """
     figure, (drains, cpu) = pyplot.subplots(1, 2, figsize=(11.0, 4.2))
     names = [f"{row['proxies']}\n{row['by']}" for row in rows]
@@ -74,5 +74,5 @@
         axes.set_xticks(list(positions), names, fontsize=7, rotation=45)
     figure.suptitle("Loopback, 92 endpoints, reports of 92 rows once a second a proxy")
     figure.tight_layout()
-    figure.savefig(path, dpi=SHOWN_DPI)
+    figure.savefig(path, dpi=CHART_DPI)
     pyplot.close(figure)
--- a/quillstep/bench/crash.py
+++ b/quillstep/bench/crash.py
@@ -1,8 +1,8 @@
-"""Kills a store's writer at its write points, one incarnation after another on one store, and checks what remains.
+"""Kills the writer of a store at its write points, incarnation after incarnation, and checks the store after each kill.
 
-Points are counted from an incarnation's start: the begin of a commit, each row of it, just before its end and just
-after.  A commit holds a version, the acknowledged updates of some proxies, and the pin: after a kill all of it or
-nothing must be there, and all that had been reported durable.
+Points are counted from the start of an incarnation: the begin of a commit, each row of it, just before its end and just
+after.  A commit consists of a version, the acknowledged updates of some proxies, and the pin.  After a kill a commit
+must be complete or absent, and all commits that were reported durable must be present.
 """
 
 import os
@@ -25,33 +25,33 @@
     numbers_of,
 )
 
-COMMITS = 6  # of one incarnation
+COMMITS_PER_INCARNATION = 6
 PROXIES = 3
 ROWS_PER_COMMIT = PROXIES + 2
-POINTS = COMMITS * (ROWS_PER_COMMIT + 3)  # a begin and two ends of each commit
+POINTS_PER_INCARNATION = COMMITS_PER_INCARNATION * (ROWS_PER_COMMIT + 3)  # Plus the begin and both ends of a commit.
 MAX_INCARNATION_S = 20
 MAX_REPORT_BYTES = 65536
 NUMBER_BYTES = 8
-KEPT_VERSIONS = 40  # guards against a store that grows for ever while it is killed again and again
+RETAINED_VERSIONS = 40  # Limits the growth of the store over many incarnations.
 
 
 def kill_points(seed: int, count: int) -> Iterator[int]:
-    """Yields so many points, counted from 1: all forwards, all backwards, then drawn ones."""
+    """Yields `count` points, counted from 1: all in ascending order, all in descending order, then random ones."""
     draw = random.Random(seed).randint
     for at in range(count):
-        if at < POINTS:
+        if at < POINTS_PER_INCARNATION:
             yield at + 1
-        elif at < 2 * POINTS:
-            yield 2 * POINTS - at
+        elif at < 2 * POINTS_PER_INCARNATION:
+            yield 2 * POINTS_PER_INCARNATION - at
         else:
-            yield draw(1, POINTS)
+            yield draw(1, POINTS_PER_INCARNATION)
 
 
 def run(folder: Path, points: Iterable[int]) -> dict[str, Any]:
     """Kills one incarnation at each point; stops at the first fault.
 
     Returns:
-        The number of kills, the last commit found, and the fault, empty if there is none.
+        The number of kills, the last commit found, and the fault, which is empty if there is none.
     """
     kills = commits = 0
     fault = ""
@@ -62,7 +62,7 @@
             store = Store(folder)
             fault = find_fault(store, commits, durable)
             commits = store.last_number(VERSIONS, number_key(0))
-            store.apply_retention(2000.0, KEPT_VERSIONS, 1e12, 0)
+            store.apply_retention(2000.0, RETAINED_VERSIONS, 1e12, 0)
             store.close()
         except StoreError as error:
             fault = str(error)
@@ -73,7 +73,7 @@
 
 
 def kill_incarnation(folder: Path, point: int) -> int:
-    """Runs one incarnation in a process of its own until it ends itself at a point.
+    """Runs one incarnation in a child process, which kills itself at a point.
 
     Returns:
         The last commit that it reported durable; 0 if none.
@@ -81,7 +81,7 @@
     read_end, write_end = os.pipe()
     pid = os.fork()
     if pid == 0:
-        signal.alarm(MAX_INCARNATION_S)  # one that hangs is ended too: one more moment to be killed at
+        signal.alarm(MAX_INCARNATION_S)  # Also ends a writer that hangs; that is one more kill point.
         try:
             write_commits(folder, point, write_end)
         finally:
@@ -94,7 +94,7 @@
 
 
 def write_commits(folder: Path, point: int, report_fd: int) -> None:
-    """Writes commits in sequence and reports each that is durable; kills its own process at a write point."""
+    """Writes commits in order and reports each durable one; kills its own process at a write point."""
     passed = 0
 
     def count_point(_: str) -> None:
@@ -105,13 +105,13 @@
 
     store = Store(folder, on_step=count_point)
     last = store.last_number(VERSIONS, number_key(0))
-    for number in range(last + 1, last + COMMITS + 1):
+    for number in range(last + 1, last + COMMITS_PER_INCARNATION + 1):
         store.write(entries_of_commit(number))
         os.write(report_fd, number.to_bytes(NUMBER_BYTES, "big"))
 
 
 def entries_of_commit(number: int) -> list[Entry]:
-    """The entries of one commit: a version, what each proxy has acknowledged, and a pin on the version."""
+    """Returns the entries of one commit: a version, each proxy's acknowledged update, and a pin on the version."""
     version = VersionRow(
         f"v{number}", 0, f"v{number - 1}", "module", "", 1000.0, "e", number, [(1, 10.0)], [(0, 5.0, 1)]
     )
@@ -124,15 +124,15 @@
 
 
 def find_fault(store: Store, before: int, durable: int) -> str:
-    """What is wrong with a store after a kill; empty if nothing is.
+    """Describes what is wrong with a store after a kill; empty if nothing is.
 
     Args:
-        store: The store, opened again.
-        before: The last commit before the incarnation that was killed.
+        store: The reopened store.
+        before: The last commit before the killed incarnation.
         durable: The last commit that it reported durable.
     """
     last = store.last_number(VERSIONS, number_key(0))
-    if not before <= last <= before + COMMITS or last < durable or last > max(durable, before) + 1:
+    if not before <= last <= before + COMMITS_PER_INCARNATION or last < durable or last > max(durable, before) + 1:
         return f"the last commit is {last}, it was {before} before, and {durable} was reported durable"
     if not last:
         return ""
--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -1,7 +1,7 @@
-"""Both fronts side by side, and whole tables sent again as the baseline of each, on loopback.
+"""Compares both fronts, and each with a baseline that sends full tables, on loopback.
 
-Arms: `streams` (deltas), `files` (shards linked), `streams whole` (state of the world: a changed line sends its
-table), `files whole` (a table is one file).  Each is a played scenario at one size with the same requests.
+Arms: `streams` (delta), `files` (unchanged shards are linked), `streams whole` (state of the world: a changed weight
+sends its table), `files whole` (one file per table).  Each arm plays a scenario of one size with the same requests.
 """
 
 import statistics
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from quillstep.bench.results import acknowledgement_times, machine_name
-from quillstep.bench.streams import scenario_of
+from quillstep.bench.streams import drain_scenario
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
 from quillstep.testbed.scenarios.runner import play_arm
@@ -25,9 +25,9 @@
 
 
 class AcknowledgedUpdate(NamedTuple):
-    """One proxy's acknowledgement of a revision; milliseconds."""
+    """A proxy's acknowledgement of a revision; milliseconds."""
 
-    ordered_ms: float  # when the planner decided on the revision
+    ordered_ms: float  # When the planner made the revision.
     acknowledged_ms: float
 
 
@@ -39,7 +39,7 @@
 
 
 def acknowledged_updates(evidence: Evidence) -> dict[RevisionKey, list[AcknowledgedUpdate]]:
-    """The acknowledged updates of each revision."""
+    """Returns the acknowledged updates of each revision."""
     acknowledged_ms = acknowledgement_times(evidence)
     updates: dict[RevisionKey, list[AcknowledgedUpdate]] = defaultdict(list)
     for row in evidence.channel_rows:
@@ -51,7 +51,7 @@
 
 
 def drain_times(evidence: Evidence) -> list[float]:
-    """Milliseconds from each drain's notification to the last acknowledgement of the revision that followed it."""
+    """Returns the milliseconds from each drain's notification to the last acknowledgement of the next revision."""
     updates_by_revision = acknowledged_updates(evidence)
     drains_ms = []
     for notified in evidence.discovery_updates:
@@ -70,7 +70,7 @@
 
 
 def median_update_time(evidence: Evidence, proxies: int) -> float:
-    """The median time from a revision that reaches most proxies to its last acknowledgement, milliseconds."""
+    """Returns the median time of revisions for most proxies to their last ack, milliseconds; 0 without any."""
     times_ms = [
         max(update.acknowledged_ms for update in updates) - updates[0].ordered_ms
         for updates in acknowledged_updates(evidence).values()
@@ -81,11 +81,11 @@
 
 def measure(name: str, proxies: int, requests_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
     """Plays one arm at one size."""
-    base = scenario_of(proxies, requests_per_s, seconds, 1).model_dump()
+    base = drain_scenario(proxies, requests_per_s, seconds, 1).model_dump()
     scenario = ScenarioSettings.model_validate({**base, **ARMS[name], "name": f"{name} {proxies}"})
     arm = play_arm(scenario, folder / f"{name.replace(' ', '-')}-{proxies}")
     evidence = arm.evidence()
-    # Without what proxies were sent when they joined.
+    # Without the updates sent when proxies joined.
     sent = [row for row in evidence.channel_rows if row["what"] == "send" and row["at"] >= arm.begin_ms]
     lines = sum(row["lines"] for row in sent)
     size = sum(row["bytes"] for row in sent)
@@ -102,7 +102,7 @@
 
 
 def run(sizes: list[int], requests_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
-    """Plays all arms at all sizes; traffic is in proportion to the largest."""
+    """Plays all arms at all sizes; traffic is proportional to size, `requests_per_s` at the largest."""
     largest = max(sizes)
     rows = [measure(name, size, requests_per_s * size / largest, seconds, folder) for size in sizes for name in ARMS]
     return {
--- a/quillstep/bench/load_reports.py
+++ b/quillstep/bench/load_reports.py
@@ -1,8 +1,7 @@
-"""Load reports at scale: drains with and without many reports in one run, and what reading costs; on loopback.
+"""Load reports at scale: drain times with and without many reports, and the cost of reading; on loopback.
 
-Each size and reader is one played scenario.  In every other span all proxies report on all endpoints once a period; in
-the other spans they send no reports.  Drains fall into both kinds of spans in turn.  Figures come from the sockets'
-record and from the controller's log.
+Each size and reader is one played scenario.  Spans in which all proxies report on all endpoints once a period alternate
+with spans without reports; drains happen in both.  Figures come from the socket record and the controller's log.
 """
 
 import json
@@ -10,21 +9,21 @@
 from typing import Any, NamedTuple
 
 from quillstep.bench.results import (
-    MAX_KEPT_VIOLATIONS,
+    MAX_REPORTED_VIOLATIONS,
     acknowledgement_times,
     ejected_endpoints,
     machine_name,
     quantile,
 )
-from quillstep.bench.streams import ENDPOINTS_A_ZONE, ZONES, scenario_of
+from quillstep.bench.streams import ENDPOINTS_PER_ZONE, ZONES, drain_scenario
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_queue
 from quillstep.testbed.scenarios.arm import Arm
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 
-SPAN_S = 8.0  # with reports, then without
-LINES_PER_S_AND_PROXY = 15.0  # of the update channel, as a fleet of 262 proxies has them
+SPAN_S = 8.0  # Length of a span with reports, and of one without.
+LINES_PER_S_PER_PROXY = 15.0  # Rate of the update channel; about 3900 lines/s for 262 proxies.
 MIN_LINES_PER_S = 3900.0
 DRAINS_PER_SPAN = 3
 DRAIN_S = 4.0
@@ -33,9 +32,12 @@
 def scaled_scenario(
     proxies: int, reader: str, requests_per_s: float, spans: int, settings: dict[str, Any]
 ) -> ScenarioSettings:
-    """Spans with and without reports in turn, with drains in each; the update channel grows with the fleet."""
+    """Returns a scenario of alternating spans with and without reports, with drains in each.
+
+    The rate of the update channel grows with the fleet.
+    """
     seconds = SPAN_S * spans
-    base = scenario_of(proxies, requests_per_s, seconds, 1).model_dump()
+    base = drain_scenario(proxies, requests_per_s, seconds, 1).model_dump()
     base["troubles"] = [
         {
             "at_s": SPAN_S * span + 1.0 + index * (SPAN_S - 3.5) / DRAINS_PER_SPAN,
@@ -49,7 +51,7 @@
     for span in range(spans):
         fault = "reports_cut" if span % 2 else "reports_heavy"
         base["troubles"].append({"at_s": SPAN_S * span, "for_s": SPAN_S, "what": fault, "count": proxies})
-    lines_per_s = max(MIN_LINES_PER_S, LINES_PER_S_AND_PROXY * proxies)
+    lines_per_s = max(MIN_LINES_PER_S, LINES_PER_S_PER_PROXY * proxies)
     base["fleet"]["channel"].update(lines_per_s=lines_per_s, lines_waiting_most=lines_per_s * 1.8)
     base["limits"].update(connections_most=max(2048, 2 * proxies), news_most=max(4096, 4 * proxies))
     base["proxy_processes"] = max(1, min(4, proxies // 32))
@@ -80,9 +82,9 @@
 
 
 def drain_times(evidence: Evidence, begin_ms: float) -> DrainTimesBySpan:
-    """Reads the times of all drains from the sockets' record.
+    """Reads the times of all drains from the socket record.
 
-    A drain that ends and begins again is notified once more; the first update to each proxy counts.
+    An endpoint that drains again is notified again; times count from its last notification.
     """
     drained_ms = {
         str(row["endpoint"]): row["at"]
@@ -113,7 +115,7 @@
 
 
 def last_status(arm: Arm, event: str = "status") -> dict[str, Any]:
-    """The fields of the first controller's last log line of an event; nothing where there is none."""
+    """Returns the fields of the first controller's last log line of an event; empty if there is none."""
     status: dict[str, Any] = {}
     for line in (arm.folder / "pilot-0.log").read_text().splitlines():
         if f'"{event}"' in line and (row := json.loads(line))["event"] == event:
@@ -135,12 +137,12 @@
     return {
         "proxies": proxies,
         "by": reader,
-        "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
+        "endpoints": ENDPOINTS_PER_ZONE * len(ZONES),
         "reports_per_s": round(status.get("reports", 0) / reporting_s, 1),
         "groups": status.get("groups", 1),
         "times": status.get("times", 1),
         "rules_broken": len(violations),
-        "breaks": [violation.to_row() for violation in violations[:MAX_KEPT_VIOLATIONS]],
+        "breaks": [violation.to_row() for violation in violations[:MAX_REPORTED_VIOLATIONS]],
         "service": service_quality(scenario.fleet, evidence.requests)["service"],
         "drains": len(drains.with_reports.last) + len(drains.without_reports.last),
         **_drain_figures(drains),
@@ -152,19 +154,19 @@
 
 
 def _drain_figures(drains: DrainTimesBySpan) -> dict[str, Any]:
-    busy, quiet = drains
+    reporting, idle = drains
     return {
-        "ack_ms_with": [quantile(busy.each, share) for share in (0.5, 0.99, 1.0)],
-        "ack_ms_without": [quantile(quiet.each, share) for share in (0.5, 0.99, 1.0)],
-        "last_ack_ms_with": [quantile(busy.last, share) for share in (0.5, 1.0)],
-        "last_ack_ms_without": [quantile(quiet.last, share) for share in (0.5, 1.0)],
-        "ratio_last_ack": round(quantile(busy.last, 0.5) / max(1.0, quantile(quiet.last, 0.5)), 2),
-        "ratio_p99": round(quantile(busy.each, 0.99) / max(1.0, quantile(quiet.each, 0.99)), 2),
+        "ack_ms_with": [quantile(reporting.each, share) for share in (0.5, 0.99, 1.0)],
+        "ack_ms_without": [quantile(idle.each, share) for share in (0.5, 0.99, 1.0)],
+        "last_ack_ms_with": [quantile(reporting.last, share) for share in (0.5, 1.0)],
+        "last_ack_ms_without": [quantile(idle.last, share) for share in (0.5, 1.0)],
+        "ratio_last_ack": round(quantile(reporting.last, 0.5) / max(1.0, quantile(idle.last, 0.5)), 2),
+        "ratio_p99": round(quantile(reporting.each, 0.99) / max(1.0, quantile(idle.each, 0.99)), 2),
     }
 
 
 def _cpu_figures(cpu_s: dict[str, Any], arm: Arm) -> dict[str, Any]:
-    """Processor time as shares of a core, and each reader's by part in seconds."""
+    """Returns CPU time as shares of a core, and that of each reader by part in seconds."""
     by_reader = {name: parts for name, parts in cpu_s.items() if isinstance(parts, dict)}
     readers_s = sum(sum(parts.values()) for parts in by_reader.values())
     return {
@@ -183,9 +185,9 @@
     Args:
         sizes: Numbers of proxies.
         readers: Where reports are read: `inbox`, `thread` or `processes`.
-        requests_per_s: Requests a second, at every size.
-        spans: The number of spans, with and without reports in turn.
-        folder: Where records go.
+        requests_per_s: Requests per second, at every size.
+        spans: The number of spans, alternating with and without reports.
+        folder: The folder for the arms' records.
         settings: Further settings of load reports.
     """
     rows = [measure(size, reader, requests_per_s, spans, folder, settings) for size in sizes for reader in readers]
--- a/quillstep/bench/replay.py
+++ b/quillstep/bench/replay.py
@@ -1,6 +1,6 @@
-"""How fast recorded scenarios replay, whether alike each time, and how near the model comes to what was measured.
+"""Speed, repeatability and accuracy of the replays of recorded scenarios.
 
-The scenarios are played on loopback first, with recordings; then everything is measured on one core.
+The scenarios are first played on loopback with recordings; everything is then measured on one core.
 """
 
 import resource
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from quillstep.bench.results import machine_name
-from quillstep.bench.streams import scenario_of
+from quillstep.bench.streams import drain_scenario
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.recording import read_incarnations, read_records
 from quillstep.replay.comparison import mean
@@ -20,8 +20,8 @@
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 
-SECONDS = 20.0  # of each small scenario
-SEEDS = 3  # of the replays of each small scenario
+SMALL_SCENARIO_S = 20.0
+SEEDS = 3  # Replays of each small scenario.
 CLASS_TIMES = {"agreed_ms": 400.0, "cut_off_ms": 1200.0, "late_credit": 0.2}
 FAULTS_BY_KIND: dict[str, dict[str, Any]] = {
     "quiet": {},
@@ -38,9 +38,9 @@
 
 
 def small_scenario(kind: str) -> ScenarioSettings:
-    """Twelve endpoints, twelve proxies, two controllers, one kind of fault."""
+    """Returns a scenario with 12 endpoints, 12 proxies, two controllers and one kind of fault."""
     return ScenarioSettings.model_validate({
-        "name": kind, "seed": 41, "seconds": SECONDS, "proxies": 12, "pilots": 2, "exchanges_per_s": 220.0,
+        "name": kind, "seed": 41, "seconds": SMALL_SCENARIO_S, "proxies": 12, "pilots": 2, "exchanges_per_s": 220.0,
         "fleet": {
             "zones": ["norte", "sur"],
             "classes": [
@@ -58,7 +58,7 @@
 
 
 def measure_fidelity(kind: str, folder: Path) -> dict[str, Any]:
-    """How near the scenario's own replay comes to what was measured, on the whole and by class."""
+    """Returns the errors of the replay with the recorded settings, in total and by class."""
     recorded = read_recorded_scenario(folder)
     fleet = recorded.incarnations[0].settings.fleet
     inferred, held_out = infer_from(recorded)
@@ -87,7 +87,7 @@
 
 
 def measure_faithful(folder: Path) -> FaithfulSpeed:
-    """Plays all recordings through the controller's core, twice."""
+    """Replays all recordings through the controller's decision loop, twice."""
     cpu_s = recorded_s = 0.0
     digests: list[list[str]] = [[], []]
     is_identical = True
@@ -105,7 +105,7 @@
 
 
 def measure_speed(folder: Path) -> dict[str, Any]:
-    """Both replays of one scenario: times real time, whether alike twice, memory."""
+    """Measures both replays of one scenario: speed relative to real time, repeatability, memory."""
     faithful = measure_faithful(folder)
     recorded = read_recorded_scenario(folder)
     inferred = infer_from(recorded).endpoints
@@ -129,8 +129,8 @@
 
 
 def measure_recording_cost(proxies: int, requests_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
-    """The controller's processor time with a recording over that without; the same scenario is played twice."""
-    plain = scenario_of(proxies, requests_per_s, seconds, 1)
+    """Compares the controller's CPU time with and without a recording, in two runs of one scenario."""
+    plain = drain_scenario(proxies, requests_per_s, seconds, 1)
     cpu_share = {}
     for is_recorded in (False, True):
         scenario = ScenarioSettings.model_validate({**plain.model_dump(), "capture": is_recorded})
@@ -143,9 +143,9 @@
 
 
 def run(proxies: int, requests_per_s: float, seconds: float, folder: Path) -> dict[str, Any]:
-    """The large scenario first, then five small ones side by side."""
+    """Measures the large scenario, then five small ones, which are played in parallel."""
     large = ScenarioSettings.model_validate(
-        {**scenario_of(proxies, requests_per_s, seconds, 1).model_dump(), "capture": True}
+        {**drain_scenario(proxies, requests_per_s, seconds, 1).model_dump(), "capture": True}
     )
 
     def play_small(kind: str) -> Path:
--- a/quillstep/bench/results.py
+++ b/quillstep/bench/results.py
@@ -1,30 +1,30 @@
-"""What the results of several benchmarks have in common."""
+"""Functions shared by the benchmarks."""
 
 import platform
 
 from quillstep.invariants import Evidence
 from quillstep.invariants.evidence import Row
 
-MAX_KEPT_VIOLATIONS = 5  # of one row of results
+MAX_REPORTED_VIOLATIONS = 5  # Per row of results.
 
 
 def machine_name() -> str:
-    """The machine and the interpreter, as they stand in results."""
+    """Returns the names of the machine and the interpreter for results."""
     return f"{platform.machine()}, Python {platform.python_version()}"
 
 
 def ejected_endpoints(applied: Row) -> list[str]:
-    """The endpoints that an applied update ejects, by number as text."""
+    """Returns the endpoints that an applied update ejects; each is a number as text."""
     names = [resource for resource, _ in applied["changed"]]
     return [name.rpartition("/")[2] for name in names if "/withdrawn/" in name]
 
 
 def acknowledgement_times(evidence: Evidence) -> dict[tuple[str, str], float]:
-    """When each response was acknowledged, by its proxy and nonce."""
+    """Returns when each response was acknowledged, by proxy and nonce."""
     return {(row["proxy"], row["nonce"]): row["at"] for row in evidence.channel_rows if row["what"] == "ack"}
 
 
 def quantile(values: list[float], share: float) -> float:
-    """A quantile, rounded to a tenth; 0 without values."""
+    """Returns a quantile, rounded to a tenth; 0 without values."""
     ordered = sorted(values)
     return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], 1) if ordered else 0.0
--- a/quillstep/bench/sampling.py
+++ b/quillstep/bench/sampling.py
@@ -1,4 +1,4 @@
-"""How exact sampled load reports are: estimated attempts beside the true ones, in virtual time, from a seed."""
+"""Accuracy of sampled load reports: compares estimated with true attempts, in virtual time, from a seed."""
 
 import math
 import random
@@ -12,8 +12,8 @@
 from quillstep.load_reports.validation import LoadReport, ReportAccount
 
 USUAL_PERIOD_MS = 1000.0
-ATTEMPTS_PER_S = 2.0  # of the mean proxy at one endpoint
-MIN_PROXY_SIZE = 0.05  # of the mean proxy
+ATTEMPTS_PER_S = 2.0  # By a proxy of mean size, at one endpoint.
+MIN_PROXY_SIZE = 0.05  # Relative to the mean size.
 ATTEMPT_MS = 20.0
 UNLIMITED_ROWS_PER_S = 1e12
 REQUEST_CLASS = ClassSettings(
@@ -22,18 +22,18 @@
 
 
 def measure_sampling(proxies: int, endpoints: int, rows_per_s: float, seconds: float, seed: int) -> dict[str, Any]:
-    """Has proxies with uneven traffic report as requested and compares the estimates with the truth.
+    """Simulates sampled reports from proxies with uneven traffic and compares the estimates with the true counts.
 
     Args:
         proxies: The number of proxies.
         endpoints: The number of endpoints.
-        rows_per_s: The limit of report rows, which decides how sparse samples are.
+        rows_per_s: The limit of report rows per second; the lower, the sparser the samples.
         seconds: The length of the trial in virtual time.
         seed: The seed of the traffic.
 
     Returns:
-        `bias` is the mean of all relative errors, `error_rms` their root mean square, and `stated_rms` what the
-        sampling alone predicts: sqrt((groups - 1) x sum of squares over the sampled proxies) / total.
+        `bias` is the mean of all relative errors, `error_rms` their root mean square, and `stated_rms` the
+        error expected from sampling alone: sqrt((groups - 1) x sum of squares over the sampled proxies) / total.
     """
     trial = _SamplingTrial(proxies, endpoints, rows_per_s, seed)
     for second in range(int(seconds)):
@@ -42,7 +42,7 @@
 
 
 class _SamplingTrial:
-    """Proxies, the controller's aggregator and its sampler."""
+    """Simulated proxies, the controller's aggregator and its sampler."""
 
     def __init__(self, proxies: int, endpoints: int, rows_per_s: float, seed: int) -> None:
         self.random = random.Random(seed)
@@ -58,13 +58,13 @@
             self.aggregator.add_proxy(account, str(proxy))
             self.sampler.add_proxy(proxy, 0.0)
         self.due_ms = [USUAL_PERIOD_MS * self.random.random() for _ in self.proxies]
-        self.attempts = [[0] * endpoints for _ in self.proxies]  # not reported yet
-        self.begin_ms = 0.0  # of the comparison; 0 while every proxy reports in full
+        self.attempts = [[0] * endpoints for _ in self.proxies]  # Not reported yet.
+        self.begin_ms = 0.0  # Of the comparison; 0 while every proxy reports in full.
         self.errors: list[float] = []
         self.stated: list[float] = []
 
     def run_second(self, second: int) -> None:
-        """Runs one second: traffic, the reports that are due, the comparison, and new requests to proxies."""
+        """Runs one second: traffic, reports that are due, the comparison, new requests to proxies."""
         now_ms = (second + 1) * USUAL_PERIOD_MS
         self._add_traffic()
         true_attempts = self._send_reports(second, now_ms)
@@ -73,7 +73,7 @@
             self.sampler.observe(row, now_ms)
         turn = self.sampler.turn
         if turn.stage.groups > 1 and not self.begin_ms:
-            # From the second turn on: proxies were not notified before the first one.
+            # From the second turn on: in the first one proxies have not been notified yet.
             self.begin_ms = now_ms + turn.length_ms
         if self.begin_ms and now_ms >= self.begin_ms:
             estimates = {row.endpoint: row.succeeded for row in summary.upstream}
@@ -83,7 +83,7 @@
                 self.aggregator.set_request(request)
 
     def result(self) -> dict[str, Any]:
-        """The errors of all comparisons so far."""
+        """Returns the errors of all comparisons so far."""
         turn = self.sampler.turn
         full_cost = self.sampler.cost_per_s(STAGES[0], set())
         samples = len(self.errors)
@@ -130,7 +130,7 @@
         self.stated.append(self._stated_error())
 
     def _stated_error(self) -> float:
-        """The relative error that the sampling alone predicts for one endpoint."""
+        """Returns the relative error for one endpoint that is expected from sampling alone."""
         turn = self.sampler.turn
         factor = turn.stage.period_factor
         sampled = [
@@ -142,7 +142,7 @@
 
 
 def draw_poisson(generator: random.Random, mean: float) -> int:
-    """A Poisson draw by products of uniform draws, whose time grows with the mean."""
+    """Draws from a Poisson distribution by multiplying uniform draws (Knuth); the time grows with the mean."""
     limit, count, product = math.exp(-mean), 0, generator.random()
     while product > limit:
         count += 1
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -1,9 +1,9 @@
-"""What a store costs and saves: commits, rollbacks against whole tables, a controller's crash; on loopback.
+"""Cost and benefit of a store: commits, rollbacks of few and of all weights, a controller's crash; on loopback.
 
-A rollback is timed from the command until the last proxy has applied the chosen version.  What a whole table takes is
-measured the same way, with a version whose every weight differs.  A crash is a played scenario: some endpoints are
-slow, the controller has learnt it, is killed and starts again; in one arm it trusts the tables of its last incarnation
-at the start, in the other it does not.
+A rollback is timed from the command until the last proxy has applied the requested version.  A full table is measured
+the same way, with a version in which every weight differs.  A crash is a played scenario: some endpoints are slow, the
+controller has learnt it, is killed and restarts; in one arm it trusts the tables of its last incarnation at the start,
+in the other it does not.
 """
 
 import json
@@ -17,8 +17,8 @@
 from quillstep.bench.crash import kill_points
 from quillstep.bench.crash import run as run_kills
 from quillstep.bench.load_reports import last_status
-from quillstep.bench.results import MAX_KEPT_VIOLATIONS, machine_name
-from quillstep.bench.streams import ZONES, scenario_of
+from quillstep.bench.results import MAX_REPORTED_VIOLATIONS, machine_name
+from quillstep.bench.streams import ZONES, drain_scenario
 from quillstep.config.controller import StoreSettings
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import check_invariants, longest_drain_ms, longest_queue
@@ -33,31 +33,31 @@
 from quillstep.testbed.scenarios.service_quality import service_quality
 from quillstep.xds.resources import name
 
-SMALL_ROLLBACK_WEIGHTS = 8  # weights that a small rollback changes
+SMALL_ROLLBACK_WEIGHTS = 8  # Weights that a small rollback changes.
 MAX_ROLLBACK_S = 60.0
 MAX_COST_PROXIES = 262
 POLL_S = 0.02
-LAST_NUMBER_GAP = 100000  # between the last version and one made for a rollback
+VERSION_NUMBER_GAP = 100000  # From the last version to one made for a rollback.
 ENDPOINTS_PER_SLOW_ONE = 4
 SLOW_FACTOR = 4.0
-KILL_S = 20.0  # when the controller is killed
-DOWN_S = 1.5
-AFTER_S = 24.0  # what is measured after the restart; beyond the time for which recovered tables are trusted
-BEFORE_MS = 8000.0  # what is measured before the kill
+KILL_S = 20.0  # Time of the kill.
+DOWN_S = 1.5  # Time until the restart.
+MEASURED_AFTER_S = 24.0  # From the restart; longer than recovered tables are trusted.
+MEASURED_BEFORE_MS = 8000.0  # Up to the kill.
 TRUST_MS = StoreSettings().recovery_trust_ms
-MAX_RECOVERED_RATIO = 1.25  # of the slow endpoints' share of all weights, after the crash over before
+MAX_RECOVERED_RATIO = 1.25  # Of the slow endpoints' share of all weights after the crash to that before.
 
 
 class AppliedUpdates:
-    """The weights that the proxies of a running arm hold, followed in their record."""
+    """The weights that the proxies of a running arm hold, read from their record while it grows."""
 
     def __init__(self, arm: Arm) -> None:
-        self._offsets = dict.fromkeys(arm.folder.glob("proxies-*.jsonl"), 0)  # what was read of each file
-        self._versions: dict[str, dict[str, str]] = {}  # of weights by name, by proxy
+        self._offsets = dict.fromkeys(arm.folder.glob("proxies-*.jsonl"), 0)  # Bytes read so far.
+        self._versions: dict[str, dict[str, str]] = {}  # Of weights by name, by proxy.
         self._last_ms: dict[str, float] = {}
 
     def wait_for(self, wanted: dict[str, str], proxies: int, timeout_s: float) -> float | None:
-        """Waits until all proxies hold these versions; returns when the last came to, None: not in time."""
+        """Waits until all proxies hold these versions; returns when the last one applied them, None after a timeout."""
         end_s = time.monotonic() + timeout_s
         while time.monotonic() < end_s:
             self._read()
@@ -67,7 +67,7 @@
         return None
 
     def _read(self) -> None:
-        """Reads the whole lines that were added to the record."""
+        """Reads the complete lines that were added to the record."""
         for path, offset in self._offsets.items():
             with path.open("rb") as file:
                 file.seek(offset)
@@ -87,7 +87,7 @@
 
 
 def make_version(latest: VersionRow, number: int, is_small: bool) -> VersionRow:
-    """A version that differs from the latest in some weights, or in all."""
+    """Returns a version that differs from the latest in some weights or in all."""
     weights = [
         (endpoint, weight if is_small and index >= SMALL_ROLLBACK_WEIGHTS else weight + 3.0)
         for index, (endpoint, weight) in enumerate(latest.weights)
@@ -97,7 +97,7 @@
 
 
 def measure_rollbacks(proxies: int, folder: Path) -> dict[str, Any]:
-    """Both kinds of rollbacks in one arm, one after the other."""
+    """Measures both kinds of rollbacks in one arm, one after the other."""
     scenario = rollback_scenario(proxies)
     arm = Arm(scenario, plan_scenario(scenario), "learnt", folder)
     row: dict[str, Any] = {"what": "rollback", "proxies": proxies}
@@ -116,8 +116,8 @@
 
 
 def rollback_scenario(proxies: int) -> ScenarioSettings:
-    """A short scenario with a store and without faults; the update channel grows with the fleet."""
-    scenario = scenario_of(proxies, 0.5 * proxies, 3.0, 1)
+    """Returns a short scenario with a store and without faults; the update channel's rate grows with the fleet."""
+    scenario = drain_scenario(proxies, 0.5 * proxies, 3.0, 1)
     scale = max(1.0, proxies / 262.0)
     limits = {"lines_per_s": 3900.0 * scale, "max_queued_lines": 7000.0 * scale}
     channel = scenario.fleet.channel.model_copy(update=limits)
@@ -126,9 +126,9 @@
 
 
 def measure_rollback(arm: Arm, store: Store, is_small: bool, proxies: int) -> dict[str, Any]:
-    """One rollback: its time, and what was sent for it."""
+    """Measures one rollback: its duration, and the lines and bytes sent for it."""
     label = "few" if is_small else "whole"
-    number = store.last_number(VERSIONS, number_key(0)) + LAST_NUMBER_GAP
+    number = store.last_number(VERSIONS, number_key(0)) + VERSION_NUMBER_GAP
     version = make_version(store.versions(0)[-1], number, is_small)
     store.write([Entry(VERSIONS, number_key(0, number), version)])
     wanted = {}
@@ -149,14 +149,14 @@
 
 
 def sent_updates(arm: Arm) -> list[Row]:
-    """The updates that controllers have sent so far, in the sockets' record."""
+    """Returns the updates that controllers have sent so far, from the socket record."""
     return [row for row in arm.evidence().channel_rows if row["what"] == "send"]
 
 
 def crash_scenario(recovery_trust_ms: float, seed: int) -> ScenarioSettings:
-    """Slow endpoints that a controller has learnt, its crash, and a drain while it comes back."""
-    seconds = KILL_S + DOWN_S + AFTER_S + 4.0
-    base = scenario_of(32, 150.0, seconds, 1).model_dump()
+    """Returns a scenario of slow endpoints, a controller's crash, and a drain after its restart."""
+    seconds = KILL_S + DOWN_S + MEASURED_AFTER_S + 4.0
+    base = drain_scenario(32, 150.0, seconds, 1).model_dump()
     for row in base["fleet"]["classes"]:
         row.update(agreed_ms=400.0, cut_off_ms=1500.0)
     base["endpoints"] = [{**base["endpoints"][0], "each_zone": 4}]
@@ -171,23 +171,23 @@
 
 
 def measure_crash(recovery_trust_ms: float, seed: int, folder: Path) -> dict[str, Any]:
-    """One arm: service before and after, how soon the weights are right again, what had to be sent."""
+    """Measures one arm: service before and after the crash, the time to recover the weights, the lines sent."""
     scenario = crash_scenario(recovery_trust_ms, seed)
     arm = play_arm(scenario, folder)
     evidence = arm.evidence()
     killed_ms = arm.begin_ms + KILL_S * 1000.0
-    back_ms = killed_ms + DOWN_S * 1000.0
-    end_ms = back_ms + AFTER_S * 1000.0
+    restarted_ms = killed_ms + DOWN_S * 1000.0
+    end_ms = restarted_ms + MEASURED_AFTER_S * 1000.0
     requests = {
-        "before": [row for row in evidence.requests if killed_ms - BEFORE_MS <= row["at"] < killed_ms],
-        "after": [row for row in evidence.requests if back_ms <= row["at"] < end_ms],
+        "before": [row for row in evidence.requests if killed_ms - MEASURED_BEFORE_MS <= row["at"] < killed_ms],
+        "after": [row for row in evidence.requests if restarted_ms <= row["at"] < end_ms],
     }
-    sent = [row for row in sent_updates(arm) if back_ms <= row["at"] < end_ms]
+    sent = [row for row in sent_updates(arm) if restarted_ms <= row["at"] < end_ms]
     violations = check_invariants(evidence)
-    kept = violations[:MAX_KEPT_VIOLATIONS]
+    reported = violations[:MAX_REPORTED_VIOLATIONS]
     return {
         "what": "crash", "arm": "store" if recovery_trust_ms else "without", "seed": seed,
-        "rules_broken": len(violations), "breaks": [violation.to_row() for violation in kept],
+        "rules_broken": len(violations), "breaks": [violation.to_row() for violation in reported],
         **{f"service_{when}": service_quality(scenario.fleet, rows)["service"] for when, rows in requests.items()},
         "right_again_ms": recovery_time(arm, killed_ms), "lines_after": sum(row["lines"] for row in sent),
         "slowest_drain_ms": round(longest_drain_ms(evidence), 1), **commit_figures(arm),
@@ -195,9 +195,9 @@
 
 
 def recovery_time(arm: Arm, killed_ms: float) -> float:
-    """Milliseconds from the first version after the restart until the slow endpoints' share is again what it was.
+    """Returns the milliseconds from the first version after the restart until the slow endpoints' share has recovered.
 
-    -1 where there is no version before the kill or none after it.
+    -1 if there is no version before the kill or none after it.
     """
     store = Store(arm.folder / "store-0", write=False)
     rows = store.versions(0)
@@ -220,17 +220,17 @@
 
 
 def commit_figures(arm: Arm) -> dict[str, Any]:
-    """The last logged figures of the store's commits."""
+    """Returns the last logged figures of the store's commits."""
     status = last_status(arm, "store status")
     return {key: status.get(key) for key in ("commits", "mean_ms", "worst_ms", "late")}
 
 
 def measure_cost(folder: Path, proxies: int, seconds: float) -> list[dict[str, Any]]:
-    """One scenario with and without a store: CPU of the controller, commits, drains."""
+    """Measures a scenario with and without a store: the controller's CPU time, commits, drains."""
     rows = []
     for store in ("", "store"):
         settings = {"store": StoreSettings(folder=store)}
-        scenario = scenario_of(proxies, 3.0 * proxies, seconds, 1).model_copy(update=settings)
+        scenario = drain_scenario(proxies, 3.0 * proxies, seconds, 1).model_copy(update=settings)
         arm = play_arm(scenario, folder / f"cost-{store or 'none'}")
         evidence = arm.evidence()
         rows.append({
@@ -247,10 +247,10 @@
 
     Args:
         sizes: Numbers of proxies.
-        seeds: The number of crashes, each with and without a store.
-        seconds: The length of the scenario that the cost is measured on.
-        kills: The number of kills of a store's writer.
-        folder: Where records go.
+        seeds: The number of crashes, each with and without trust in recovered tables.
+        seconds: The length of the scenario for the cost of a store.
+        kills: The number of kills of a store writer.
+        folder: The folder for the arms' records.
     """
     rmtree(folder / "kills", ignore_errors=True)
     killed = run_kills(folder / "kills", kill_points(1, kills))
@@ -258,7 +258,7 @@
     rollbacks = [measure_rollbacks(size, folder / f"rollback-{size}") for size in sizes]
     crashes = []
     for seed in range(1, seeds + 1):
-        with ThreadPoolExecutor(2) as pool:  # side by side, so that both meet the same machine
+        with ThreadPoolExecutor(2) as pool:  # In parallel, so that both run under the same load.
             futures = [
                 pool.submit(measure_crash, trust_ms, seed, folder / f"crash-{trust_ms:g}-{seed}")
                 for trust_ms in (TRUST_MS, 0.0)
--- a/quillstep/bench/streams.py
+++ b/quillstep/bench/streams.py
@@ -1,26 +1,26 @@
-"""How many proxies a controller carries, how soon a drain reaches the last, what a changed slot costs; on loopback.
+"""Streams at scale: CPU time per proxy, the time until a drain reaches all proxies, update sizes; on loopback.
 
-Each size is one played scenario; figures come from the sockets' record and from the processes' CPU time.
+Each size is one played scenario; figures come from the socket record and from the processes' CPU time.
 """
 
 from collections import defaultdict
 from pathlib import Path
 from typing import Any
 
-from quillstep.bench.results import MAX_KEPT_VIOLATIONS, acknowledgement_times, ejected_endpoints, machine_name
+from quillstep.bench.results import MAX_REPORTED_VIOLATIONS, acknowledgement_times, ejected_endpoints, machine_name
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, check_invariants, longest_drain_ms, longest_queue
 from quillstep.invariants.evidence import Row
 from quillstep.testbed.scenarios.runner import play_arm
 from quillstep.testbed.scenarios.service_quality import service_quality
 
-ENDPOINTS_A_ZONE = 23
+ENDPOINTS_PER_ZONE = 23
 ZONES = ["norte", "sur", "oriente", "poniente"]
 TIMES = {"agreed_ms": 1200.0, "cut_off_ms": 3000.0, "late_credit": 0.2}
 
 
-def scenario_of(proxies: int, requests_per_s: float, seconds: float, controllers: int) -> ScenarioSettings:
-    """A plain scenario at one size: three drains, each with a return; the rest is traffic."""
+def drain_scenario(proxies: int, requests_per_s: float, seconds: float, controllers: int) -> ScenarioSettings:
+    """Returns a scenario of one size with traffic and three drains, after each of which the endpoint returns."""
     drains = [{"at_s": at, "for_s": 4.0, "what": "drain", "count": 1} for at in (seconds * k / 5 for k in (1, 2, 3))]
     return ScenarioSettings.model_validate({
         "name": f"{proxies} proxies", "seed": 5, "seconds": seconds, "proxies": proxies, "pilots": controllers,
@@ -37,15 +37,15 @@
             "rules": {"drain_grace_ms": 3000.0, "warm_after_ms": 18000.0, "start_capacity": 0.15},
             "channel": {"lines_per_s": 3900.0, "lines_waiting_most": 7000.0, "late_most_ms": 600.0},
         },
-        "endpoints": [{"each_zone": ENDPOINTS_A_ZONE, "connections_most": 250}],
+        "endpoints": [{"each_zone": ENDPOINTS_PER_ZONE, "connections_most": 250}],
         "baselines": [], "troubles": drains,
     })  # fmt: skip
 
 
 def drain_times(evidence: Evidence) -> list[float]:
-    """For each drain and controller: from its notification to the last acknowledgement of its proxies, milliseconds."""
-    acks = acknowledgement_times(evidence)
-    ejections: dict[str, list[Row]] = defaultdict(list)  # updates that proxies applied, by the endpoint they eject
+    """Returns the milliseconds from a drain's notification to the last ack, for each drain and controller."""
+    ack_times = acknowledgement_times(evidence)
+    ejections: dict[str, list[Row]] = defaultdict(list)  # Applied updates, by the endpoint that they eject.
     for row in evidence.applied_updates:
         for endpoint in ejected_endpoints(row):
             ejections[endpoint].append(row)
@@ -56,7 +56,7 @@
         incarnations = f"{update['pilot']}-"
         times_ms = []
         for row in ejections[str(update["endpoint"])]:
-            acknowledged_ms = acks.get((row["proxy"], row["nonce"]))
+            acknowledged_ms = ack_times.get((row["proxy"], row["nonce"]))
             is_later = row["at"] >= update["at"] and row["nonce"].startswith(incarnations)
             if is_later and acknowledged_ms is not None:
                 times_ms.append(acknowledged_ms - update["at"])
@@ -66,10 +66,10 @@
 
 
 def update_sizes(evidence: Evidence) -> dict[str, float]:
-    """Bytes and lines of one changed slot, and of a whole table, as they went over the sockets."""
+    """Returns the bytes and lines on the wire of one changed slot, and of a full table."""
     updates = [row for row in evidence.applied_updates if row["type"] == "LbEndpoint"]
     slots = [row["bytes"] for row in updates if len(row["changed"]) == 1 and not row["removed"]]
-    tables = [row for row in updates if len(row["changed"]) >= ENDPOINTS_A_ZONE]
+    tables = [row for row in updates if len(row["changed"]) >= ENDPOINTS_PER_ZONE]
     if not slots or not tables:
         return {}
     slot_bytes = sum(slots) / len(slots)
@@ -84,8 +84,8 @@
 
 
 def measure(proxies: int, requests_per_s: float, seconds: float, controllers: int, folder: Path) -> dict[str, Any]:
-    """Plays one size once."""
-    scenario = scenario_of(proxies, requests_per_s, seconds, controllers)
+    """Plays the scenario at one size."""
+    scenario = drain_scenario(proxies, requests_per_s, seconds, controllers)
     arm = play_arm(scenario, folder / f"{proxies}")
     evidence = arm.evidence()
     drains_ms = drain_times(evidence)
@@ -93,11 +93,11 @@
     return {
         "proxies": proxies,
         "pilots": controllers,
-        "endpoints": ENDPOINTS_A_ZONE * len(ZONES),
+        "endpoints": ENDPOINTS_PER_ZONE * len(ZONES),
         "exchanges_per_s": round(len(evidence.requests) / seconds, 1),
         "service": service_quality(scenario.fleet, evidence.requests)["service"],
         "rules_broken": len(violations),
-        "breaks": [violation.to_row() for violation in violations[:MAX_KEPT_VIOLATIONS]],
+        "breaks": [violation.to_row() for violation in violations[:MAX_REPORTED_VIOLATIONS]],
         "drains": len(drains_ms),
         "drain_to_last_ack_ms": round(max(drains_ms, default=0.0), 1),
         "last_try_after_drain_ms": round(longest_drain_ms(evidence), 1),
@@ -111,7 +111,7 @@
 
 
 def run(sizes: list[int], requests_per_s: float, seconds: float, controllers: int, folder: Path) -> dict[str, Any]:
-    """Plays all sizes, one after another; traffic is in proportion to the largest."""
+    """Plays all sizes, one after another; traffic is proportional to size, `requests_per_s` at the largest."""
     largest = max(sizes)
     rows = [measure(size, requests_per_s * size / largest, seconds, controllers, folder) for size in sizes]
     return {"bench": "streams", "machine": machine_name(), "rows": rows}
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -1,8 +1,9 @@
-"""Every response of a loopback run traced, late and lost updates judged against the truth, and what it costs.
+"""Tracing of all responses on loopback: its cost, and the detection of late and lost updates against the true faults.
 
-One scenario at one size is played in three arms, in turn: nothing recorded, the sockets' record, record and spans.  It
-drains endpoints, loses responses and answers, and has proxies that refuse, answer late and apply slowly.  A second
-scenario, of proxies that apply slowly and lose a controller, is played with and without splitting large updates.
+One scenario of one size is played alternately in three arms: no record, the socket record, record and spans.  It
+drains endpoints, loses updates and responses of endpoints, and has proxies that reject updates, acknowledge late or
+apply slowly.  A second scenario, in which proxies apply slowly and lose a controller, is played with and without
+splitting large updates.
 """
 
 from collections import Counter, defaultdict
@@ -11,8 +12,8 @@
 
 import msgspec
 
-from quillstep.bench.results import MAX_KEPT_VIOLATIONS, machine_name, quantile
-from quillstep.bench.streams import scenario_of
+from quillstep.bench.results import MAX_REPORTED_VIOLATIONS, machine_name, quantile
+from quillstep.bench.streams import drain_scenario
 from quillstep.config.scenario import ScenarioSettings
 from quillstep.invariants import Evidence, Rule, check_invariants
 from quillstep.model_checking.runner import check_all
@@ -23,23 +24,23 @@
 from quillstep.tracing.otlp import read_spans
 from quillstep.tracing.report import read_trace_index, summarize
 
-SLOW_LINE_MS = 3.0  # that a slow proxy needs to apply a line
-MAX_DETECTION_MS = 8000.0  # within which a lost response must be detected, or its stream have ended
+SLOW_LINE_MS = 3.0  # Time in which a slow proxy applies a line.
+MAX_DETECTION_MS = 8000.0  # A lost update must be detected within this time unless its stream closes.
 
 
 class TracingArm(NamedTuple):
-    """What is recorded in one arm."""
+    """The records that one arm writes."""
 
     has_record: bool
-    sampled_share: float  # of traces, whose spans are written
+    sampled_share: float  # Of traces, whose spans are written.
 
 
 ARMS = {"bare": TracingArm(False, 0.0), "record": TracingArm(True, 0.0), "spans": TracingArm(True, 0.05)}
 
 
 def traced_scenario(proxies: int, requests_per_s: float, seconds: float) -> ScenarioSettings:
-    """The scenario of `bench streams`, with all that makes updates late or lost."""
-    base = scenario_of(proxies, requests_per_s, seconds, 1).model_dump()
+    """Returns the scenario of `bench streams` with all faults that delay or lose updates."""
+    base = drain_scenario(proxies, requests_per_s, seconds, 1).model_dump()
     few = max(2, proxies // 20)
     part = seconds / 10.0
     base["troubles"] += [
@@ -55,8 +56,8 @@
 
 
 def slow_scenario(proxies: int, splits_updates: bool) -> ScenarioSettings:
-    """Proxies that apply slowly and move between two controllers, each of which learns slots of its own."""
-    base = scenario_of(proxies, 3.0 * proxies, 16.0, 2).model_dump()
+    """Returns a scenario of proxies that apply slowly and move between two controllers with different weights."""
+    base = drain_scenario(proxies, 3.0 * proxies, 16.0, 2).model_dump()
     for row in base["fleet"]["classes"]:
         row.update(agreed_ms=400.0, cut_off_ms=1500.0)
     base["limits"]["spreads"] = splits_updates
@@ -70,8 +71,8 @@
     return ScenarioSettings.model_validate({**base, "name": f"slow lines, {proxies} proxies"})
 
 
-def judge_detection(evidence: Evidence) -> dict[str, Any]:
-    """Compares the updates that a controller took for lost with those that proxies recorded as lost."""
+def loss_detection_figures(evidence: Evidence) -> dict[str, Any]:
+    """Compares the updates that controllers classified as lost with those that proxies recorded as lost."""
     lost_ms = {(row["proxy"], row["nonce"]): row["at"] for row in evidence.lost_responses}
     statuses = [row for row in evidence.channel_rows if row["what"] == "verdict"]
     detected_ms = {(row["proxy"], row["nonce"]): row["at"] for row in statuses if row["kind"] == LOST}
@@ -87,7 +88,7 @@
 
 
 def _count_missed(evidence: Evidence, undetected_ms: dict[tuple[str, str], float]) -> int:
-    """Lost responses that were not detected though their stream went on and the run was long enough."""
+    """Counts lost updates that were not detected although their stream stayed open and the run was long enough."""
     ends_ms: dict[str, list[float]] = defaultdict(list)
     for row in evidence.stream_changes:
         if not row["up"]:
@@ -100,12 +101,12 @@
 
 
 def latency_quantile(evidence: Evidence, share: float) -> float:
-    """A quantile of the latencies of answered requests, milliseconds."""
+    """Returns a quantile of the latencies of successful requests, milliseconds."""
     return quantile([row["end"] - row["at"] for row in evidence.requests if row["outcome"] == "ok"], share)
 
 
 class SpanCounts(NamedTuple):
-    """The spans of an arm, and those whose parent nobody wrote."""
+    """The number of spans of an arm, and of those without a written parent."""
 
     spans: int
     orphans: int
@@ -114,8 +115,8 @@
 def count_spans(arm: Arm) -> SpanCounts:
     """Counts the spans that the controller and the proxies wrote."""
     spans = [span for path in sorted(arm.folder.glob("spans-*.json")) for span in read_spans(path)]
-    known = {(span["traceId"], span["spanId"]) for span in spans}
-    orphans = sum("parentSpanId" in span and (span["traceId"], span["parentSpanId"]) not in known for span in spans)
+    written = {(span["traceId"], span["spanId"]) for span in spans}
+    orphans = sum("parentSpanId" in span and (span["traceId"], span["parentSpanId"]) not in written for span in spans)
     return SpanCounts(len(spans), orphans)
 
 
@@ -135,10 +136,10 @@
         traced = msgspec.to_builtins(summarize(read_trace_index(arm.folder)))
         row.update(
             rules_broken=len(violations),
-            breaks=[violation.to_row() for violation in violations[:MAX_KEPT_VIOLATIONS]],
+            breaks=[violation.to_row() for violation in violations[:MAX_REPORTED_VIOLATIONS]],
             run_twice=sum(violation.rule == Rule.DUPLICATE_EFFECT for violation in violations),
             **{name: traced[name] for name in ("answers", "untraced", "rounds", "word_lost", "standing")},
-            **judge_detection(evidence),
+            **loss_detection_figures(evidence),
         )  # fmt: skip
     if sampled_share:
         row["spans"], row["spans_without_parent"] = count_spans(arm)
@@ -146,7 +147,7 @@
 
 
 def measure_splitting(proxies: int, splits_updates: bool, folder: Path) -> dict[str, Any]:
-    """Plays one arm of the slow scenario: how long an update stalled proxies."""
+    """Plays one arm of the slow scenario; measures how long updates stalled proxies."""
     scenario = slow_scenario(proxies, splits_updates)
     arm = play_arm(scenario, folder)
     evidence = arm.evidence()
@@ -154,7 +155,7 @@
     violations = check_invariants(evidence)
     return {
         "arm": "spread" if splits_updates else "all at once", "rules_broken": len(violations),
-        "breaks": [violation.to_row() for violation in violations[:MAX_KEPT_VIOLATIONS]],
+        "breaks": [violation.to_row() for violation in violations[:MAX_REPORTED_VIOLATIONS]],
         "stood_still_most_ms": quantile(stalls_ms, 1.0),
         "stood_still_p99_ms": quantile(stalls_ms, 0.99),
         "exchange_p99_ms": latency_quantile(evidence, 0.99),
@@ -163,7 +164,7 @@
 
 
 def run(proxies: int, requests_per_s: float, seconds: float, turns: int, depth: int, folder: Path) -> dict[str, Any]:
-    """Plays all arms in turn and the slow scenario, and checks the model to a depth."""
+    """Plays the arms alternately and the slow scenario, and checks the model to a depth."""
     scenario = traced_scenario(proxies, requests_per_s, seconds)
     rows = [measure(scenario, name, folder / f"lineage-{name}-{turn}") for turn in range(turns) for name in ARMS]
     cpu = {name: sum(row["pilot_cpu_of_a_core"] for row in rows if row["arm"] == name) / turns for name in ARMS}
--- a/quillstep/model_checking/bounded_model.py
+++ b/quillstep/model_checking/bounded_model.py
@@ -85,7 +85,7 @@
             run = [labels[solution.eval(each, model_completion=True).as_long()] for each in step_indices]
             return SearchResult(name, index, run, round(time.monotonic() - begun_s, 2))
         if result != z3.unsat:
-            raise SearchError(f"z3 could not decide {name!r} at depth {index}: {solver.reason_unknown()}")
+            raise SearchError(f"z3 could not decide {name} at depth {index}: {solver.reason_unknown()}")
         solver.pop()
         if index == depth:
             break
@@ -110,7 +110,7 @@
     for step in steps:
         unknown = set(step.assignments) - set(before)
         if unknown:
-            raise KeyError(f"step {step.name!r} sets unknown variables: {sorted(unknown)}")
+            raise KeyError(f"step {step.name} sets unknown variables: {sorted(unknown)}")
     options = []
     for index, step in enumerate(steps):
         assignments = [after[name] == step.assignments.get(name, before[name]) for name in before]
