--- a/quillstep/bench/results.py
+++ b/quillstep/bench/results.py
@@ -5,7 +5,7 @@
 from quillstep.invariants import Evidence
 from quillstep.invariants.evidence import Row
 
-MAX_REPORTED_VIOLATIONS = 5  # Per row of results.
+MAX_REPORTED_VIOLATIONS = 5  # Limit of violations in a row of results.
 
 
 def machine_name() -> str:
--- a/quillstep/bench/sampling.py
+++ b/quillstep/bench/sampling.py
@@ -12,8 +12,8 @@
 from quillstep.load_reports.validation import LoadReport, ReportAccount
 
 USUAL_PERIOD_MS = 1000.0
-ATTEMPTS_PER_S = 2.0  # By a proxy of mean size, at one endpoint.
-MIN_PROXY_SIZE = 0.05  # Relative to the mean size.
+ATTEMPTS_PER_S = 2.0  # Attempts of a proxy of mean size at one endpoint.
+MIN_PROXY_SIZE = 0.05  # Lower bound of the traffic of a proxy, as a share of the mean one.
 ATTEMPT_MS = 20.0
 UNLIMITED_ROWS_PER_S = 1e12
 REQUEST_CLASS = ClassSettings(
@@ -59,7 +59,7 @@
             self.sampler.add_proxy(proxy, 0.0)
         self.due_ms = [USUAL_PERIOD_MS * self.random.random() for _ in self.proxies]
         self.attempts = [[0] * endpoints for _ in self.proxies]  # Not reported yet.
-        self.begin_ms = 0.0  # Of the comparison; 0 while every proxy reports in full.
+        self.begin_ms = 0.0  # Start of the comparison; 0 while every proxy reports in full.
         self.errors: list[float] = []
         self.stated: list[float] = []
 
--- a/quillstep/bench/store.py
+++ b/quillstep/bench/store.py
@@ -37,15 +37,15 @@
 MAX_ROLLBACK_S = 60.0
 MAX_COST_PROXIES = 262
 POLL_S = 0.02
-VERSION_NUMBER_GAP = 100000  # From the last version to one made for a rollback.
+VERSION_NUMBER_GAP = 100000  # Difference between the last version and one made for a rollback.
 ENDPOINTS_PER_SLOW_ONE = 4
 SLOW_FACTOR = 4.0
-KILL_S = 20.0  # Time of the kill.
-DOWN_S = 1.5  # Time until the restart.
-MEASURED_AFTER_S = 24.0  # From the restart; longer than recovered tables are trusted.
-MEASURED_BEFORE_MS = 8000.0  # Up to the kill.
+KILL_S = 20.0  # Time of the controller's kill.
+DOWN_S = 1.5  # Time between the kill and the restart.
+MEASURED_AFTER_S = 24.0  # Measured span after the restart; longer than recovered tables are trusted.
+MEASURED_BEFORE_MS = 8000.0  # Measured span before the kill.
 TRUST_MS = StoreSettings().recovery_trust_ms
-MAX_RECOVERED_RATIO = 1.25  # Of the slow endpoints' share of all weights after the crash to that before.
+MAX_RECOVERED_RATIO = 1.25  # Ratio of the slow endpoints' share of all weights, after to before the crash.
 
 
 class AppliedUpdates:
@@ -53,7 +53,7 @@
 
     def __init__(self, arm: Arm) -> None:
         self._offsets = dict.fromkeys(arm.folder.glob("proxies-*.jsonl"), 0)  # Bytes read so far.
-        self._versions: dict[str, dict[str, str]] = {}  # Of weights by name, by proxy.
+        self._versions: dict[str, dict[str, str]] = {}  # Versions of weights by name, by proxy.
         self._last_ms: dict[str, float] = {}
 
     def wait_for(self, wanted: dict[str, str], proxies: int, timeout_s: float) -> float | None:
--- a/quillstep/bench/tracing.py
+++ b/quillstep/bench/tracing.py
@@ -32,7 +32,7 @@
     """The records that one arm writes."""
 
     has_record: bool
-    sampled_share: float  # Of traces, whose spans are written.
+    sampled_share: float  # Share of traces whose spans are written.
 
 
 ARMS = {"bare": TracingArm(False, 0.0), "record": TracingArm(True, 0.0), "spans": TracingArm(True, 0.05)}
--- a/quillstep/model_checking/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -29,16 +29,16 @@
     ClassSettings(name="save", latency_objective_ms=400.0, deadline_ms=900.0, priority_weight=1.0, semantics="unsafe"),
 ]
 ENDPOINTS = (1, 2)
-WEIGHT_SUM = 30.0  # Of the two weights between which endpoint 1 alternates.
-RETRY_POLICY_SUM = 3  # Of the two retry policies between which the class alternates.
+WEIGHT_SUM = 30.0  # Sum of the two weights between which endpoint 1 alternates.
+RETRY_POLICY_SUM = 3  # Sum of the two retry policies between which the class alternates.
 MAX_STEPS_UNTIL_IDLE = 400
-MAX_RESPONSES = 3  # In transit to the proxy.
-MAX_REQUESTS = 3  # In transit to the controller.
+MAX_RESPONSES = 3  # Limit of responses in transit to the proxy.
+MAX_REQUESTS = 3  # Limit of requests in transit to the controller.
 LIMITS = LimitSettings()
 
 
 class ModelController:
-    """A controller's tables, without a clock of their own."""
+    """A controller's tables; times come from the `World`."""
 
     def __init__(self, encoder: Encoder, make_tables: Callable[..., Tables]) -> None:
         self.encoder = encoder
@@ -80,8 +80,8 @@
     owner: int = -1
     stream: DeltaStream | None = None
     held: dict[str, dict[str, str]] = field(default_factory=dict)  # Versions that the proxy holds, by type and name.
-    responses: list[bytes] = field(default_factory=list)  # In transit to the proxy.
-    requests: list[bytes] = field(default_factory=list)  # In transit to the controller.
+    responses: list[bytes] = field(default_factory=list)  # Responses in transit to the proxy.
+    requests: list[bytes] = field(default_factory=list)  # Requests in transit to the controller.
     now_ms: float = TICK_MS
     streams: int = 0
 
--- a/quillstep/model_checking/runner.py
+++ b/quillstep/model_checking/runner.py
@@ -15,12 +15,12 @@
 from quillstep.routing import Tables
 
 MODELS: dict[str, Any] = {"stream": stream_model, "way back": rollback_model}
-REAL_CODE = "code"  # Names the search that explores the real tables.
+REAL_CODE = "code"  # Name of the search that explores the real tables.
 MUTANT_DEPTH = 9  # Steps within which each mutant of a model is found.
 REAL_MUTANT_DEPTH = 7  # Steps within which each mutant of the real tables is found.
-MAX_STATES = 60_000  # Per exploration.
+MAX_STATES = 60_000  # Limit per exploration.
 MAX_MESSAGES = 20  # The default message limit per proxy.
-UPDATE_INTERVAL = 1.2  # Of the planner, in units of the limit's window / MAX_MESSAGES.
+UPDATE_INTERVAL = 1.2  # Interval between the planner's updates, in units of the limit's window / MAX_MESSAGES.
 MAX_JOINS = 2
 
 
--- a/quillstep/replay/endpoint_model.py
+++ b/quillstep/replay/endpoint_model.py
@@ -72,7 +72,7 @@
         self._busy: deque[BusySpan] = deque()
         self._max_connections: int = row.get("connections_most", UNLIMITED_CONNECTIONS)
         self._connect_work_ms: float = row.get("connect_work_ms", 0.0)
-        self._idle_since_ms: dict[str, list[float]] = {}  # Of each idle connection, by proxy.
+        self._idle_since_ms: dict[str, list[float]] = {}  # When each idle connection became idle, by proxy.
         self._connections_in_use = 0
 
     def unreachable_share(self, now_ms: float) -> float:
--- a/quillstep/replay/faithful.py
+++ b/quillstep/replay/faithful.py
@@ -35,7 +35,7 @@
 
     def __init__(self, number: int) -> None:
         self.number, self.is_full = number, False
-        self.last_received_ms = 0.0  # Only logged, with late acknowledgements; no decision depends on it.
+        self.last_received_ms = 0.0  # It is only logged, with late acknowledgements; no decision depends on it.
 
     def unsent_bytes(self) -> int:
         """Returns a size above any limit if the buffer is full, otherwise 0."""
--- a/quillstep/replay/modelled_scenario.py
+++ b/quillstep/replay/modelled_scenario.py
@@ -38,7 +38,7 @@
         self.endpoints_by_address: dict[str, ModelledEndpoint] = {}
         self.requests: list[Row] = []
         self.served_requests: list[ServedRequest] = []
-        self._first_executed_ms: dict[tuple[str, str], float] = {}  # By class and request, for idempotent classes.
+        self._first_executed_ms: dict[tuple[str, str], float] = {}  # Times by class and request, for keyed classes.
 
     def add_endpoint(self, endpoint: ModelledEndpoint) -> None:
         """Adds an endpoint."""
--- a/quillstep/replay/proxy_model.py
+++ b/quillstep/replay/proxy_model.py
@@ -85,11 +85,11 @@
         self.tables = ProxyTables()
         self._scenario, self._draw = scenario, draw
         self._initial_weights = {f"{host}:{port}": 1.0 for host, port in row["standing"]}
-        self._current_weights: dict[int, dict[str, float]] = {}  # Of smooth weighted round robin, by table and address.
+        self._current_weights: dict[int, dict[str, float]] = {}  # Smooth weighted round robin, by table and address.
         self._consecutive_failures: dict[str, int] = {}
         self._ejected_until_ms: dict[str, float] = {}
         self._buckets: dict[int, TokenBucket] = {}
-        self._upstream: dict[str, EndpointRow] = {}  # Since the last report, like the arrivals.
+        self._upstream: dict[str, EndpointRow] = {}  # Counts since the last report, like `_arrivals`.
         self._arrivals: dict[int, ClassArrivals] = {}
         self._reported_ms = scenario.clock.now_ms
         self._report_count = 0
--- a/quillstep/replay/proxy_tables.py
+++ b/quillstep/replay/proxy_tables.py
@@ -29,7 +29,7 @@
         self.routes: dict[int, Route] = {}
         self.admitted_shares: dict[int, dict[int, float]] = {}
         self.versions: dict[Key, str] = {}
-        self._addresses: dict[Key, str] = {}  # By key of the weight, to remove it later.
+        self._addresses: dict[Key, str] = {}  # Addresses by key of the weight; needed to remove it.
         self._ejected: dict[int, str] = {}
 
     @property
--- a/quillstep/replay/recorded_scenario.py
+++ b/quillstep/replay/recorded_scenario.py
@@ -173,9 +173,9 @@
             recorded.last_ms + shift_ms,
         )
         self._shift_ms = shift_ms
-        self._sent_ms: dict[tuple[str, str], float] = {}  # By proxy and nonce.
-        self._report_nodes: dict[tuple[int, int], str] = {}  # By peer and stream; empty until the first request.
-        self._proxy_names: list[str] = []  # By proxy number, which the first join assigns.
+        self._sent_ms: dict[tuple[str, str], float] = {}  # Times of unanswered responses by proxy and nonce.
+        self._report_nodes: dict[tuple[int, int], str] = {}  # Node IDs by peer and stream; "" until the first request.
+        self._proxy_names: list[str] = []  # Names by proxy number, which the first join assigns.
 
     def read(self, record: Record) -> None:
         """Adds one record to the incarnation."""
--- a/quillstep/replay/replayed_controller.py
+++ b/quillstep/replay/replayed_controller.py
@@ -20,9 +20,9 @@
 from quillstep.routing.in_flight import InFlightState
 from quillstep.routing.resources import LISTENER
 
-UPDATE_DELAY_SHARE = 0.5  # Share of a recorded delay until the update arrives; the rest is the ack's.
-DEFAULT_DELAY_MS = 5.0  # For a proxy without recorded delays.
-MAX_IN_FLIGHT_UPDATES = 8  # Per proxy.
+UPDATE_DELAY_SHARE = 0.5  # Share of an ack's delay until the update arrives; the rest is the ack's transit.
+DEFAULT_DELAY_MS = 5.0  # Ack delay of a proxy without recorded delays.
+MAX_IN_FLIGHT_UPDATES = 8  # Limit per proxy.
 MIN_PASS_INTERVAL_MS = 0.05
 
 
@@ -195,7 +195,7 @@
 
     def _run_pass(self, due_ms: float) -> None:
         if self._has_ended or due_ms != self._pass_due_ms:
-            return  # Replaced by an earlier pass.
+            return  # An earlier pass has replaced this one.
         self._pass_due_ms = float("inf")
         now_ms = self._scenario.clock.now_ms
         self._loop.run_pass(now_ms)
--- a/tests/compatibility/simulator_dialogue.py
+++ b/tests/compatibility/simulator_dialogue.py
@@ -6,7 +6,7 @@
 
 import random
 
-BATCHES = 160  # Per dialogue.
+BATCHES = 160  # Number per dialogue.
 CLASSES = ["lookup", "quote", "issue"]
 ZONES = ["a", "b", "c"]
 
