--- a/quillstep/controller/proxy_registry.py
+++ b/quillstep/controller/proxy_registry.py
@@ -33,7 +33,7 @@
         joined = self.joined_number(node)
         previous = self._fronts.get(joined) if joined is not None else None
         if joined is not None and previous is not None and previous is not front:
-            previous.drop(joined, "it has moved to another front", now_ms)
+            previous.drop(joined, "the proxy moved to another front", now_ms)
         number = self.numbers.setdefault(node, len(self.numbers))
         self.zones[number] = zone
         self._fronts[number] = front
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -104,7 +104,7 @@
         registration = registered.registration
         if directory in self.generations:
             number = self.generations[directory].number
-            self._leave(directory, "it says hello anew", now_ms)
+            self._leave(directory, "the proxy registered again", now_ms)
             registered = registered._replace(newest=max(registered.newest, number))
         versions = self._held_versions(registered)
         is_fresh = not versions and not registration.generation
@@ -243,6 +243,6 @@
             oldest_ms = self.tables.proxies[generations.proxy].oldest_sent_ms()
             idle_ms, ack_ms = self.file_settings.idle_timeout_ms, self.settings.limits.ack_timeout_ms
             if now_ms - generations.last_received_ms > idle_ms:
-                self._leave(directory, f"no word from it for {idle_ms:g} ms", now_ms)
+                self._leave(directory, f"idle for {idle_ms / 1000.0:g} s", now_ms)
             elif oldest_ms is not None and not generations.is_writing and now_ms - oldest_ms > ack_ms:
                 self._leave(directory, f"no acknowledgement within {ack_ms:g} ms", now_ms)
--- a/quillstep/net/connection.py
+++ b/quillstep/net/connection.py
@@ -94,7 +94,7 @@
             self.codec.send(stream, message)
             is_over_limit = self.unsent_bytes() > self.poller.limits.max_unsent_bytes + 2 * len(message)
         if is_over_limit:
-            self.close("it reads more slowly than its bound allows")
+            self.close("unsent data: size limit reached")
         self.poller.schedule(self)
         return not is_over_limit
 
--- a/quillstep/net/poller.py
+++ b/quillstep/net/poller.py
@@ -129,7 +129,7 @@
     def _shut_down(self) -> None:
         self.listener.close()
         for connection in list(self.connections.values()):
-            connection.close_reason = connection.close_reason or "the controller stops"
+            connection.close_reason = connection.close_reason or "the server is shutting down"
             self.update(connection)
         self.wakeup.close()
 
@@ -194,7 +194,7 @@
             try:
                 data = connection.sock.recv(RECEIVE_BYTES, socket.MSG_DONTWAIT)
                 if not data:
-                    self.close_now(connection, connection.close_reason or "it closed the connection")
+                    self.close_now(connection, connection.close_reason or "the peer closed the connection")
                     return
                 self._receive(connection, data)
             except BlockingIOError:
@@ -243,7 +243,7 @@
             if connection.send_buffer:
                 self._write(connection)
         except OSError:
-            self.close_now(connection, connection.close_reason or "the connection broke")
+            self.close_now(connection, connection.close_reason or "write failed")
             return
         except Exception as error:
             self._close_after_error(connection, error)
@@ -312,11 +312,11 @@
         connection.budget_updated_ms = now
         idle_ms = now - connection.last_received_ms
         if not connection.is_registered and now - connection.accepted_ms > limits.handshake_timeout_ms:
-            self.evict_unregistered(connection, "it did not register in time")
+            self.evict_unregistered(connection, "registration timed out")
         elif connection.send_buffer and now - connection.last_written_ms > limits.write_timeout_ms:
-            self.close_now(connection, "it takes no bytes")
+            self.close_now(connection, "write timed out")
         elif connection.is_registered and not connection.is_paused and idle_ms > self.idle_timeout_ms:
-            self.close_now(connection, "it was silent for too long")
+            self.close_now(connection, f"idle for {self.idle_timeout_ms / 1000.0:g} s")
         elif connection.is_registered and min(idle_ms, now - connection.last_ping_ms) > limits.ping_interval_ms:
             connection.last_ping_ms = now
             with connection.lock:
--- a/quillstep/xds/peer.py
+++ b/quillstep/xds/peer.py
@@ -69,7 +69,7 @@
             is_over_limit = self.codec.unsent_bytes > self.max_unsent_bytes + 2 * len(message)
             self.wake.notify()
         if is_over_limit:
-            self.close(f"unsent data: size limit of {self.max_unsent_bytes} bytes reached")
+            self.close("unsent data: size limit reached")
         return not is_over_limit
 
     def with_codec(self, action: Callable[[GrpcConnection], None]) -> None:
@@ -113,7 +113,7 @@
                 events = self.codec.receive(data)
                 self.protocol_output += self.codec.pending_output()
                 if len(self.protocol_output) > self.max_unsent_bytes:
-                    raise ProtocolError("the peer causes more control frames than it reads")
+                    raise ProtocolError("unsent control frames: size limit reached")
                 self.wake.notify()
             for event in events:
                 self.on_event(self, event)
