--- a/quillstep/bench/charts.py
+++ b/quillstep/bench/charts.py
@@ -20,7 +20,7 @@
             axes.plot(comparison["windows"][name], style, label=name, linewidth=1.2)
     rows = comparison["windows"]["changed" if comparison["change"] else "replayed"]
     if len(rows) >= WORST_SPAN_S:
-        spans = [(sum(rows[at : at + WORST_SPAN_S]), at) for at in range(len(rows) - WORST_SPAN_S + 1)]
+        spans = [(sum(rows[start : start + WORST_SPAN_S]), start) for start in range(len(rows) - WORST_SPAN_S + 1)]
         worst = min(spans)[1]
         axes.axvspan(worst, worst + WORST_SPAN_S - 1, color="orange", alpha=0.2, label="worst 5 s")
     axes.set_xlabel("s")
@@ -57,11 +57,11 @@
     names = [f"{row['proxies']}\n{row['by']}" for row in rows]
     positions = range(len(rows))
     for offset, arm, color in ((-0.2, "with", "tab:red"), (0.2, "without", "tab:blue")):
-        drains.bar([at + offset for at in positions], [row[f"last_ack_ms_{arm}"][0] for row in rows], 0.4,
+        drains.bar([position + offset for position in positions], [row[f"last_ack_ms_{arm}"][0] for row in rows], 0.4,
                    color=color, label=f"{arm} reports")  # fmt: skip
-    for at, row in enumerate(rows):
+    for position, row in enumerate(rows):
         if row["rules_broken"]:
-            drains.text(at, row["last_ack_ms_with"][0], f"{row['rules_broken']}\nbroken", ha="center", fontsize=7)
+            drains.text(position, row["last_ack_ms_with"][0], f"{row['rules_broken']}\nbroken", ha="center", fontsize=7)
     drains.set_yscale("log")
     drains.set_ylabel("ms to a drain's last acknowledgement")
     drains.legend()
--- a/quillstep/bench/crash.py
+++ b/quillstep/bench/crash.py
@@ -38,11 +38,11 @@
 def kill_points(seed: int, count: int) -> Iterator[int]:
     """Yields `count` points, counted from 1: all in ascending order, all in descending order, then random ones."""
     draw = random.Random(seed).randint
-    for at in range(count):
-        if at < POINTS_PER_INCARNATION:
-            yield at + 1
-        elif at < 2 * POINTS_PER_INCARNATION:
-            yield 2 * POINTS_PER_INCARNATION - at
+    for index in range(count):
+        if index < POINTS_PER_INCARNATION:
+            yield index + 1
+        elif index < 2 * POINTS_PER_INCARNATION:
+            yield 2 * POINTS_PER_INCARNATION - index
         else:
             yield draw(1, POINTS_PER_INCARNATION)
 
@@ -116,9 +116,9 @@
         f"v{number}", 0, f"v{number - 1}", "module", "", 1000.0, "e", number, [(1, 10.0)], [(0, 5.0, 1)]
     )
     entries = [Entry(VERSIONS, number_key(0, number), version)]
-    for at in range(PROXIES):
-        update = AcknowledgedUpdate(f"p{at}", "e", number, 0.0)
-        entries.append(Entry(ACKNOWLEDGED_UPDATES, f"p{at}".encode(), update))
+    for proxy in range(PROXIES):
+        update = AcknowledgedUpdate(f"p{proxy}", "e", number, 0.0)
+        entries.append(Entry(ACKNOWLEDGED_UPDATES, f"p{proxy}".encode(), update))
     entries.append(Entry(PINS, number_key(0), PinRow(0, version.name, "op", 0.0)))
     return entries
 
--- a/quillstep/bench/fronts.py
+++ b/quillstep/bench/fronts.py
@@ -27,7 +27,7 @@
 class AcknowledgedUpdate(NamedTuple):
     """A proxy's acknowledgement of a revision; milliseconds."""
 
-    ordered_ms: float  # When the planner made the revision.
+    revision_time_ms: float  # When the planner made the revision.
     acknowledged_ms: float
 
 
@@ -61,10 +61,10 @@
         later = [
             updates
             for key, updates in updates_by_revision.items()
-            if key.incarnation.rpartition("-")[0] == controller and updates[0].ordered_ms >= notified["at"]
+            if key.incarnation.rpartition("-")[0] == controller and updates[0].revision_time_ms >= notified["at"]
         ]
         if later:
-            first = min(later, key=lambda updates: updates[0].ordered_ms)
+            first = min(later, key=lambda updates: updates[0].revision_time_ms)
             drains_ms.append(max(update.acknowledged_ms for update in first) - notified["at"])
     return drains_ms
 
@@ -72,7 +72,7 @@
 def median_update_time(evidence: Evidence, proxies: int) -> float:
     """Returns the median time of revisions for most proxies to their last ack, milliseconds; 0 without any."""
     times_ms = [
-        max(update.acknowledged_ms for update in updates) - updates[0].ordered_ms
+        max(update.acknowledged_ms for update in updates) - updates[0].revision_time_ms
         for updates in acknowledged_updates(evidence).values()
         if len(updates) * 2 > proxies
     ]
--- a/quillstep/cli/recording.py
+++ b/quillstep/cli/recording.py
@@ -26,12 +26,12 @@
     from quillstep.recording import CorruptBlockError, read_incarnations
 
     try:
-        found = read_incarnations(Path(folder))
+        incarnations = read_incarnations(Path(folder))
     except CorruptBlockError as error:
         fail(error, status=1)
-    if not found:
+    if not incarnations:
         fail(f"no recording found in {folder}", status=1)
-    return found
+    return incarnations
 
 
 @recording.command("ls")
@@ -41,11 +41,16 @@
     table = Table(title=folder)
     for name in ("incarnation", "segments", "records", "seconds", "kB", "truncated"):
         table.add_column(name, justify="left" if name in ("incarnation", "truncated") else "right")
-    for each in load_incarnations(folder):
-        span_s = (each.last_ms - each.first_ms) / 1000.0
-        kinds = ", ".join(f"{count} {kind}" for kind, count in each.record_counts.most_common())
-        row = [str(len(each.segments)), str(each.records), f"{span_s:.1f}", str(each.size_bytes // 1000)]
-        table.add_row(f"{each.header.epoch}\n{kinds}", *row, each.truncation or "no")
+    for incarnation in load_incarnations(folder):
+        span_s = (incarnation.last_ms - incarnation.first_ms) / 1000.0
+        kinds = ", ".join(f"{count} {kind}" for kind, count in incarnation.record_counts.most_common())
+        row = [
+            str(len(incarnation.segments)),
+            str(incarnation.records),
+            f"{span_s:.1f}",
+            str(incarnation.size_bytes // 1000),
+        ]
+        table.add_row(f"{incarnation.header.epoch}\n{kinds}", *row, incarnation.truncation or "no")
     Console().print(table)
 
 
@@ -66,10 +71,13 @@
             print_json([f"{len(each)} bytes" if isinstance(each, bytes) else each for each in record])
 
 
-def _choose(found: list["Incarnation"], name: str | None) -> "Incarnation":
-    matching = [each for each in found if name in (None, each.header.epoch)]
+def _choose(incarnations: list["Incarnation"], name: str | None) -> "Incarnation":
+    matching = [incarnation for incarnation in incarnations if name in (None, incarnation.header.epoch)]
     if not matching:
-        fail(f"incarnation {name} not found: expected one of {', '.join(each.header.epoch for each in found)}")
+        fail(
+            f"incarnation {name} not found: "
+            f"expected one of {', '.join(incarnation.header.epoch for incarnation in incarnations)}"
+        )
     return matching[0]
 
 
@@ -91,9 +99,9 @@
 @FOLDER
 def verify(folder: str) -> None:
     """Read all records and check their checksums; status 1 if any is corrupt, 0 if at most the end is truncated."""
-    for each in load_incarnations(folder):
-        truncation = f"; truncated: {each.truncation}" if each.truncation else ""
-        click.echo(f"{each.header.epoch}: {each.records} complete records{truncation}")
+    for incarnation in load_incarnations(folder):
+        truncation = f"; truncated: {incarnation.truncation}" if incarnation.truncation else ""
+        click.echo(f"{incarnation.header.epoch}: {incarnation.records} complete records{truncation}")
 
 
 @recording.command("keep")
--- a/quillstep/cli/tables.py
+++ b/quillstep/cli/tables.py
@@ -56,16 +56,16 @@
         """Returns the numbers of the selected tables: one by its number, a zone's, or all in the store."""
         stored = sorted({row.table for _, row in self.rows(VERSIONS)})
         if table is not None:
-            found = [self._table_offset + table]
+            selected = [self._table_offset + table]
         elif zone:
             if zone not in self.record.fleet.zones:
                 fail(f"zone {zone}: expected one of {', '.join(self.record.fleet.zones)}")
-            found = [self._table_offset + 1 + self.record.fleet.zones.index(zone)]
+            selected = [self._table_offset + 1 + self.record.fleet.zones.index(zone)]
         else:
-            found = stored
-        if not set(found) <= set(stored):
+            selected = stored
+        if not set(selected) <= set(stored):
             fail(f"table {table if table is not None else zone}: the store knows no version of it")
-        return found
+        return selected
 
     def rows(self, part: str) -> list[tuple[bytes, Any]]:
         """Returns all keys and rows of one part of the store."""
@@ -89,10 +89,10 @@
             if back >= len(rows):
                 fail(f"table {table % MAX_TABLES}: {len(rows)} versions are known, none is {back} before the newest")
             return rows[-1 - back]
-        found = {row.name: row for row in rows if row.name.startswith(name)}
-        if len(found) != 1:
-            fail(f"table {table % MAX_TABLES}: {len(found)} versions begin with {name!r}, expected one")
-        return next(iter(found.values()))
+        matching = {row.name: row for row in rows if row.name.startswith(name)}
+        if len(matching) != 1:
+            fail(f"table {table % MAX_TABLES}: {len(matching)} versions begin with {name!r}, expected one")
+        return next(iter(matching.values()))
 
     def version_at(self, table: int, moment: str) -> VersionRow:
         """Returns the version in effect at a time (ISO 8601; local time if it has no UTC offset)."""
@@ -128,7 +128,7 @@
         }
 
     def _is_pending(self, key: bytes) -> bool:
-        return any(found == key for found, _ in self.store.rows(OPERATOR_COMMANDS))
+        return any(pending == key for pending, _ in self.store.rows(OPERATOR_COMMANDS))
 
 
 def _fields_of(row: msgspec.Struct) -> dict[str, Any]:
--- a/quillstep/config/loading.py
+++ b/quillstep/config/loading.py
@@ -25,20 +25,20 @@
         ConfigError: The file is missing, unreadable or invalid.
     """
     try:
-        found, origin = read(path)
+        values, origin = read(path)
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(str(path), 0, "", type(error).__name__, "a readable UTF-8 file") from error
-    return check(kind, found, origin)
+    return check(kind, values, origin)
 
 
-def check(kind: type[S], found: dict[str, Any], origin: Origin) -> S:
+def check(kind: type[S], values: dict[str, Any], origin: Origin) -> S:
     """Validates plain values, keyed by their names in settings files, into a record.
 
     Raises:
         ConfigError: A value is invalid; the error names the first one and its line in the file.
     """
     try:
-        record = kind.model_validate(found, by_alias=True, by_name=False)
+        record = kind.model_validate(values, by_alias=True, by_name=False)
     except ValidationError as error:
         first = error.errors(include_url=False)[0]
         path = ".".join(str(part) for part in first["loc"])
@@ -63,10 +63,10 @@
             raise
     remaining = json.loads(json.dumps(plain))
     for *parents, last in unknown:
-        at = remaining
+        parent = remaining
         for name in parents:
-            at = at[name]
-        del at[last]
+            parent = parent[name]
+        del parent[last]
     return check_older(kind, remaining)
 
 
@@ -92,8 +92,8 @@
     _check_classes(fleet.classes, prefix, origin)
     _check_channel(fleet, prefix, origin)
     zones = set(fleet.zones)
-    for at, fault in enumerate(getattr(record, "faults", [])):
-        _check_fault(fault, f"troubles.{at}", fleet, origin)
+    for index, fault in enumerate(getattr(record, "faults", [])):
+        _check_fault(fault, f"troubles.{index}", fleet, origin)
     reports = getattr(record, "reports", None)
     if reports is not None:
         _check_report_addresses(reports, origin)
@@ -104,8 +104,8 @@
 
 def _check_classes(classes: list[ClassSettings], prefix: str, origin: Origin) -> None:
     names: set[str] = set()
-    for at, row in enumerate(classes):
-        path = f"{prefix}classes.{at}"
+    for index, row in enumerate(classes):
+        path = f"{prefix}classes.{index}"
         if row.name in names:
             _raise_error(origin, f"{path}.name", format_value(row.name), "a name that no other class has")
         names.add(row.name)
@@ -154,16 +154,16 @@
     """
     plain = record.model_dump()
     for path, value in change.items():
-        at: Any = plain
+        node: Any = plain
         *parents, last = path.split(".")
         for name in parents:
-            if isinstance(at, list):
-                at = at[int(name)] if name.isdigit() and int(name) < len(at) else None
+            if isinstance(node, list):
+                node = node[int(name)] if name.isdigit() and int(name) < len(node) else None
             else:
-                at = at.get(name) if isinstance(at, dict) else None
-        if not isinstance(at, dict) or last not in at:
+                node = node.get(name) if isinstance(node, dict) else None
+        if not isinstance(node, dict) or last not in node:
             raise ConfigError("--set", 1, path, "no such setting", "the path of an existing setting")
-        at[last] = value
+        node[last] = value
     return check(type(record), plain, Origin("--set"))
 
 
--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -109,7 +109,9 @@
         versions = self._held_versions(registered)
         is_fresh = not versions and not registration.generation
         zone = registration.zone
-        proxy = self.hooks.add_proxy(registration.node, zone, registration.usual, versions, is_fresh, self)
+        proxy = self.hooks.add_proxy(
+            registration.node, zone, registration.expected_requests_per_s, versions, is_fresh, self
+        )
         generations = ProxyGenerations(proxy, registered.newest, dict(registered.resources))
         generations.last_received_ms = now_ms
         if registered.held:
@@ -183,7 +185,7 @@
                 at_ms,
                 proxy=self.nodes[generations.proxy],
                 order=generation.revision,
-                ordered=self.ordered_ms(generation.revision),
+                ordered=self.revision_time_ms(generation.revision),
                 lines=generation.updated + generation.removed,
                 bytes=pending.size_bytes,
                 nonce=f"{self.epoch}.g{generation.number}",
@@ -222,8 +224,8 @@
         previous = self.digests.get(directory, {})
         changed_bytes = sum(len(file.data) for file in files if previous.get(file.name) != file.digest)
         self.digests[directory] = {file.name: file.digest for file in files}
-        ordered_ms = self.ordered_ms(generation.revision)
-        manifest = encode_manifest(self.epoch, generation.number, generation.revision, ordered_ms, files)
+        revision_time_ms = self.revision_time_ms(generation.revision)
+        manifest = encode_manifest(self.epoch, generation.number, generation.revision, revision_time_ms, files)
         self.writer.queue.put(
             PendingGeneration(
                 directory,
--- a/quillstep/files/generation_files.py
+++ b/quillstep/files/generation_files.py
@@ -115,11 +115,11 @@
 
 
 def encode_manifest(
-    origin: str, generation: int, revision: int, ordered_ms: float, files: list[GenerationFile]
+    origin: str, generation: int, revision: int, revision_time_ms: float, files: list[GenerationFile]
 ) -> bytes:
     """Returns a generation's manifest as JSON."""
     digests = {file.name: file.digest for file in files}
-    return msgspec.json.encode(Manifest(origin, generation, revision, ordered_ms, digests))
+    return msgspec.json.encode(Manifest(origin, generation, revision, revision_time_ms, digests))
 
 
 def read_resources(files: dict[str, bytes]) -> dict[Key, Resource]:
--- a/quillstep/files/registration.py
+++ b/quillstep/files/registration.py
@@ -18,14 +18,14 @@
     Attributes:
         node: The proxy's node id.
         zone: The zone of the proxy.
-        usual: The request rate the proxy expects, in requests per second.
+        expected_requests_per_s: The request rate that the proxy expects, in requests per second; `usual` in the file.
         generation: The generation that the proxy holds from this root, or 0.
         versions: Versions of resources that the proxy holds from another source, by type URL and name.
     """
 
     node: str
     zone: str = ""
-    usual: float = 0.0
+    expected_requests_per_s: float = msgspec.field(name="usual", default=0.0)
     generation: int = 0
     versions: dict[str, dict[str, str]] = {}
 
--- a/quillstep/load_reports/aggregator.py
+++ b/quillstep/load_reports/aggregator.py
@@ -42,7 +42,7 @@
     """The accounts of all joined proxies, the current window, and the reading budget.
 
     Attributes:
-        usual_ms: The fleet's report interval.
+        default_period_ms: The fleet's report interval.
         deadline_ms: The longest deadline of any request class.
         class_indexes: Request class indexes by name.
         accounts: Accounts of joined proxies by name.
@@ -53,7 +53,7 @@
 
     def __init__(self, settings: LoadReportSettings, fleet: FleetSettings) -> None:
         self.settings = settings
-        self.usual_ms = fleet.proxies.report_interval_ms
+        self.default_period_ms = fleet.proxies.report_interval_ms
         self.deadline_ms = max(row.deadline_ms for row in fleet.classes)
         self.class_indexes = {row.name: index for index, row in enumerate(fleet.classes)}
         self.endpoints: dict[tuple[str, int], int] = {}  # endpoint numbers by host and port
@@ -176,7 +176,7 @@
         self._add_counted(counted, account, now_ms, cost)
 
     def _add_counted(self, report: CountedReport, account: ReportAccount, now_ms: float, cost: float) -> None:
-        if now_ms - report.end_ms > max_age_ms(report.grace_ms, self.usual_ms) and self.settings.ageing:
+        if now_ms - report.end_ms > max_age_ms(report.grace_ms, self.default_period_ms) and self.settings.ageing:
             self._count_rejected("too old")
             return
         if self.settings.ageing:
@@ -214,12 +214,12 @@
 
     def drain(self, now_ms: float) -> ReportSummary:
         """Returns the summary of the current window and starts a new one."""
-        slack_ms = self.usual_ms if self.settings.ageing else float("inf")
+        slack_ms = self.default_period_ms if self.settings.ageing else float("inf")
         summary = summarize(self.window, lambda report: self._weight(report, now_ms), self.memory, slack_ms)
         summary.rejected, summary.cost = self.rejected, round(self.spent, 1)
         self.window, self.window_began_ms, self.spent, self.rejected = ReportWindow(), None, 0.0, {}
         if len(self.memory.newest_ms) > NEWEST_PER_ENDPOINT * (len(self.endpoints) + 1):
-            self.memory.evict_older(now_ms, NEWEST_RETENTION_PERIODS * self.usual_ms)
+            self.memory.evict_older(now_ms, NEWEST_RETENTION_PERIODS * self.default_period_ms)
         return summary
 
     def _weight(self, report: CountedReport, now_ms: float) -> float:
@@ -230,5 +230,5 @@
             max(0.0, now_ms - report.end_ms - self.settings.window_ms),
             report.window_ms,
             report.grace_ms,
-            self.usual_ms,
+            self.default_period_ms,
         )
--- a/quillstep/load_reports/collector.py
+++ b/quillstep/load_reports/collector.py
@@ -37,7 +37,7 @@
     """Collects the readers' summaries with `add_summary` and returns merged statistics from `drain`, once an interval.
 
     Attributes:
-        usual_ms: The fleet's report interval.
+        default_period_ms: The fleet's report interval.
         window_budget: Rows that one reader may read per window.
         totals: Counters for the log, by field name.
         rejected: Reports and rows that did not count, by reason.
@@ -45,8 +45,8 @@
 
     def __init__(self, settings: ControllerSettings) -> None:
         fleet, reports = settings.fleet, settings.reports
-        self.usual_ms = fleet.proxies.report_interval_ms
-        self.interval_ms = DRAIN_INTERVAL_PERIODS * self.usual_ms
+        self.default_period_ms = fleet.proxies.report_interval_ms
+        self.interval_ms = DRAIN_INTERVAL_PERIODS * self.default_period_ms
         self.ageing = reports.ageing
         self.class_count = len(fleet.classes)
         self.drained_ms = float("-inf")
@@ -60,7 +60,7 @@
         ] = {}  # attempts of superseded rows, added to the next fresh rows of their endpoint
         self.arrival_rates: dict[int, float] = {}  # requests per second, by proxy
         budget_per_s = reports.rows_per_s * max(1, len(reports.listen))
-        self.sampler = Sampler(budget_per_s, self.usual_ms, settings.seed) if reports.sampling else None
+        self.sampler = Sampler(budget_per_s, self.default_period_ms, settings.seed) if reports.sampling else None
         self.window_budget = reports.rows_per_s * reports.window_ms / 1000.0
         self.max_latency_ms = max(row.deadline_ms for row in fleet.classes) * MAX_LATENCY_DEADLINES
         self.latency: dict[tuple[str, int], HdrHistogram] = {}  # histograms by zone and class index
@@ -109,7 +109,7 @@
     def _add_upstream(self, row: UpstreamRow) -> None:
         key = (row.zone, row.endpoint)
         newest_ms = self.newest_ms.get(key, float("-inf"))
-        if self.ageing and row.end_ms < newest_ms - self.usual_ms - self.interval_ms:
+        if self.ageing and row.end_ms < newest_ms - self.default_period_ms - self.interval_ms:
             # Another reader had fresher rows of this endpoint; the attempts are carried over, as they were still made.
             self.rejected["superseded endpoint sums"] += 1
             self.carried[key] = self.carried.get(key, 0.0) + row.succeeded + row.failed
@@ -121,7 +121,7 @@
     def _add_downstream(self, row: DownstreamRow) -> None:
         key = ProxyClass(row.class_index, row.proxy)
         latest_ms = self.arrivals_end_ms.get(key, float("-inf"))
-        if self.ageing and row.end_ms < latest_ms - self.usual_ms:
+        if self.ageing and row.end_ms < latest_ms - self.default_period_ms:
             self.rejected["superseded arrivals"] += 1
             return
         self.arrivals_end_ms[key] = max(row.end_ms, latest_ms)
--- a/quillstep/load_reports/readers/ownership.py
+++ b/quillstep/load_reports/readers/ownership.py
@@ -102,7 +102,7 @@
     def reader_ended(self, reader: int) -> None:
         """Handles the exit of a reader process: its accounts are lost, and its proxies will open new streams."""
         self.owners = {name: owner for name, owner in self.owners.items() if owner != reader}
-        self.streams = {name: at for name, at in self.streams.items() if at != reader}
+        self.streams = {name: stream for name, stream in self.streams.items() if stream != reader}
         self.releasing &= set(self.owners)
 
     def _reconcile(self, name: str) -> list[ReaderCommand]:
--- a/quillstep/load_reports/readers/process.py
+++ b/quillstep/load_reports/readers/process.py
@@ -47,7 +47,7 @@
     """A reader process with all its connections and streams."""
 
     def __init__(self, listen: str, settings: LoadReportSettings, fleet: FleetSettings, limits: LimitSettings) -> None:
-        self.usual_ms = fleet.proxies.report_interval_ms
+        self.default_period_ms = fleet.proxies.report_interval_ms
         self.session: ReaderSession[StreamKey] = ReaderSession(ReportAggregator(settings, fleet))
         self.aggregator = self.session.aggregator
         self.poller = Poller(
@@ -56,7 +56,7 @@
             lambda: GrpcConnection(False, settings.max_message_bytes, limits.max_headers_bytes),
             self.handle_event,
             self.handle_closed,
-            idle_timeout_ms=limits.idle_timeout_ms + MAX_REQUESTED_PERIODS * self.usual_ms,
+            idle_timeout_ms=limits.idle_timeout_ms + MAX_REQUESTED_PERIODS * self.default_period_ms,
             after_pass=self.read_messages,
         )
         self.poller.add_input(STDIN, self.read_input)
@@ -102,7 +102,9 @@
         """Counts a proxy's reports from now on, continuing its account if the controller sent one."""
         if added.account is not None:
             self.aggregator.left_accounts[added.name] = added.account
-        account = ReportAccount(added.proxy, added.zone, added.incarnation, self.usual_ms, self.usual_ms)
+        account = ReportAccount(
+            added.proxy, added.zone, added.incarnation, self.default_period_ms, self.default_period_ms
+        )
         self.session.add_proxy(account, added.name)
 
     # Streams
--- a/quillstep/load_reports/readers/session.py
+++ b/quillstep/load_reports/readers/session.py
@@ -181,10 +181,10 @@
 
     def _wait_until_ms(self, stream: ReportStream, arrived_ms: float, size_bytes: int, now_ms: float) -> float:
         """Returns 0 if a message may be read now, else when to try again."""
-        usual_ms = self.aggregator.usual_ms
+        default_period_ms = self.aggregator.default_period_ms
         has_joined = stream.name in self.aggregator.accounts
-        if stream.name and not has_joined and now_ms - arrived_ms < usual_ms:
-            return now_ms + JOIN_POLL_PERIODS * usual_ms  # the proxy's discovery stream may open shortly
+        if stream.name and not has_joined and now_ms - arrived_ms < default_period_ms:
+            return now_ms + JOIN_POLL_PERIODS * default_period_ms  # the proxy's discovery stream may open shortly
         return self.aggregator.wait_until_ms(stream.name, size_bytes, now_ms)
 
     def _read(self, key: Key, stream: ReportStream, data: bytes, arrived_ms: float, now_ms: float) -> None:
@@ -219,7 +219,7 @@
         if account is not None and account.incarnation and account.incarnation != incarnation:
             self._reject_claim(key)
             return False
-        period_ms = account.period_ms if account else self.aggregator.usual_ms
+        period_ms = account.period_ms if account else self.aggregator.default_period_ms
         previous = self.by_name.get(name)
         if previous is not None:
             is_active = now_ms - self.streams[previous].read_ms < IDLE_PERIODS * period_ms
--- a/quillstep/load_reports/readers/thread.py
+++ b/quillstep/load_reports/readers/thread.py
@@ -62,7 +62,7 @@
         self.max_message_bytes = settings.max_message_bytes
         self.session: ReaderSession[StreamKey] = ReaderSession(ReportAggregator(settings, fleet))
         self.put = put
-        self.usual_ms = fleet.proxies.report_interval_ms
+        self.default_period_ms = fleet.proxies.report_interval_ms
         self.events: queue.SimpleQueue[ReaderEvent] = queue.SimpleQueue()
         self.log = structlog.get_logger("reports")
 
@@ -120,7 +120,9 @@
             case StreamEnded(key):
                 session.end_stream(key)
             case ProxyJoined():
-                account = ReportAccount(event.proxy, event.zone, event.incarnation, self.usual_ms, self.usual_ms)
+                account = ReportAccount(
+                    event.proxy, event.zone, event.incarnation, self.default_period_ms, self.default_period_ms
+                )
                 session.add_proxy(account, event.name)
             case ProxyLeft():
                 session.aggregator.remove_proxy(event.name)
--- a/quillstep/load_reports/sampling.py
+++ b/quillstep/load_reports/sampling.py
@@ -84,12 +84,12 @@
 
     Attributes:
         budget_per_s: The budget of all readers, in rows per second.
-        usual_ms: The fleet's report interval.
+        default_period_ms: The fleet's report interval.
         due_ms: When `plan` is to be called next.
     """
 
-    def __init__(self, budget_per_s: float, usual_ms: float, seed: int) -> None:
-        self.budget_per_s, self.usual_ms = budget_per_s, usual_ms
+    def __init__(self, budget_per_s: float, default_period_ms: float, seed: int) -> None:
+        self.budget_per_s, self.default_period_ms = budget_per_s, default_period_ms
         self.random = random.Random(f"{seed} reports")
         self.proxies: dict[int, ProxyTraffic] = {}
         self.turn = Turn()
@@ -98,7 +98,7 @@
     def add_proxy(self, proxy: int, now_ms: float) -> None:
         """Handles a proxy that has joined; it gets a random group."""
         self.proxies[proxy] = ProxyTraffic(self.random.randrange(MAX_GROUPS))
-        self.due_ms = min(self.due_ms, now_ms + FIRST_PLAN_PERIODS * self.usual_ms)
+        self.due_ms = min(self.due_ms, now_ms + FIRST_PLAN_PERIODS * self.default_period_ms)
 
     def remove_proxy(self, proxy: int) -> None:
         """Handles a proxy that has left."""
@@ -119,7 +119,7 @@
                 else previous + (1.0 - ESTIMATE_DECAY) * (report.rows_cost - previous)
             )
         if report.failed_share >= SUSPECT_FAILED_SHARE:
-            traffic.suspect_until_ms = now_ms + SUSPECT_PERIODS * self.usual_ms
+            traffic.suspect_until_ms = now_ms + SUSPECT_PERIODS * self.default_period_ms
 
     def plan_soon(self, now_ms: float) -> None:
         """Brings the next plan forward when a reader has no budget to spare.
@@ -127,16 +127,16 @@
         While all proxies report in full, the next plan is then due after one report interval instead of eight.
         """
         if self.turn.stage.groups == 1:
-            self.due_ms = min(self.due_ms, now_ms + self.usual_ms)
+            self.due_ms = min(self.due_ms, now_ms + self.default_period_ms)
 
     def plan(self, now_ms: float) -> list[ReportRequest]:
         """Returns the report requests that have changed; sets `due_ms` to the time of the next call."""
         turn = self.turn
         if now_ms >= turn.end_ms or turn.stage.groups == 1:
             self._begin_turn(now_ms)
-        lead_ms = LEAD_PERIODS * self.usual_ms * turn.stage.period_factor
+        lead_ms = LEAD_PERIODS * self.default_period_ms * turn.stage.period_factor
         if turn.stage.groups == 1:
-            self.due_ms = now_ms + TURN_PERIODS * self.usual_ms
+            self.due_ms = now_ms + TURN_PERIODS * self.default_period_ms
         else:
             self.due_ms = turn.end_ms - lead_ms if now_ms < turn.end_ms - lead_ms else turn.end_ms
         changed = []
@@ -159,7 +159,7 @@
                 cost += MESSAGE_COST + rows_cost
             else:
                 cost += (MESSAGE_COST + rows_cost * min(1.0, lead_factor / stage.groups)) / stage.period_factor
-        return cost * 1000.0 / self.usual_ms
+        return cost * 1000.0 / self.default_period_ms
 
     def _always_full(self, now_ms: float) -> set[int]:
         """Returns the proxies with the most traffic and the suspects, each at most `ALWAYS_FULL_SHARE` of all."""
@@ -182,7 +182,7 @@
         stage_index = self._choose_stage(always_full)
         is_changed = stage_index != turn.stage_index
         turn.stage_index, turn.always_full = stage_index, always_full
-        turn.length_ms = TURN_PERIODS * self.usual_ms * turn.stage.period_factor
+        turn.length_ms = TURN_PERIODS * self.default_period_ms * turn.stage.period_factor
         turn.begin_ms = now_ms
         turn.position += 1
         if is_changed:
@@ -217,8 +217,8 @@
         turn = self.turn
         groups, period_factor = turn.stage
         if groups == 1 and period_factor == 1 or proxy in turn.always_full:
-            return ReportRequest(proxy, self.usual_ms, True, 1.0, float("-inf"), float("inf"))
-        period_ms = self.usual_ms * period_factor
+            return ReportRequest(proxy, self.default_period_ms, True, 1.0, float("-inf"), float("inf"))
+        period_ms = self.default_period_ms * period_factor
         if groups == 1:
             return ReportRequest(proxy, period_ms, True, 1.0, float("-inf"), float("inf"))
         group = traffic.group_draw % groups
--- a/quillstep/load_reports/validation.py
+++ b/quillstep/load_reports/validation.py
@@ -51,9 +51,10 @@
 class ReportAccount(
     msgspec.Struct,
     rename={
-        "incarnation": "life", "is_full": "full", "sampling_factor": "factor", "window_budget_ms": "cover_ms",
-        "end_ms": "until_ms", "readable_reports": "allowed", "readable_at_ms": "allowed_ms", "arrived": "came",
-        "current_budget_ms": "flow_ms", "current_at_ms": "flow_at_ms",
+        "incarnation": "life", "default_period_ms": "usual_ms", "is_full": "full", "sampling_factor": "factor",
+        "window_budget_ms": "cover_ms", "end_ms": "until_ms", "readable_reports": "allowed",
+        "readable_at_ms": "allowed_ms", "arrived": "came", "current_budget_ms": "flow_ms",
+        "current_at_ms": "flow_at_ms",
     },
 ):  # fmt: skip
     """The state of one joined proxy's reports: deduplication, delay and budgets."""
@@ -62,7 +63,7 @@
     zone: str
     incarnation: str
     period_ms: float  # requested interval between reports
-    usual_ms: float  # the fleet's report interval
+    default_period_ms: float  # the fleet's report interval
     is_full: bool = True
     sampling_factor: float = 1.0
     counts_from_ms: float = float("-inf")  # interval in which its rows count, when groups report in full in turn
@@ -81,7 +82,7 @@
     @property
     def longest_period_ms(self) -> float:
         """The longer of the requested period and the fleet's report interval."""
-        return max(self.period_ms, self.usual_ms)
+        return max(self.period_ms, self.default_period_ms)
 
     def restore(self, previous: "ReportAccount") -> None:
         """Restores deduplication, delay and window budget from an earlier account of the same incarnation."""
@@ -105,7 +106,7 @@
     def wait_until_ms(self, now_ms: float) -> float:
         """Returns 0 if a report may be read now, else when; limits too frequent reports to `MAX_REPORTS_PER_PERIOD`."""
         if self.readable_at_ms is not None:
-            reports_per_ms = MAX_REPORTS_PER_PERIOD / self.usual_ms
+            reports_per_ms = MAX_REPORTS_PER_PERIOD / self.default_period_ms
             self.readable_reports = min(
                 MAX_BURST, self.readable_reports + (now_ms - self.readable_at_ms) * reports_per_ms
             )
@@ -141,7 +142,7 @@
     Returns:
         The reason if the complete report is rejected, and the number of rows dropped.
     """
-    max_count = MAX_RATE_PER_S * max(report.window_ms, account.usual_ms) / 1000.0
+    max_count = MAX_RATE_PER_S * max(report.window_ms, account.default_period_ms) / 1000.0
     arrived = sum(row.arrived for row in report.arrivals)
     if rejection := _rejection_reason(report, account, max_count):
         return ValidationResult(rejection, 0)
@@ -207,7 +208,7 @@
         return Rejected("duplicate")
     late_ms = 0.0
     if report.sent_ms is not None and report.end_ms is not None:
-        span_ms = DELAY_SPAN_PERIODS * account.usual_ms
+        span_ms = DELAY_SPAN_PERIODS * account.default_period_ms
         late_ms = report.sent_ms - report.end_ms + account.delay.measure(report.sent_ms, arrived_ms, span_ms)
     end_ms = arrived_ms - late_ms
     share = _consume_window(account, report.window_ms, end_ms)
@@ -249,7 +250,7 @@
 
     Reports over the same time count for it once, whatever their numbers.
     """
-    max_budget_ms = max_age_ms(account.longest_period_ms, account.usual_ms)
+    max_budget_ms = max_age_ms(account.longest_period_ms, account.default_period_ms)
     max_budget_ms += WINDOW_TOLERANCE_PERIODS * account.longest_period_ms
     if account.end_ms is None:
         account.window_budget_ms, account.end_ms = max_budget_ms, end_ms
--- a/quillstep/model_checking/explore.py
+++ b/quillstep/model_checking/explore.py
@@ -101,7 +101,7 @@
         controller = self.controllers[number]
         self.streams += 1
         epoch = f"p{number}-{self.streams}"
-        stream = DeltaStream(controller.tables, controller.encoder, LIMITS, epoch, ordered_ms)
+        stream = DeltaStream(controller.tables, controller.encoder, LIMITS, epoch, revision_time_ms)
         self.owner, self.stream, self.responses, self.requests = number, stream, [], []
         first = self._subscription(CDS, [])
         first.node.id = "proxy"
@@ -282,7 +282,7 @@
     return discovery_pb2.DeltaDiscoveryResponse.FromString(data)
 
 
-def ordered_ms(revision: int) -> float:
+def revision_time_ms(revision: int) -> float:
     """Returns the time of a revision; the model uses the revision itself."""
     return float(revision)
 
--- a/quillstep/model_checking/fuzz.py
+++ b/quillstep/model_checking/fuzz.py
@@ -16,7 +16,7 @@
 from google.protobuf.message import DecodeError
 
 from quillstep.files.disk import read_ack
-from quillstep.model_checking.explore import CLASSES, LIMITS, ModelController, ordered_ms
+from quillstep.model_checking.explore import CLASSES, LIMITS, ModelController, revision_time_ms
 from quillstep.routing import Tables
 from quillstep.xds.delta import DeltaStream
 from quillstep.xds.grpc import FrameDecoder, FramingError
@@ -37,8 +37,8 @@
     def decode(size: int) -> list[bytes] | int:
         decoder, messages = FrameDecoder(MAX_MESSAGE_BYTES), []
         try:
-            for at in range(0, len(data), size):
-                messages += decoder.feed(data[at : at + size])
+            for offset in range(0, len(data), size):
+                messages += decoder.feed(data[offset : offset + size])
         except FramingError as error:
             return error.status
         return messages
@@ -68,7 +68,7 @@
     for stream_type, request_type in kinds:
         controller = ModelController(ENCODER, Tables)
         controller.begin()
-        stream = stream_type(controller.tables, ENCODER, LIMITS, "e", ordered_ms)
+        stream = stream_type(controller.tables, ENCODER, LIMITS, "e", revision_time_ms)
         controller.tables.add_proxy(0, "a", {})
         controller.retry_policies.add_proxy(0, True, 0)
         stream.proxy = 0
--- a/quillstep/model_checking/stream_model.py
+++ b/quillstep/model_checking/stream_model.py
@@ -53,13 +53,13 @@
 
 def update_steps(s: State) -> list[Step]:
     """Returns the steps that change the desired version; the key is marked as pending even if it is held already."""
-    found = []
+    steps = []
     for controller in (1, 2):
         for version in VERSIONS:
             marks = If(s["owner"] == controller, value(1), s["dirty"])
-            found.append(Step(f"controller {controller} wants {version}", s[f"want{controller}"] != version,
+            steps.append(Step(f"controller {controller} wants {version}", s[f"want{controller}"] != version,
                               {f"want{controller}": value(version), "dirty": marks}))  # fmt: skip
-    return found
+    return steps
 
 
 def send_steps(s: State, mutant: str) -> list[Step]:
@@ -162,14 +162,14 @@
         for name in ("n1", "v1", "n2", "v2", "top", "dn1", "dv1", "dn2", "dv2", "un1", "uo1", "un2", "uo2",
                      "refused", "again")
     }  # fmt: skip
-    found = [Step("disconnect", s["owner"] != 0, {**cleared, "owner": value(0), "dirty": value(0)})]
+    steps = [Step("disconnect", s["owner"] != 0, {**cleared, "owner": value(0), "dirty": value(0)})]
     for controller in (1, 2):
         # The held version is reported, but not since when: earlier requests may have a higher policy.
         joins = {"owner": value(controller), "held": s["has"], "dirty": value(1), "until": s["clock"] + REQUEST_STEPS}
         if mutant == "trusts its memory":
             joins["held"] = s["held"]
-        found.append(Step(f"join controller {controller}", s["owner"] == 0, joins))
-    return found
+        steps.append(Step(f"join controller {controller}", s["owner"] == 0, joins))
+    return steps
 
 
 def request_steps(s: State, mutant: str) -> list[Step]:
--- a/quillstep/routing/in_flight.py
+++ b/quillstep/routing/in_flight.py
@@ -134,14 +134,14 @@
             now_ms: The current time.
             last_received_ms: When the last message was received from this proxy; see `AckLatency.ack_delay`.
         """
-        found, self.unreported_delays = self.unreported_delays, []
+        delays, self.unreported_delays = self.unreported_delays, []
         nonce = next(iter(self.in_flight_updates), None)
         if nonce is not None:
             delay = self._ack_delay(nonce, now_ms, last_received_ms)
             if delay.status != self.reported_statuses.get(nonce, IN_TIME):
                 self.reported_statuses[nonce] = delay.status
-                found.append(delay)
-        return found
+                delays.append(delay)
+        return delays
 
     def overdue_ejections(self, now_ms: float, max_delay_ms: float) -> list[tuple[str, int]]:
         """Returns the nonce and endpoint of each ejection in flight for more than `max_delay_ms`."""
--- a/quillstep/routing/proxy_state.py
+++ b/quillstep/routing/proxy_state.py
@@ -88,11 +88,11 @@
         # Other changes wait until all parts have been sent, but not if the remaining parts no longer differ.
         if (part := self.next_split_update(now_ms, subscribed, desired)) or self.split_updates:
             return part
-        found = self._pending_changes(subscribed, desired, remaining <= EJECTION_RESERVE)
+        changes = self._pending_changes(subscribed, desired, remaining <= EJECTION_RESERVE)
         if not atomic:
-            found = [change for change in found if not self.must_wait(change, subscribed)]
-        found.sort(key=lambda change: send_rank(change.key, change.resource is None))
-        return found
+            changes = [change for change in changes if not self.must_wait(change, subscribed)]
+        changes.sort(key=lambda change: send_rank(change.key, change.resource is None))
+        return changes
 
     def _retry_nacked(self, now_ms: float) -> None:
         """Marks rejected keys whose backoff has expired as pending again."""
@@ -103,7 +103,7 @@
 
     def _pending_changes(self, subscribed: Subscribed, desired: Desired, ejections_only: bool) -> list[Change]:
         """Returns the released changes of the pending keys; keys that do not differ are no longer pending."""
-        found: list[Change] = []
+        changes: list[Change] = []
         settled: list[Key] = []
         for key, revision in self.pending.items():
             if revision > self.released_revision or not subscribed(key):
@@ -114,12 +114,12 @@
             if self.must_send(key, resource):
                 change = Change(key, resource)
                 if not ejections_only or change.is_urgent:
-                    found.append(change)
+                    changes.append(change)
             else:
                 settled.append(key)
         for key in settled:
             del self.pending[key]
-        return found
+        return changes
 
     def next_split_update(self, now_ms: float, subscribed: Subscribed, desired: Desired) -> list[Change]:
         """Returns the next part of a rejected update; a part with only ejections does not wait for the backoff."""
@@ -129,10 +129,10 @@
             if now_ms < self.split_retry_ms and not is_urgent:
                 return []
             self.split_updates.popleft()
-            found = [Change(key, desired(key)) for key in keys if subscribed(key)]
-            found = [change for change in found if self.must_send(*change)]
-            if found:
-                return found
+            changes = [Change(key, desired(key)) for key in keys if subscribed(key)]
+            changes = [change for change in changes if self.must_send(*change)]
+            if changes:
+                return changes
         return []
 
     def must_wait(self, change: Change, subscribed: Subscribed) -> bool:
--- a/quillstep/routing/retry_policies.py
+++ b/quillstep/routing/retry_policies.py
@@ -106,7 +106,7 @@
         if policies is None or nonce not in policies.in_flight:
             return
         sent = list(policies.in_flight)
-        superseded = [policies.in_flight.pop(each) for each in sent[: sent.index(nonce)]]
+        superseded = [policies.in_flight.pop(earlier) for earlier in sent[: sent.index(nonce)]]
         for index, policy in policies.in_flight.pop(nonce).items():
             before = max([policies.acknowledged.get(index, 0), *(each.get(index, 0) for each in superseded)])
             if before > policy:
@@ -130,14 +130,14 @@
 
     def excesses(self, now_ms: float) -> list[PolicyExcess]:
         """Returns the classes that may still be retried under a higher policy than they allow."""
-        found = []
+        excesses = []
         for class_index, allowed in enumerate(self.allowed):
             policies = {proxy: self.highest_in_effect(proxy, class_index, now_ms) for proxy in self.proxies}
             exceeding = [proxy for proxy, policy in policies.items() if policy > allowed]
             if exceeding:
                 highest = max(policies[proxy] for proxy in exceeding)
-                found.append(PolicyExcess(class_index, highest, sorted(exceeding)))
-        return found
+                excesses.append(PolicyExcess(class_index, highest, sorted(exceeding)))
+        return excesses
 
     def changes(self, now_ms: float) -> list[PolicyExcessChange]:
         """Returns the changes of the excesses since the last call, by class."""
--- a/quillstep/routing/tables.py
+++ b/quillstep/routing/tables.py
@@ -247,12 +247,12 @@
         """Returns the changes that a front should send to a proxy now; see `ProxyState.changes_to_send`."""
         state = self.proxies[proxy]
         self.ack_candidates.add(proxy)
-        found = state.changes_to_send(now_ms, subscribed, lambda key: self.desired_resource(state, key), atomic)
-        if self.saturation.warming_up and found:
-            found = self.saturation.without_saturating(state, found, now_ms)
+        changes = state.changes_to_send(now_ms, subscribed, lambda key: self.desired_resource(state, key), atomic)
+        if self.saturation.warming_up and changes:
+            changes = self.saturation.without_saturating(state, changes, now_ms)
         if self.retry_policies.is_unknown(proxy):
             self._record_reported_policies(state, now_ms)
-        return found
+        return changes
 
     def _record_reported_policies(self, state: ProxyState, now_ms: float) -> None:
         """Records the retry policies of a proxy whose reported routes are the desired ones."""
@@ -277,13 +277,13 @@
         self.pending_proxies.add(proxy)
         self.ack_candidates.add(proxy)
         state = self.proxies[proxy]
-        found = state.record_ack(nonce, now_ms)
-        if found:
+        acknowledged = state.record_ack(nonce, now_ms)
+        if acknowledged:
             self.retry_policies.record_ack(proxy, nonce, now_ms)
             if state.ack_latency.last_line_ms is not None:
                 self.line_cost.add(state.ack_latency.last_line_ms)
                 state.ack_latency.last_line_ms = None
-        return found
+        return acknowledged
 
     def record_nack(self, proxy: int, nonce: str, reason: str, now_ms: float, indivisible: bool = False) -> Nack | None:
         """Records that a proxy rejected an update; see `ProxyState.record_nack`."""
--- a/quillstep/store/store.py
+++ b/quillstep/store/store.py
@@ -154,7 +154,7 @@
         Raises:
             StoreCorruptError: A page or a value is corrupt.
         """
-        found = []
+        rows = []
         with self.reading(part) as (txn, db):
             cursor = txn.cursor(db=db)
             if cursor.set_range(prefix) if prefix else cursor.first():
@@ -162,10 +162,10 @@
                     if not bytes(key).startswith(prefix):
                         break
                     try:
-                        found.append((bytes(key), unpack(part, bytes(key), bytes(value))))
+                        rows.append((bytes(key), unpack(part, bytes(key), bytes(value))))
                     except CorruptValueError as error:
                         raise StoreCorruptError(f"{self.folder}: {error}") from error
-        return found
+        return rows
 
     def versions(self, table: int) -> list[VersionRow]:
         """Returns a table's versions, oldest first."""
@@ -176,8 +176,8 @@
         with self.reading(part) as (txn, db):
             cursor = txn.cursor(db=db)
             above = number_key(*numbers_of(prefix)[:-1], numbers_of(prefix)[-1] + 1) if prefix else b"\xff" * 8
-            found = cursor.prev() if cursor.set_range(above) else cursor.last()
-            key = bytes(cursor.key()) if found else b""
+            has_key = cursor.prev() if cursor.set_range(above) else cursor.last()
+            key = bytes(cursor.key()) if has_key else b""
         return numbers_of(key)[-1] if key and key.startswith(prefix) else 0
 
     # writes
@@ -235,7 +235,7 @@
 
     def check(self) -> dict[str, Any]:
         """Reads the complete store; returns the rows of each part, the corrupt values, the bytes used and the limit."""
-        found: dict[str, Any] = {"rows": {}, "bad": []}
+        result: dict[str, Any] = {"rows": {}, "bad": []}
         for part in PARTS:
             count = 0
             with self.reading(part) as (txn, db):
@@ -244,12 +244,12 @@
                     try:
                         unpack(part, bytes(key), bytes(value))
                     except CorruptValueError as error:
-                        found["bad"].append(str(error))
-            found["rows"][part] = count
+                        result["bad"].append(str(error))
+            result["rows"][part] = count
         info = self.env.info()
-        found["bytes_used"] = info["last_pgno"] * self.env.stat()["psize"]
-        found["bytes_most"] = info["map_size"]
-        return found
+        result["bytes_used"] = info["last_pgno"] * self.env.stat()["psize"]
+        result["bytes_most"] = info["map_size"]
+        return result
 
     def compact(self, to: Path) -> None:
         """Copies the store without its free pages to a new folder."""
--- a/quillstep/testbed/file_subscriber.py
+++ b/quillstep/testbed/file_subscriber.py
@@ -226,7 +226,7 @@
     Raises:
         ValueError: A file can't be decoded, or a resource is of another type.
     """
-    found = []
+    resources = []
     for file, data in files.items():
         response = decode(file, data)
         for packed in response.resources:
@@ -234,8 +234,8 @@
             message = MESSAGES[response.type_url]()
             if not packed.Unpack(wrapped) or not wrapped.resource.Unpack(message):
                 raise ValueError(f"{file} holds what is no {response.type_url}")
-            found.append((response.type_url, wrapped.name, wrapped.version, message))
-    return found
+            resources.append((response.type_url, wrapped.name, wrapped.version, message))
+    return resources
 
 
 def read_generation(directory: Path, between: Callable[[], object] | None = None) -> tuple[Manifest, dict[str, bytes]]:
--- a/quillstep/testbed/load_reporting.py
+++ b/quillstep/testbed/load_reporting.py
@@ -25,13 +25,13 @@
 CONNECT_TIMEOUT_MS = 250.0
 MAX_UNSENT_BYTES = 32 * 1024  # above it no report is made, and stats accumulate
 MAX_DELAYED_REPORTS = 64
-BUCKETS_MS = [5.0 * 2.0**at for at in range(12)]
+BUCKETS_MS = [5.0 * 2.0**exponent for exponent in range(12)]
 LATENCY_METRICS = [f"{LATENCY_BUCKET_PREFIX}{bound:g}" for bound in BUCKETS_MS]
 
 
 def bucket_index(latency_ms: float) -> int:
     """Return the index of the latency bucket; latencies above all bounds count in the last one."""
-    return next((at for at, bound in enumerate(BUCKETS_MS) if latency_ms <= bound), len(BUCKETS_MS) - 1)
+    return next((index for index, bound in enumerate(BUCKETS_MS) if latency_ms <= bound), len(BUCKETS_MS) - 1)
 
 
 class DedicatedReportStream:
@@ -217,7 +217,11 @@
                 ("arrived", arrived, arrived),
                 ("unanswered", unanswered, unanswered),
             ]
-            metrics += [(LATENCY_METRICS[at], *each) for at, each in sorted(stats.latencies.items())] if stats else []
+            metrics += (
+                [(LATENCY_METRICS[bucket], *totals) for bucket, totals in sorted(stats.latencies.items())]
+                if stats
+                else []
+            )
             for metric, count, total in metrics:
                 added = locality.load_metric_stats.add(metric_name=metric, total_metric_value=total)
                 added.num_requests_finished_with_metric = count
--- a/quillstep/testbed/proxies.py
+++ b/quillstep/testbed/proxies.py
@@ -99,9 +99,9 @@
 
     def add_latency(self, latency_ms: float) -> None:
         """Count a request that succeeded."""
-        at = bucket_index(latency_ms)
-        count, total = self.latencies.get(at, (0, 0.0))
-        self.latencies[at] = (count + 1, total + latency_ms)
+        bucket = bucket_index(latency_ms)
+        count, total = self.latencies.get(bucket, (0, 0.0))
+        self.latencies[bucket] = (count + 1, total + latency_ms)
 
 
 class Proxy:
@@ -439,13 +439,13 @@
         """Make each proxy report at its interval; the proxies' reports are spread over the interval."""
         period = self.proxy_settings["report_every_ms"]
         proxies = list(self.proxies.values())
-        due = [(now_ms() + period * at / max(1, len(proxies)), at) for at in range(len(proxies))]
+        due = [(now_ms() + period * index / max(1, len(proxies)), index) for index in range(len(proxies))]
         while due:
-            at, index = due[0]
-            time.sleep(max(0.0, at - now_ms()) / 1000.0)
+            due_ms, index = due[0]
+            time.sleep(max(0.0, due_ms - now_ms()) / 1000.0)
             proxies[index].connections.sweep()
             period = proxies[index].reporter.tick()
-            heapq.heapreplace(due, (max(at + period, now_ms()), index))
+            heapq.heapreplace(due, (max(due_ms + period, now_ms()), index))
 
     def _play_script(self, begin_ms: float) -> None:
         """Pass each request of the script to a worker at its time."""
--- a/quillstep/testbed/xds_subscriber.py
+++ b/quillstep/testbed/xds_subscriber.py
@@ -34,7 +34,7 @@
     Raises:
         ValueError: A rate limit of a route never refills.
     """
-    found = {}
+    by_class = {}
     for route in (route for host in routes.virtual_hosts for route in host.routes):
         action = route.route
         policy = action.retry_policy
@@ -50,8 +50,8 @@
             if fill_ms <= 0:
                 raise ValueError(f"route {route.name}: a bucket that never fills")
             parsed.rate, parsed.burst = bucket.tokens_per_fill.value * 1000.0 / fill_ms, bucket.max_tokens
-        found[route.name] = parsed
-    return found
+        by_class[route.name] = parsed
+    return by_class
 
 
 def table_entry_of(endpoint: endpoint_components_pb2.LbEndpoint, version: str) -> TableEntry:
@@ -373,10 +373,10 @@
 
     def _subscribe(self, client: GrpcClient) -> None:
         self.last_responses = {url: (version, "") for url, (version, _) in self.last_responses.items()}
-        for at, (url, names) in enumerate(((CDS, []), (LDS, []), (RDS, ["exchanges"]))):
+        for index, (url, names) in enumerate(((CDS, []), (LDS, []), (RDS, ["exchanges"]))):
             request = discovery_pb2.DiscoveryRequest(type_url=url, resource_names=names)
             request.version_info = self.last_responses.get(url, ("", ""))[0]
-            if at == 0:
+            if index == 0:
                 self.proxy.describe(request.node)
             client.send(self.stream, request.SerializeToString())
         self._request_assignments(client)
--- a/quillstep/xds/front.py
+++ b/quillstep/xds/front.py
@@ -66,7 +66,7 @@
         if method != LOAD:
             stream_type = DeltaStream if method == DELTA else SotwStream
             limits = self.settings.limits
-            self.streams[key] = stream_type(self.tables, self.encoder, limits, self.epoch, self.ordered_ms)
+            self.streams[key] = stream_type(self.tables, self.encoder, limits, self.epoch, self.revision_time_ms)
 
     def _node_of(self, key: StreamKey) -> str:
         stream = self.streams.get(key)
@@ -158,7 +158,7 @@
                 now_ms,
                 proxy=self.nodes[proxy],
                 order=response.revision,
-                ordered=self.ordered_ms(response.revision),
+                ordered=self.revision_time_ms(response.revision),
                 lines=response.updated + response.removed,
                 bytes=len(response.message),
                 nonce=response.nonce,
--- a/quillstep/xds/proxy_front.py
+++ b/quillstep/xds/proxy_front.py
@@ -27,7 +27,7 @@
         tables: The desired state of each proxy.
         hooks: The controller's callbacks.
         epoch: The controller's incarnation, part of nonces and versions.
-        ordered_ms: Returns when a revision of the tables was made.
+        revision_time_ms: Returns when a revision of the tables was decided.
         tap: Records joins, updates and acknowledgements in the socket record.
     """
 
@@ -35,7 +35,7 @@
     tables: Tables
     hooks: Hooks
     epoch: str
-    ordered_ms: Callable[[int], float]
+    revision_time_ms: Callable[[int], float]
     tap: Callable[..., None]
 
 
@@ -50,7 +50,7 @@
             logger: Name of the front's logger.
             maintenance_interval_ms: Time between two checks for proxies that no longer respond.
         """
-        self.settings, self.tables, self.hooks, self.epoch, self.ordered_ms, self.tap = context
+        self.settings, self.tables, self.hooks, self.epoch, self.revision_time_ms, self.tap = context
         settings = context.settings
         self.encoder = resources.Encoder(settings.fleet.classes, settings.fleet.proxies.attempt_timeout_factor)
         self.nodes: dict[int, str] = {}  # node ids by proxy number
--- a/quillstep/xds/stream.py
+++ b/quillstep/xds/stream.py
@@ -56,7 +56,7 @@
         encoder: resources.Encoder,
         limits: LimitSettings,
         epoch: str,
-        ordered_ms: Callable[[int], float],
+        revision_time_ms: Callable[[int], float],
     ) -> None:
         """Initializes a stream that is not assigned to a proxy yet.
 
@@ -65,10 +65,10 @@
             encoder: Encodes resources.
             limits: Limits of a stream.
             epoch: The controller's incarnation, part of nonces and versions.
-            ordered_ms: Returns when a revision of the tables was made.
+            revision_time_ms: Returns when a revision of the tables was decided.
         """
         self.tables, self.encoder, self.limits, self.epoch = tables, encoder, limits, epoch
-        self.ordered_ms = ordered_ms
+        self.revision_time_ms = revision_time_ms
         self.proxy = -1  # set once the proxy has joined
         self.nonce_count = 0
         self.errors: list[Response] = []  # sent ahead of the next responses
@@ -79,7 +79,7 @@
 
     def _version_info(self, revision: int) -> str:
         """Returns the version info of a response: its revision, and when that was made."""
-        return f"{self.epoch}/{revision}/{self.ordered_ms(revision):.1f}"
+        return f"{self.epoch}/{revision}/{self.revision_time_ms(revision):.1f}"
 
     @staticmethod
     def _check_node(request: Any) -> None:
