--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# `make demo` sets everything up and plays the bad day; `make test` sets everything up and runs all checks.
+# `make demo` installs the dependencies and plays the bad-day scenario; `make test` installs them and runs all checks.
 VENV := .venv
 PYTHON := $(VENV)/bin/python
 STAMP := $(VENV)/.installed
@@ -22,7 +22,7 @@
 	$(VENV)/bin/pip -q install --no-deps --no-build-isolation -e .
 	touch $(STAMP)
 
-# The bench wants its own files beside a site: `make site-files KIT=FOLDER` lays them from a folder that has them.
+# The benchmark needs further files in deploy/sites: `make site-files KIT=FOLDER` copies them from a folder with them.
 site-files:
 	@test -n "$(KIT)" || { echo "KIT=FOLDER names no folder with wire.json, real.json and unlock.txt"; exit 1; }
 	cp $(KIT)/wire.json $(KIT)/real.json $(KIT)/unlock.txt deploy/sites/
--- a/examples/days/bad-day.cue
+++ b/examples/days/bad-day.cue
@@ -1,5 +1,5 @@
-// A bad day in half a minute: a drain and joins, slow and silent endpoints, lost answers, a zone lost and back
-// cold, a pilot killed under load, a proxy that refuses and one that reads nothing.
+// Half a minute with many faults: a drain and joins, slow, failing and silent endpoints, lost responses, a zone that
+// fails and restarts cold, a controller killed under load, a proxy that rejects updates and one that reads nothing.
 
 
 name:    "bad day"
--- a/examples/days/burst.cue
+++ b/examples/days/burst.cue
@@ -1,5 +1,6 @@
-// A zone that goes and comes back with its proxies: its endpoints die, its proxies are cut off from every pilot for ten
-// seconds and come back within one, each with ten seconds of sums; a third of the rest report five seconds late. Captured.
+// A zone that fails and returns with its proxies: its endpoints die, and its proxies are disconnected from all
+// controllers for ten seconds, reconnect within one second, and each report ten seconds of stats.  The proxies of
+// another zone report five seconds late.  Recorded.
 
 name:      "burst"
 seed:      17
--- a/examples/days/flapping.cue
+++ b/examples/days/flapping.cue
@@ -1,5 +1,5 @@
-// Endpoints that fail and recover by turns without the roster showing it: some fail fast, some go silent, some lose
-// answers, again and again; one drains and one is killed by the roster's word. Captured, for replays.
+// Endpoints that fail and recover repeatedly while discovery lists them as in service: some fail fast, some stop
+// responding, some lose responses.  One drains, and one dies and is listed as terminated.  Recorded for replays.
 
 name:      "flapping"
 seed:      31
--- a/examples/days/short.cue
+++ b/examples/days/short.cue
@@ -1,4 +1,5 @@
-// Eight seconds for replays that are shipped: a drain, fast failures unseen by the roster, a pilot killed.
+// Eight seconds for the recordings shipped as examples: a drain, fast failures that discovery does not report, silent
+// endpoints, a controller killed.
 
 name:      "short"
 seed:      17
--- a/examples/days/two-fronts.cue
+++ b/examples/days/two-fronts.cue
@@ -1,5 +1,6 @@
-// A bad day on both fronts: half of the proxies on streams, half on files, two pilots; some move from one front to
-// the other; a drain, a refusal, a stall, a zone lost and back cold, a pilot killed under load.
+// Many faults with both fronts: half of the proxies use streams, half use files; two controllers.  Some proxies move
+// from one front to the other; drains, rejected updates, stalled proxies, a zone that fails and restarts cold, a
+// controller killed under load.
 
 name:      "two fronts"
 seed:      23
--- a/quillstep/bench/charts.py
+++ b/quillstep/bench/charts.py
@@ -13,7 +13,7 @@
 
 
 def service_over_time(comparison: dict[str, Any], path: Path) -> None:
-    """Draws measured, replayed and changed service per second, and marks the worst span of the last of them."""
+    """Draws measured, replayed and changed service per second, and marks the worst span of the last line."""
     figure, axes = pyplot.subplots(figsize=(9.0, 4.0))
     for name, style in (("measured", "k-"), ("replayed", "b--"), ("changed", "r-")):
         if name != "changed" or comparison["change"]:
--- a/quillstep/bench/sampling.py
+++ b/quillstep/bench/sampling.py
@@ -11,7 +11,7 @@
 from quillstep.load_reports.upstream_stats import ClassArrivals, EndpointRow
 from quillstep.load_reports.validation import LoadReport, ReportAccount
 
-USUAL_PERIOD_MS = 1000.0
+DEFAULT_PERIOD_MS = 1000.0
 ATTEMPTS_PER_S = 2.0  # Attempts of a proxy of mean size at one endpoint.
 MIN_PROXY_SIZE = 0.05  # Lower bound of the traffic of a proxy, as a share of the mean one.
 ATTEMPT_MS = 20.0
@@ -46,7 +46,7 @@
 
     def __init__(self, proxies: int, endpoints: int, rows_per_s: float, seed: int) -> None:
         self.random = random.Random(seed)
-        self.sampler = Sampler(rows_per_s, USUAL_PERIOD_MS, seed)
+        self.sampler = Sampler(rows_per_s, DEFAULT_PERIOD_MS, seed)
         self.aggregator = ReportAggregator(
             LoadReportSettings(rows_per_s=UNLIMITED_ROWS_PER_S), FleetSettings(zones=["a"], classes=[REQUEST_CLASS])
         )
@@ -54,10 +54,10 @@
         self.proxies = range(proxies)
         self.sizes = [self.random.expovariate(1.0) + MIN_PROXY_SIZE for _ in self.proxies]
         for proxy in self.proxies:
-            account = ReportAccount(proxy, "a", "", USUAL_PERIOD_MS, USUAL_PERIOD_MS)
+            account = ReportAccount(proxy, "a", "", DEFAULT_PERIOD_MS, DEFAULT_PERIOD_MS)
             self.aggregator.add_proxy(account, str(proxy))
             self.sampler.add_proxy(proxy, 0.0)
-        self.due_ms = [USUAL_PERIOD_MS * self.random.random() for _ in self.proxies]
+        self.due_ms = [DEFAULT_PERIOD_MS * self.random.random() for _ in self.proxies]
         self.attempts = [[0] * endpoints for _ in self.proxies]  # Not reported yet.
         self.begin_ms = 0.0  # Start of the comparison; 0 while every proxy reports in full.
         self.errors: list[float] = []
@@ -65,7 +65,7 @@
 
     def run_second(self, second: int) -> None:
         """Runs one second: traffic, reports that are due, the comparison, new requests to proxies."""
-        now_ms = (second + 1) * USUAL_PERIOD_MS
+        now_ms = (second + 1) * DEFAULT_PERIOD_MS
         self._add_traffic()
         true_attempts = self._send_reports(second, now_ms)
         summary = self.aggregator.drain(now_ms)
--- a/quillstep/cli/replay.py
+++ b/quillstep/cli/replay.py
@@ -110,10 +110,10 @@
         error, tolerance = result["error"], result["tolerance"]
         console.print(f"inconclusive: the replay without changes deviates by {error:+.3f}, tolerance {tolerance}")
         return
-    fate = result["changed_fate"]
+    changed_requests = result["changed_fate"]
     console.print(
         f"gain {result['gain']:+.4f}, noise over {result['seeds']} seeds {result['noise']:.4f}; "
-        f"{fate['won']} requests gained, {fate['lost']} lost"
+        f"{changed_requests['won']} requests gained, {changed_requests['lost']} lost"
     )
 
 
--- a/quillstep/cli/tables.py
+++ b/quillstep/cli/tables.py
@@ -64,7 +64,7 @@
         else:
             selected = stored
         if not set(selected) <= set(stored):
-            fail(f"table {table if table is not None else zone}: the store knows no version of it")
+            fail(f"table {table if table is not None else zone}: no version in the store")
         return selected
 
     def rows(self, part: str) -> list[tuple[bytes, Any]]:
--- a/quillstep/controller/store_submission.py
+++ b/quillstep/controller/store_submission.py
@@ -8,7 +8,7 @@
 from quillstep.store.records import Entry
 from quillstep.store.writer import StoreWriter
 
-MAX_UNANSWERED_RESPONSES = 65536  # beyond this all are dropped, since answers to them are not expected any more
+MAX_UNANSWERED_RESPONSES = 65536  # if exceeded, all are dropped: their acks are not expected any more
 ACK_SUBMISSION_INTERVAL_MS = 1000.0
 
 
--- a/quillstep/logging.py
+++ b/quillstep/logging.py
@@ -40,6 +40,6 @@
         try:
             sys.stderr.write(line + "\n")
         except OSError:
-            pass  # the reader of standard error is gone
+            pass  # the reader has closed standard error
 
     log = debug = info = warning = warn = error = critical = exception = fatal = msg
--- a/quillstep/model_checking/fuzz.py
+++ b/quillstep/model_checking/fuzz.py
@@ -73,15 +73,15 @@
         controller.retry_policies.add_proxy(0, True, 0)
         stream.proxy = 0
         controller.assign()
-        at, now_ms = 0, 0.0
-        while at < len(data):
-            size = data[at]
+        offset, now_ms = 0, 0.0
+        while offset < len(data):
+            size = data[offset]
             try:
-                request = request_type.FromString(data[at + 1 : at + 1 + size])
+                request = request_type.FromString(data[offset + 1 : offset + 1 + size])
                 stream.handle_request(request, now_ms)
             except (DecodeError, StreamError):
                 pass
-            at, now_ms = at + 1 + size, now_ms + 100.0
+            offset, now_ms = offset + 1 + size, now_ms + 100.0
             stream.pump(now_ms)
         assert len(controller.tables.proxies[0].in_flight_updates) <= LIMITS.max_in_flight + 5
 
--- a/quillstep/model_checking/stream_model.py
+++ b/quillstep/model_checking/stream_model.py
@@ -45,7 +45,7 @@
     return If(s["top"] == 0, s["held"], If(s["top"] == s["n2"], s["v2"], s["v1"]))
 
 
-def is_quiet(s: State) -> Any:
+def is_idle(s: State) -> Any:
     """Returns whether nothing is in flight and the owner has nothing to send."""
     empty = [s[name] == 0 for name in ("dn1", "dn2", "un1", "un2", "n1", "n2", "dirty", "again")]
     return And(s["owner"] != 0, *empty)
@@ -210,7 +210,7 @@
 
 def is_stale(s: State) -> Any:
     """Returns whether nothing is left to do and the proxy does not hold the desired version."""
-    return And(is_quiet(s), s["has"] != desired(s))
+    return And(is_idle(s), s["has"] != desired(s))
 
 
 def may_run_twice(s: State) -> Any:
--- a/quillstep/replay/proxy_model.py
+++ b/quillstep/replay/proxy_model.py
@@ -81,7 +81,7 @@
     def __init__(self, name: str, row: dict[str, Any], scenario: ModelledScenario, draw: Callable[[], float]) -> None:
         self.name = name
         self.zone: str = row["zone"]
-        self.usual_rate_per_s: float = row["usual"]
+        self.expected_requests_per_s: float = row["usual"]
         self.tables = ProxyTables()
         self._scenario, self._draw = scenario, draw
         self._initial_weights = {f"{host}:{port}": 1.0 for host, port in row["standing"]}
--- a/quillstep/replay/replayed_controller.py
+++ b/quillstep/replay/replayed_controller.py
@@ -160,7 +160,7 @@
             return
         self.core.now_ms = self._scenario.clock.now_ms
         number = self.core.add_proxy(
-            proxy.name, proxy.zone, proxy.usual_rate_per_s, proxy.tables.versions, change.is_fresh, self._front
+            proxy.name, proxy.zone, proxy.expected_requests_per_s, proxy.tables.versions, change.is_fresh, self._front
         )
         self.joined[number] = proxy
         self.core.tables.subscribe(number, [(LISTENER,)], False)
--- a/quillstep/testbed/proxies.py
+++ b/quillstep/testbed/proxies.py
@@ -218,11 +218,11 @@
         drop_share = self.routing.drop_shares.get(route.table, {}).get(name, 0.0)
         return not drop_share or self.draw() >= drop_share
 
-    def handle_request(self, at: float, name: str, request: str) -> None:
+    def handle_request(self, due_ms: float, name: str, request: str) -> None:
         """Handle one request from its arrival to its end, and record it.
 
         Args:
-            at: When it was due, in milliseconds on the monotonic clock; its deadline counts from then.
+            due_ms: When it was due, in milliseconds on the monotonic clock; its deadline counts from then.
             name: Its class.
             request: Its id.
         """
@@ -232,8 +232,8 @@
         begun = now_ms()
         if self.stalled_until_ms > begun:
             time.sleep((self.stalled_until_ms - begun) / 1000.0)
-        deadline = at + settings["cut_off_ms"]
-        row = {"what": "exchange", "at": at, "proxy": self.name, "class": name, "exchange": request}
+        deadline = due_ms + settings["cut_off_ms"]
+        row = {"what": "exchange", "at": due_ms, "proxy": self.name, "class": name, "exchange": request}
         if not self._is_admitted(name):
             with self.lock:
                 self._stats_of(name).counts[2] += 1
@@ -274,7 +274,7 @@
                 break
         with self.lock:
             if outcome == "ok":
-                self._stats_of(name).add_latency(now_ms() - at)
+                self._stats_of(name).add_latency(now_ms() - due_ms)
             else:
                 self._stats_of(name).counts[1] += 1
         self.host.record.put(**row, end=now_ms(), outcome=outcome, tries=attempts, mode=policy, routes=routes_version)
@@ -370,16 +370,16 @@
 
     def _requests_of(self, proxy: str) -> Iterator[ScheduledRequest]:
         """Yield a proxy's requests in order of time: arrivals at the highest rate, thinned out to the current one."""
-        rng, at = self.random_by_proxy[proxy], 0.0
+        rng, at_s = self.random_by_proxy[proxy], 0.0
         rate = self.rates[proxy] * self.max_factor
         for count in itertools.count():
-            at += rng.expovariate(rate) if rate > 0 else float("inf")
-            if at >= self.seconds:
+            at_s += rng.expovariate(rate) if rate > 0 else float("inf")
+            if at_s >= self.seconds:
                 return
-            is_selected = rng.random() < self._rate_factor(at) / self.max_factor
+            is_selected = rng.random() < self._rate_factor(at_s) / self.max_factor
             name = rng.choices(self.class_names, cum_weights=self.cumulative_shares)[0]
             if is_selected:
-                yield at, proxy, name, f"{proxy}-{count}"
+                yield at_s, proxy, name, f"{proxy}-{count}"
 
     def requests(self) -> Iterator[ScheduledRequest]:
         """Return the requests of all proxies in order of time."""
@@ -450,11 +450,11 @@
     def _play_script(self, begin_ms: float) -> None:
         """Pass each request of the script to a worker at its time."""
         for at_s, proxy, name, request in self.script.requests():
-            at = begin_ms + at_s * 1000.0
-            wait = at - now_ms()
+            due_ms = begin_ms + at_s * 1000.0
+            wait = due_ms - now_ms()
             if wait > 0:
                 time.sleep(wait / 1000.0)
-            self.queue.put((proxy, at, name, request))
+            self.queue.put((proxy, due_ms, name, request))
             if self.idle_workers <= self.queue.qsize() and self.workers < MAX_WORKERS:
                 self.workers += 1
                 threading.Thread(target=self._work, daemon=True).start()
@@ -465,9 +465,9 @@
     def _work(self) -> None:
         while True:
             self.idle_workers += 1
-            proxy, at, name, request = self.queue.get()
+            proxy, due_ms, name, request = self.queue.get()
             self.idle_workers -= 1
-            self.proxies[proxy].handle_request(at, name, request)
+            self.proxies[proxy].handle_request(due_ms, name, request)
 
     def handle_command(self, command: dict[str, Any]) -> None:
         """Apply a command of the parent, record and answer it.
--- a/quillstep/testbed/scenarios/arm.py
+++ b/quillstep/testbed/scenarios/arm.py
@@ -208,12 +208,12 @@
 
     def _write_fleet(self) -> None:
         """Writes what an operator knows of the fleet, which includes neither speeds nor faults."""
-        known = ("id", "zone", "cores", "listed", "connections_most", "connect_work_ms")
+        visible_fields = ("id", "zone", "cores", "listed", "connections_most", "connect_work_ms")
         endpoints = []
         for endpoint in self.plan.endpoints:
             row = endpoint.to_row()
-            known_row = {name: row[name] for name in known}
-            endpoints.append({**known_row, "host": HOST, "port": self.ports[endpoint.number]})
+            visible_row = {name: row[name] for name in visible_fields}
+            endpoints.append({**visible_row, "host": HOST, "port": self.ports[endpoint.number]})
         proxies = [
             {
                 "name": proxy.name,
--- a/quillstep/xds/delta.py
+++ b/quillstep/xds/delta.py
@@ -1,8 +1,8 @@
 """One delta stream (`DeltaAggregatedResources`), without I/O.
 
 Versions belong to resources, nonces to the stream.  A response carries the changes of one type and one revision.  Its
-`system_version_info` is `epoch/revision/ordered`: from it, the socket record tells which responses form one message
-of the update channel, and when that revision was made (milliseconds).
+`system_version_info` is `epoch/revision/ordered`, where `ordered` is the time in milliseconds when the revision was
+decided.  By it, readers of the socket record find the responses that form one message of the update channel.
 """
 
 from collections.abc import Iterable
--- a/tests/store/test_operator_commands.py
+++ b/tests/store/test_operator_commands.py
@@ -104,7 +104,7 @@
     ("arguments", "text"),
     [
         (["rollback", "--table", "0", "--version", "nosuch"], "0 versions begin with 'nosuch', expected one"),
-        (["rollback", "--table", "9"], "the store knows no version of it"),
+        (["rollback", "--table", "9"], "no version in the store"),
         (["show", "0", "~99999"], "versions are known"),
         (["rollback", "--table", "0", "--at", "yesterday"], "expected a time"),
         (["pin", "--zone", "nowhere"], "expected one of a, b"),
