--- a/quillstep/files/front.py
+++ b/quillstep/files/front.py
@@ -104,12 +104,14 @@
         registration = registered.registration
         if directory in self.generations:
             number = self.generations[directory].number
-            self._leave(directory, "it says hello anew", now_ms)
+            self._leave(directory, "the proxy registered again", now_ms)
             registered = registered._replace(newest=max(registered.newest, number))
         versions = self._held_versions(registered)
         is_fresh = not versions and not registration.generation
         zone = registration.zone
-        proxy = self.hooks.add_proxy(registration.node, zone, registration.usual, versions, is_fresh, self)
+        proxy = self.hooks.add_proxy(
+            registration.node, zone, registration.expected_requests_per_s, versions, is_fresh, self
+        )
         generations = ProxyGenerations(proxy, registered.newest, dict(registered.resources))
         generations.last_received_ms = now_ms
         if registered.held:
@@ -183,7 +185,7 @@
                 at_ms,
                 proxy=self.nodes[generations.proxy],
                 order=generation.revision,
-                ordered=self.ordered_ms(generation.revision),
+                ordered=self.revision_time_ms(generation.revision),
                 lines=generation.updated + generation.removed,
                 bytes=pending.size_bytes,
                 nonce=f"{self.epoch}.g{generation.number}",
@@ -222,8 +224,8 @@
         previous = self.digests.get(directory, {})
         changed_bytes = sum(len(file.data) for file in files if previous.get(file.name) != file.digest)
         self.digests[directory] = {file.name: file.digest for file in files}
-        ordered_ms = self.ordered_ms(generation.revision)
-        manifest = encode_manifest(self.epoch, generation.number, generation.revision, ordered_ms, files)
+        revision_time_ms = self.revision_time_ms(generation.revision)
+        manifest = encode_manifest(self.epoch, generation.number, generation.revision, revision_time_ms, files)
         self.writer.queue.put(
             PendingGeneration(
                 directory,
@@ -243,6 +245,6 @@
             oldest_ms = self.tables.proxies[generations.proxy].oldest_sent_ms()
             idle_ms, ack_ms = self.file_settings.idle_timeout_ms, self.settings.limits.ack_timeout_ms
             if now_ms - generations.last_received_ms > idle_ms:
-                self._leave(directory, f"no word from it for {idle_ms:g} ms", now_ms)
+                self._leave(directory, f"idle for {idle_ms / 1000.0:g} s", now_ms)
             elif oldest_ms is not None and not generations.is_writing and now_ms - oldest_ms > ack_ms:
                 self._leave(directory, f"no acknowledgement within {ack_ms:g} ms", now_ms)
--- a/quillstep/model_checking/stream_model.py
+++ b/quillstep/model_checking/stream_model.py
@@ -45,7 +45,7 @@
     return If(s["top"] == 0, s["held"], If(s["top"] == s["n2"], s["v2"], s["v1"]))
 
 
-def is_quiet(s: State) -> Any:
+def is_idle(s: State) -> Any:
     """Returns whether nothing is in flight and the owner has nothing to send."""
     empty = [s[name] == 0 for name in ("dn1", "dn2", "un1", "un2", "n1", "n2", "dirty", "again")]
     return And(s["owner"] != 0, *empty)
@@ -53,13 +53,13 @@
 
 def update_steps(s: State) -> list[Step]:
     """Returns the steps that change the desired version; the key is marked as pending even if it is held already."""
-    found = []
+    steps = []
     for controller in (1, 2):
         for version in VERSIONS:
             marks = If(s["owner"] == controller, value(1), s["dirty"])
-            found.append(Step(f"controller {controller} wants {version}", s[f"want{controller}"] != version,
+            steps.append(Step(f"controller {controller} wants {version}", s[f"want{controller}"] != version,
                               {f"want{controller}": value(version), "dirty": marks}))  # fmt: skip
-    return found
+    return steps
 
 
 def send_steps(s: State, mutant: str) -> list[Step]:
@@ -162,14 +162,14 @@
         for name in ("n1", "v1", "n2", "v2", "top", "dn1", "dv1", "dn2", "dv2", "un1", "uo1", "un2", "uo2",
                      "refused", "again")
     }  # fmt: skip
-    found = [Step("disconnect", s["owner"] != 0, {**cleared, "owner": value(0), "dirty": value(0)})]
+    steps = [Step("disconnect", s["owner"] != 0, {**cleared, "owner": value(0), "dirty": value(0)})]
     for controller in (1, 2):
         # The held version is reported, but not since when: earlier requests may have a higher policy.
         joins = {"owner": value(controller), "held": s["has"], "dirty": value(1), "until": s["clock"] + REQUEST_STEPS}
         if mutant == "trusts its memory":
             joins["held"] = s["held"]
-        found.append(Step(f"join controller {controller}", s["owner"] == 0, joins))
-    return found
+        steps.append(Step(f"join controller {controller}", s["owner"] == 0, joins))
+    return steps
 
 
 def request_steps(s: State, mutant: str) -> list[Step]:
@@ -210,7 +210,7 @@
 
 def is_stale(s: State) -> Any:
     """Returns whether nothing is left to do and the proxy does not hold the desired version."""
-    return And(is_quiet(s), s["has"] != desired(s))
+    return And(is_idle(s), s["has"] != desired(s))
 
 
 def may_run_twice(s: State) -> Any:
